--- a/libgooseberry/gen/proto.c
+++ b/libgooseberry/gen/proto.c
@@ -1070,7 +1070,7 @@
 		 return FALSE;
 	 if (!xdr_gb_name (xdrs, &objp->org))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->away_lives.away_lives_val, (u_int *) &objp->away_lives.away_lives_len, ~0,
+	 if (!xdr_array (xdrs, (char **)&objp->worker_incarnations.worker_incarnations_val, (u_int *) &objp->worker_incarnations.worker_incarnations_len, ~0,
 		sizeof (int64_t), (xdrproc_t) xdr_int64_t))
 		 return FALSE;
 	return TRUE;
@@ -1114,7 +1114,7 @@
 	 if (!xdr_array (xdrs, (char **)&objp->list.list_val, (u_int *) &objp->list.list_len, GB_LIST_MAX,
 		sizeof (gb_worker_ref), (xdrproc_t) xdr_gb_worker_ref))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->lives.lives_val, (u_int *) &objp->lives.lives_len, GB_LIST_MAX,
+	 if (!xdr_array (xdrs, (char **)&objp->incarnations.incarnations_val, (u_int *) &objp->incarnations.incarnations_len, GB_LIST_MAX,
 		sizeof (int64_t), (xdrproc_t) xdr_int64_t))
 		 return FALSE;
 	return TRUE;
--- a/libgooseberry/gen/proto.h
+++ b/libgooseberry/gen/proto.h
@@ -603,9 +603,9 @@
 	} crashes;
 	gb_name org;
 	struct {
-		u_int away_lives_len;
-		int64_t *away_lives_val;
-	} away_lives;
+		u_int worker_incarnations_len;
+		int64_t *worker_incarnations_val;
+	} worker_incarnations;
 };
 typedef struct gb_flow_state gb_flow_state;
 
@@ -630,9 +630,9 @@
 		gb_worker_ref *list_val;
 	} list;
 	struct {
-		u_int lives_len;
-		int64_t *lives_val;
-	} lives;
+		u_int incarnations_len;
+		int64_t *incarnations_val;
+	} incarnations;
 };
 typedef struct gb_worker_set gb_worker_set;
 #define GB_KEY_DIGEST 32
--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -493,7 +493,7 @@
 };
 
 /* What has become of a flow.  Rows of older programs end before `crashes`,
- * before `org` or before `away_lives`. */
+ * before `org` or before `worker_incarnations`. */
 struct gb_flow_state {
 	gb_flow_status status;
 	bool cancelled;
@@ -502,7 +502,7 @@
 	gb_task_state tasks<GB_TASKS_MAX>;
 	gb_task_crashes crashes<GB_TASKS_MAX>;
 	gb_name org;		/* organisation it belongs to, empty: none */
-	int64_t away_lives<>;	/* of the workers that are away, in their order */
+	int64_t worker_incarnations<>;	/* of the workers that are away, in their order */
 };
 
 /* Who owns the pool.  One copy in each part, so that every transaction of a
@@ -525,7 +525,7 @@
 /* Rows of older programs end before `lives`. */
 struct gb_worker_set {
 	gb_worker_ref list<GB_LIST_MAX>;
-	int64_t lives<GB_LIST_MAX>;	/* that answered last, 0: unknown */
+	int64_t incarnations<GB_LIST_MAX>;	/* that answered last, 0: unknown */
 };
 
 const GB_KEY_DIGEST = 32;	/* bytes of an API key's SHA-256 digest */
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -158,7 +158,7 @@
 	char id[GB_NAME_MAX + 1];
 	/** Tells the lifetimes under one id apart, 0: not told.  A start's time
 	 * of day, which jumps: it says nothing of which one came first. */
-	int64_t life;
+	int64_t incarnation;
 	enum gb_pool_entry_fault fault;
 	char addr[GB_NAME_MAX + 1];
 	char dc[GB_NAME_MAX + 1];
@@ -206,8 +206,8 @@
 
 struct gb_pool_order_res {
 	enum gb_pool_order_status status;
-	int64_t clock_ms; /**< the worker's, 0: not told */
-	int64_t life;	  /**< of the worker that answered, 0: not told */
+	int64_t clock_ms;    /**< the worker's, 0: not told */
+	int64_t incarnation; /**< of the worker that answered, 0: not told */
 };
 
 /** Renew a worker's lease and ask what it runs.  Lease and cursor are for one
@@ -216,8 +216,9 @@
 struct gb_pool_hold {
 	const char *worker;
 	const char *addr;
-	int64_t life; /**< that is meant, 0: there is only one under the id */
-	bool sure;    /**< it answered just now */
+	int64_t incarnation; /**< that is meant, 0: there is only one under the
+				id */
+	bool confirmed;	     /**< it answered just now */
 	uint64_t token;
 	int64_t lease_end_ms; /**< on the worker's clock, 0: do not renew */
 	uint64_t cursor;      /**< ends up to this number are stored */
@@ -249,8 +250,8 @@
 struct gb_pool_report {
 	enum gb_pool_order_status status;
 	int64_t clock_ms;
-	int64_t life;  /**< of the worker that answered, 0: not told */
-	bool question; /**< it was only asked: no lease, no cursor */
+	int64_t incarnation; /**< of the worker that answered, 0: not told */
+	bool question;	     /**< it was only asked: no lease, no cursor */
 	struct gb_pool_seen *running;
 	size_t running_count;
 	struct gb_pool_seen *ended;
--- a/libgooseberry/pool/advice.c
+++ b/libgooseberry/pool/advice.c
@@ -362,8 +362,8 @@
 		a = &step->approved[step->approved_count++];
 		a->worker = worker->handle;
 	}
-	a->life = worker->life;
-	a->expires = worker->life_since > asked ? 0 : expires;
+	a->incarnation = worker->incarnation;
+	a->expires = worker->incarnation_since > asked ? 0 : expires;
 	snprintf(a->ticket, sizeof(a->ticket), "%s", ticket->ticket);
 }
 
--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -57,7 +57,7 @@
 /** A worker that is away and may have crashed under a task. */
 struct pool_away {
 	char worker[GB_NAME_MAX + 1]; /**< its id */
-	int64_t life;		      /**< that it had then, 0: unknown */
+	int64_t incarnation;	      /**< that it had then, 0: unknown */
 	bool begun;		      /**< it had said that it runs the task */
 	bool soon;		      /**< fell silent soon after that */
 	bool alone;  /**< and no other flow's start was as new */
@@ -82,9 +82,9 @@
 struct pool_plan {
 	uint32_t worker; /**< handle */
 	char worker_id[GB_NAME_MAX + 1];
-	int64_t life;	 /**< of the worker */
-	uint64_t change; /**< of the flow, with which it is stored */
-	bool room;	 /**< its room is kept */
+	int64_t incarnation; /**< of the worker */
+	uint64_t change;     /**< of the flow, with which it is stored */
+	bool room;	     /**< its room is kept */
 };
 
 /** A task that was lost with a worker that is away: its next answer tells
@@ -189,7 +189,7 @@
 	    away_add(run->flow, run->step, run->index, run->worker->entry.id);
 
 	if (away != NULL)
-		away->life = run->worker->life;
+		away->incarnation = run->worker->incarnation;
 	if (away != NULL && !away->linked)
 		away_link(run->flow, run->step, run->index, away, run->worker);
 	return away;
@@ -199,7 +199,7 @@
 
 void
 pool_crash_load(struct gb_pool *pool, struct pool_flow *flow,
-    const gb_task_crashes *stored, const int64_t *lives, u_int known)
+    const gb_task_crashes *stored, const int64_t *incarnations, u_int known)
 {
 	struct pool_suspect *suspect =
 	    suspect_get(flow, stored->step, stored->index);
@@ -217,7 +217,7 @@
 		away = away_add(flow, stored->step, stored->index, row->worker);
 		if (away == NULL)
 			break;
-		away->life = i < known ? lives[i] : 0;
+		away->incarnation = i < known ? incarnations[i] : 0;
 		away->begun = row->begun;
 		away->soon = row->soon;
 		away->alone = row->alone;
@@ -273,20 +273,23 @@
 
 /** The lives of the workers that pool_crash_fill names, in the same order. */
 void
-pool_crash_fill_lives(const struct pool_task *task, gb_flow_state *out)
+pool_crash_fill_incarnations(const struct pool_task *task, gb_flow_state *out)
 {
 	const struct pool_suspect *suspect = task->suspect;
 	uint32_t count = suspect == NULL ? 0 : suspect->away_count;
-	u_int at = out->away_lives.away_lives_len;
+	u_int at = out->worker_incarnations.worker_incarnations_len;
 	uint32_t i;
 
-	out->away_lives.away_lives_val = gb_realloc(
-	    out->away_lives.away_lives_val, (at + count + 1) * sizeof(int64_t));
+	out->worker_incarnations.worker_incarnations_val =
+	    gb_realloc(out->worker_incarnations.worker_incarnations_val,
+		(at + count + 1) * sizeof(int64_t));
 	for (i = 0; i < count; i++)
-		out->away_lives.away_lives_val[at++] = suspect->away[i].life;
+		out->worker_incarnations.worker_incarnations_val[at++] =
+		    suspect->away[i].incarnation;
 	if (task->plan != NULL && count < GB_AWAY_MAX)
-		out->away_lives.away_lives_val[at++] = task->plan->life;
-	out->away_lives.away_lives_len = at;
+		out->worker_incarnations.worker_incarnations_val[at++] =
+		    task->plan->incarnation;
+	out->worker_incarnations.worker_incarnations_len = at;
 }
 
 /* Starts that are stored first -------------------------------------------- */
@@ -324,7 +327,7 @@
 
 	pool_crash_plan_drop(pool, &flow->steps[step], index);
 	plan->worker = worker->handle;
-	plan->life = worker->life;
+	plan->incarnation = worker->incarnation;
 	snprintf(
 	    plan->worker_id, sizeof(plan->worker_id), "%s", worker->entry.id);
 	plan->room = true;
@@ -606,8 +609,9 @@
 	if (!away_remove(task->suspect, worker->entry.id, &away))
 		return;
 	pool->work_changed = true;
-	crashed = crashed || (away.life != 0 && worker->life != 0 &&
-				 away.life != worker->life);
+	crashed =
+	    crashed || (away.incarnation != 0 && worker->incarnation != 0 &&
+			   away.incarnation != worker->incarnation);
 	if (!crashed || task->done) {
 		suspect_clear(flow, step, index);
 		pool_flow_changed(pool, flow, false);
--- a/libgooseberry/pool/crash.h
+++ b/libgooseberry/pool/crash.h
@@ -57,11 +57,11 @@
 /** Take in what is stored of a task, with the lives of so many of the workers
  * that were away. */
 void pool_crash_load(struct gb_pool *, struct pool_flow *,
-    const gb_task_crashes *, const int64_t *lives, u_int known);
+    const gb_task_crashes *, const int64_t *incarnations, u_int known);
 /** Whether there is something of a task to be stored; and that. */
 bool pool_crash_stored(const struct pool_task *);
 void pool_crash_fill(const struct pool_task *, gb_task_crashes *);
 /** Add the lives of the workers that are away with it. */
-void pool_crash_fill_lives(const struct pool_task *, gb_flow_state *);
+void pool_crash_fill_incarnations(const struct pool_task *, gb_flow_state *);
 
 #endif
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -354,7 +354,7 @@
 		    (json_int_t)flow->org->quota.cpu, "mem",
 		    (json_int_t)flow->org->used.mem, "mem_quota",
 		    (json_int_t)flow->org->quota.mem, "cpu_unknown",
-		    (json_int_t)pool->doubt.cpu);
+		    (json_int_t)pool->uncertain_use.cpu);
 	}
 	pool_advice_claims_drop(pool, step);
 }
--- a/libgooseberry/pool/fit.c
+++ b/libgooseberry/pool/fit.c
@@ -47,7 +47,7 @@
 	return pool_worker_offered(worker) && worker->fenced &&
 	       (worker->recorded & (UINT32_C(1) << part)) != 0 &&
 	       !worker->over && !worker->foreign && !worker->entry.draining &&
-	       pool_life_listed(worker) && !worker->doubt &&
+	       pool_incarnation_listed(worker) && !worker->maybe_restarted &&
 	       worker->silent == 0 && worker->aside_until <= pool->now &&
 	       !pool_crash_on_probation(worker);
 }
@@ -100,7 +100,7 @@
 	const struct pool_approval *a = fit_approval(step, worker);
 
 	if (a == NULL || a->expires < pool->now + FIT_TICKET_MARGIN ||
-	    a->life != pool_worker_get(pool, worker)->life)
+	    a->incarnation != pool_worker_get(pool, worker)->incarnation)
 		return NULL;
 	return a;
 }
--- a/libgooseberry/pool/flow_state.c
+++ b/libgooseberry/pool/flow_state.c
@@ -67,7 +67,7 @@
 		out->step = number;
 		out->index = i;
 		pool_crash_fill(&step->tasks[i], out);
-		pool_crash_fill_lives(&step->tasks[i], state);
+		pool_crash_fill_incarnations(&step->tasks[i], state);
 	}
 }
 
@@ -201,8 +201,9 @@
 flow_crashes_load(
     struct gb_pool *pool, struct pool_flow *flow, const gb_flow_state *state)
 {
-	const int64_t *lives = state->away_lives.away_lives_val;
-	u_int left = state->away_lives.away_lives_len;
+	const int64_t *incarnations =
+	    state->worker_incarnations.worker_incarnations_val;
+	u_int left = state->worker_incarnations.worker_incarnations_len;
 	uint32_t i;
 
 	for (i = 0; i < state->crashes.crashes_len; i++) {
@@ -213,8 +214,8 @@
 		if (stored->step >= flow->step_count ||
 		    stored->index >= flow->steps[stored->step].spec->count)
 			return false;
-		pool_crash_load(pool, flow, stored, lives, known);
-		lives += known;
+		pool_crash_load(pool, flow, stored, incarnations, known);
+		incarnations += known;
 		left -= known;
 		flow->begun = true;
 	}
--- a/libgooseberry/pool/life.c
+++ b/libgooseberry/pool/incarnation.c
@@ -1,5 +1,5 @@
 /**
- * @file life.c
+ * @file incarnation.c
  * Lives of workers.  A worker may start again under its id: it then runs
  * nothing, has seen no fencing token, and its clock and the numbers of its ends
  * begin anew, so that nothing that is known of one life holds for another.
@@ -19,64 +19,68 @@
 
 /** Readings of one clock differ from what is expected by the time that answers
  * are on their way. */
-#define LIFE_CLOCK_SLACK_MS 2000
+#define INCARNATION_CLOCK_SLACK_MS 2000
 
 uint64_t
-pool_life_token(const struct gb_pool *pool, const struct pool_worker *worker)
+pool_incarnation_token(
+    const struct gb_pool *pool, const struct pool_worker *worker)
 {
 	return pool->epoch * POOL_FENCES_PER_EPOCH + worker->fence;
 }
 
 void
-pool_life_fence(struct pool_worker *worker)
+pool_incarnation_fence(struct pool_worker *worker)
 {
-	bool told = worker->life != 0 || worker->entry.life != 0;
+	bool told = worker->incarnation != 0 || worker->entry.incarnation != 0;
 
 	if (told && worker->fence + 1 < POOL_FENCES_PER_EPOCH)
 		worker->fence++;
 }
 
 bool
-pool_life_fenced_off(struct gb_pool *pool, const struct pool_call *call,
+pool_incarnation_fenced_off(struct gb_pool *pool, const struct pool_call *call,
     enum gb_pool_order_status status)
 {
 	const struct pool_worker *worker = pool_worker_get(pool, call->worker);
 
 	if (status != GB_POOL_ORDER_FENCED)
 		return false;
-	if (worker != NULL && call->token < pool_life_token(pool, worker))
+	if (worker != NULL &&
+	    call->token < pool_incarnation_token(pool, worker))
 		return false;
 	pool_owner_lose(pool, "a worker knows a newer owner", 0);
 	return true;
 }
 
 bool
-pool_life_sure(const struct pool_worker *worker)
+pool_incarnation_confirmed(const struct pool_worker *worker)
 {
-	return worker->life == 0 || (worker->silent == 0 && !worker->doubt);
+	return worker->incarnation == 0 ||
+	       (worker->silent == 0 && !worker->maybe_restarted);
 }
 
 bool
-pool_life_listed(const struct pool_worker *worker)
+pool_incarnation_listed(const struct pool_worker *worker)
 {
-	return worker->life == 0 || worker->entry.life == 0 ||
-	       worker->entry.life == worker->life;
+	return worker->incarnation == 0 || worker->entry.incarnation == 0 ||
+	       worker->entry.incarnation == worker->incarnation;
 }
 
 static void
-life_doubt(struct gb_pool *pool, struct pool_worker *worker, const char *why)
+incarnation_suspect_restart(
+    struct gb_pool *pool, struct pool_worker *worker, const char *why)
 {
-	if (worker->doubt)
+	if (worker->maybe_restarted)
 		return;
-	worker->doubt = true;
-	pool_life_fence(worker);
+	worker->maybe_restarted = true;
+	pool_incarnation_fence(worker);
 	/* A hold that is out may wait on a connection that has ended. */
 	worker->hold_call = 0;
 	worker->hold_at = pool->now;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_doubted",
 	    "{s:s, s:s, s:I, s:I, s:I}", "worker", worker->entry.id, "why", why,
-	    "life", (json_int_t)worker->life, "listed",
-	    (json_int_t)worker->entry.life, "runs",
+	    "life", (json_int_t)worker->incarnation, "listed",
+	    (json_int_t)worker->entry.incarnation, "runs",
 	    (json_int_t)worker->run_count);
 }
 
@@ -89,9 +93,10 @@
 {
 	int64_t passed = (pool->now - worker->clock_at) / GB_MSEC;
 
-	return worker->life == 0 || worker->clock_ms == 0 ||
-	       (clock_ms >= worker->clock_ms - LIFE_CLOCK_SLACK_MS &&
-		   clock_ms <= worker->clock_ms + passed + LIFE_CLOCK_SLACK_MS);
+	return worker->incarnation == 0 || worker->clock_ms == 0 ||
+	       (clock_ms >= worker->clock_ms - INCARNATION_CLOCK_SLACK_MS &&
+		   clock_ms <=
+		       worker->clock_ms + passed + INCARNATION_CLOCK_SLACK_MS);
 }
 
 static void
@@ -104,46 +109,48 @@
 }
 
 void
-pool_life_order_answered(struct gb_pool *pool, const struct pool_call *call,
-    const struct gb_pool_order_res *res)
+pool_incarnation_order_answered(struct gb_pool *pool,
+    const struct pool_call *call, const struct gb_pool_order_res *res)
 {
 	struct pool_worker *worker = pool_worker_get(pool, call->worker);
 
 	/* The life before this one may have answered. */
-	if (worker == NULL || worker->over || call->sent <= worker->life_since)
+	if (worker == NULL || worker->over ||
+	    call->sent <= worker->incarnation_since)
 		return;
-	if ((res->life == 0 || res->life == worker->life) &&
+	if ((res->incarnation == 0 ||
+		res->incarnation == worker->incarnation) &&
 	    clock_fits(pool, worker, res->clock_ms)) {
 		clock_take(pool, worker, res->clock_ms);
 		return;
 	}
 	if (res->clock_ms <= 0)
 		return;
-	worker->lease_doubt = true;
-	life_doubt(pool, worker, "the answer to an order");
+	worker->lease_uncertain = true;
+	incarnation_suspect_restart(pool, worker, "the answer to an order");
 }
 
 /* A new life -------------------------------------------------------------- */
 
 static void
-life_event(struct gb_pool *pool, const struct pool_worker *worker, int64_t life,
-    const struct gb_pool_report *report)
+incarnation_event(struct gb_pool *pool, const struct pool_worker *worker,
+    int64_t incarnation, const struct gb_pool_report *report)
 {
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "worker_life",
 	    "{s:s, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I}", "worker",
-	    worker->entry.id, "life", (json_int_t)life, "before",
-	    (json_int_t)worker->life, "runs", (json_int_t)worker->run_count,
-	    "running", (json_int_t)(report == NULL ? 0 : report->running_count),
-	    "seen", (json_int_t)worker->seen, "acked",
-	    (json_int_t)worker->acked, "clock_ms",
-	    (json_int_t)(report == NULL ? 0 : report->clock_ms),
+	    worker->entry.id, "life", (json_int_t)incarnation, "before",
+	    (json_int_t)worker->incarnation, "runs",
+	    (json_int_t)worker->run_count, "running",
+	    (json_int_t)(report == NULL ? 0 : report->running_count), "seen",
+	    (json_int_t)worker->seen, "acked", (json_int_t)worker->acked,
+	    "clock_ms", (json_int_t)(report == NULL ? 0 : report->clock_ms),
 	    "clock_before_ms", (json_int_t)worker->clock_ms);
 }
 
 /** Whether a run was surely one of the life before: its start was answered
  * before the new life told what it runs, and that is not among it. */
 static bool
-run_of_life_before(const struct pool_run *run, gb_time sent,
+run_of_earlier_incarnation(const struct pool_run *run, gb_time sent,
     const struct gb_pool_report *report)
 {
 	return run->start_call == 0 && run->confirmed != 0 &&
@@ -154,8 +161,8 @@
 /** Runs of the life before are lost with it.  Others may have reached the new
  * one; copies of their orders that are still on their way are fenced off. */
 static void
-life_runs_lost(struct gb_pool *pool, struct pool_worker *worker, gb_time sent,
-    const struct gb_pool_report *report)
+incarnation_runs_lost(struct gb_pool *pool, struct pool_worker *worker,
+    gb_time sent, const struct gb_pool_report *report)
 {
 	struct pool_run *run;
 	struct pool_run *next;
@@ -165,7 +172,7 @@
 	pool_crash_classify(pool, worker);
 	for (run = TAILQ_FIRST(&worker->runs); run != NULL; run = next) {
 		next = TAILQ_NEXT(run, of_worker);
-		if (run_of_life_before(run, sent, report))
+		if (run_of_earlier_incarnation(run, sent, report))
 			pool_worker_run_lost(pool, run, true);
 		else if (run->confirmed == 0 && run->start_call == 0)
 			run->lapse_at = pool->now;
@@ -175,11 +182,11 @@
 /** A lease that was counted on the clock of the life before lies anywhere on
  * the new one, and never shortens. */
 static void
-life_lease_begin(struct gb_pool *pool, struct pool_worker *worker,
+incarnation_lease_begin(struct gb_pool *pool, struct pool_worker *worker,
     const struct pool_call *call, const struct gb_pool_report *report)
 {
 	bool reached = (call->lease && !report->question) ||
-		       worker->lease_doubt || report->running_count > 0 ||
+		       worker->lease_uncertain || report->running_count > 0 ||
 		       report->ended_count > 0;
 	int64_t left = worker->lease_end_ms - report->clock_ms;
 
@@ -193,14 +200,14 @@
 
 /** Nothing is known of a life. */
 static void
-life_clear(struct pool_worker *worker)
+incarnation_clear(struct pool_worker *worker)
 {
-	pool_report_life_over(worker);
+	pool_report_incarnation_ended(worker);
 	worker->seen = 0;
 	worker->acked = 0;
 	worker->clock_ms = 0;
-	worker->doubt = false;
-	worker->lease_doubt = false;
+	worker->maybe_restarted = false;
+	worker->lease_uncertain = false;
 	worker->failures = 0;
 	worker->failed_flow = 0;
 	worker->aside_until = 0;
@@ -209,13 +216,15 @@
 }
 
 static void
-life_begin(struct gb_pool *pool, struct pool_worker *worker, int64_t life)
+incarnation_begin(
+    struct gb_pool *pool, struct pool_worker *worker, int64_t incarnation)
 {
-	life_clear(worker);
-	worker->life = life;
-	worker->life_since = pool->now;
-	worker->leaving = worker->entry.draining && pool_life_listed(worker);
-	pool_life_fence(worker);
+	incarnation_clear(worker);
+	worker->incarnation = incarnation;
+	worker->incarnation_since = pool->now;
+	worker->leaving =
+	    worker->entry.draining && pool_incarnation_listed(worker);
+	pool_incarnation_fence(worker);
 	/* A successor compares the life that answers it with the stored one. */
 	pool_worker_set_mark(pool, worker);
 	pool->work_changed = true;
@@ -228,41 +237,44 @@
 report_is_anothers(
     const struct pool_worker *worker, const struct gb_pool_report *report)
 {
-	return report->life != worker->life ||
-	       (report->life != 0 &&
-		   report->clock_ms < worker->clock_ms - LIFE_CLOCK_SLACK_MS);
+	return report->incarnation != worker->incarnation ||
+	       (report->incarnation != 0 &&
+		   report->clock_ms <
+		       worker->clock_ms - INCARNATION_CLOCK_SLACK_MS);
 }
 
 /** The first answer to this owner. */
 static void
-life_first(struct gb_pool *pool, struct pool_worker *worker, int64_t life)
+incarnation_first(
+    struct gb_pool *pool, struct pool_worker *worker, int64_t incarnation)
 {
-	worker->life = life;
-	worker->life_since = pool->now;
-	worker->leaving = worker->entry.draining && pool_life_listed(worker);
-	if (life != 0 && worker->recorded_life != 0 &&
-	    life != worker->recorded_life) {
+	worker->incarnation = incarnation;
+	worker->incarnation_since = pool->now;
+	worker->leaving =
+	    worker->entry.draining && pool_incarnation_listed(worker);
+	if (incarnation != 0 && worker->recorded_incarnation != 0 &&
+	    incarnation != worker->recorded_incarnation) {
 		worker->missed = pool->now;
 		pool_crash_unseen(pool, worker);
 	}
-	if (life != worker->recorded_life)
+	if (incarnation != worker->recorded_incarnation)
 		pool_worker_set_mark(pool, worker);
 }
 
 void
-pool_life_report(struct gb_pool *pool, struct pool_worker *worker,
+pool_incarnation_report(struct gb_pool *pool, struct pool_worker *worker,
     const struct pool_call *call, const struct gb_pool_report *report)
 {
 	if (!worker->fenced) {
-		life_first(pool, worker, report->life);
+		incarnation_first(pool, worker, report->incarnation);
 	} else if (report_is_anothers(worker, report)) {
-		life_event(pool, worker, report->life, report);
+		incarnation_event(pool, worker, report->incarnation, report);
 		pool->stats.workers_over++;
-		life_runs_lost(pool, worker, call->sent, report);
-		life_lease_begin(pool, worker, call, report);
-		life_begin(pool, worker, report->life);
+		incarnation_runs_lost(pool, worker, call->sent, report);
+		incarnation_lease_begin(pool, worker, call, report);
+		incarnation_begin(pool, worker, report->incarnation);
 	}
-	worker->doubt = false;
+	worker->maybe_restarted = false;
 	clock_take(pool, worker, report->clock_ms);
 }
 
@@ -274,14 +286,15 @@
 entry_begins(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_entry *entry)
 {
-	if (!worker->fenced || worker->life != 0 || worker->entry.life == 0 ||
-	    entry->life == worker->entry.life)
+	if (!worker->fenced || worker->incarnation != 0 ||
+	    worker->entry.incarnation == 0 ||
+	    entry->incarnation == worker->entry.incarnation)
 		return;
-	life_event(pool, worker, entry->life, NULL);
+	incarnation_event(pool, worker, entry->incarnation, NULL);
 	pool->stats.workers_over++;
-	life_runs_lost(pool, worker, pool->now, NULL);
+	incarnation_runs_lost(pool, worker, pool->now, NULL);
 	pool_crash_worker_known(pool, worker, true);
-	life_begin(pool, worker, 0);
+	incarnation_begin(pool, worker, 0);
 }
 
 /** The life that was over is not the one that is listed. */
@@ -289,41 +302,43 @@
 entry_revives(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_entry *entry)
 {
-	life_clear(worker);
+	incarnation_clear(worker);
 	worker->over = false;
 	worker->fenced = false;
-	worker->life = 0;
-	worker->recorded_life = 0;
-	worker->life_since = pool->now;
+	worker->incarnation = 0;
+	worker->recorded_incarnation = 0;
+	worker->incarnation_since = pool->now;
 	worker->silent = 0;
 	worker->missed = 0;
 	worker->hold_at = pool->now;
-	pool_life_fence(worker);
+	pool_incarnation_fence(worker);
 	snprintf(
 	    worker->entry.addr, sizeof(worker->entry.addr), "%s", entry->addr);
 }
 
 void
-pool_life_entry(struct gb_pool *pool, struct pool_worker *worker,
+pool_incarnation_entry(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_entry *entry)
 {
-	if (entry->life == 0)
+	if (entry->incarnation == 0)
 		return;
 	if (worker->over) {
-		if (entry->life != worker->over_life)
+		if (entry->incarnation != worker->ended_incarnation)
 			entry_revives(pool, worker, entry);
 		return;
 	}
 	entry_begins(pool, worker, entry);
-	if (worker->life != 0 && entry->life != worker->life)
-		life_doubt(pool, worker, "its entry");
+	if (worker->incarnation != 0 &&
+	    entry->incarnation != worker->incarnation)
+		incarnation_suspect_restart(pool, worker, "its entry");
 }
 
 bool
-pool_life_may_move(const struct gb_pool *pool, const struct pool_worker *worker,
-    const struct gb_pool_entry *entry)
+pool_incarnation_may_move(const struct gb_pool *pool,
+    const struct pool_worker *worker, const struct gb_pool_entry *entry)
 {
-	return entry->life != 0 && entry->life != worker->life &&
+	return entry->incarnation != 0 &&
+	       entry->incarnation != worker->incarnation &&
 	       worker->silent > 0 && worker->run_count == 0 &&
 	       worker->lapse_at < pool->now;
 }
--- a/libgooseberry/pool/listing.c
+++ b/libgooseberry/pool/listing.c
@@ -89,7 +89,7 @@
     struct gb_pool_entry *entry)
 {
 	bool believed = (!worker->fenced && pool_owner_settled(pool)) ||
-			pool_life_may_move(pool, worker, entry);
+			pool_incarnation_may_move(pool, worker, entry);
 
 	if (strcmp(worker->entry.addr, entry->addr) == 0)
 		return;
@@ -113,8 +113,8 @@
 {
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_listed",
 	    "{s:s, s:I, s:s, s:s, s:I}", "worker", entry->id, "life",
-	    (json_int_t)entry->life, "addr", entry->addr, "dc", entry->dc,
-	    "cpu", (json_int_t)entry->capacity.cpu);
+	    (json_int_t)entry->incarnation, "addr", entry->addr, "dc",
+	    entry->dc, "cpu", (json_int_t)entry->capacity.cpu);
 	return pool_worker_new(pool, entry);
 }
 
@@ -136,11 +136,11 @@
 		gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "worker_draining",
 		    "{s:s, s:I}", "worker", entry->id, "runs",
 		    (json_int_t)worker->run_count);
-	if (entry->life != worker->entry.life)
+	if (entry->incarnation != worker->entry.incarnation)
 		gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_entry_life",
 		    "{s:s, s:I, s:I, s:I}", "worker", entry->id, "life",
-		    (json_int_t)entry->life, "before",
-		    (json_int_t)worker->entry.life, "runs",
+		    (json_int_t)entry->incarnation, "before",
+		    (json_int_t)worker->entry.incarnation, "runs",
 		    (json_int_t)worker->run_count);
 }
 
@@ -158,7 +158,7 @@
 	if (worker == NULL && entry->removed)
 		return;
 	if (worker != NULL && !entry->removed) {
-		pool_life_entry(pool, worker, entry);
+		pool_incarnation_entry(pool, worker, entry);
 		entry_moved(pool, worker, entry);
 	}
 	if (worker != NULL && entry->removed) {
@@ -172,7 +172,7 @@
 	else
 		entry_news(pool, worker, entry);
 	worker->entry = *entry;
-	if (pool_life_listed(worker))
+	if (pool_incarnation_listed(worker))
 		worker->leaving = entry->draining;
 	worker->listed = true;
 	worker->served = worker_served(pool, worker);
--- a/libgooseberry/pool/load.c
+++ b/libgooseberry/pool/load.c
@@ -132,7 +132,9 @@
 	}
 	for (i = 0; i < set.list.list_len; i++)
 		pool_worker_recorded(pool, part, &set.list.list_val[i],
-		    i < set.lives.lives_len ? set.lives.lives_val[i] : 0);
+		    i < set.incarnations.incarnations_len
+			? set.incarnations.incarnations_val[i]
+			: 0);
 	xdr_free((xdrproc_t)xdr_gb_worker_set, (char *)&set);
 	pool_worker_set_read(pool, part, row->key);
 }
--- a/libgooseberry/pool/quota.c
+++ b/libgooseberry/pool/quota.c
@@ -93,7 +93,7 @@
 	if (org == NULL)
 		return wanted;
 	taken = org->used;
-	amount_add(&taken, &pool->doubt);
+	amount_add(&taken, &pool->uncertain_use);
 	return quota_fits(&org->quota, &taken, each, wanted);
 }
 
@@ -146,7 +146,7 @@
 	struct gb_pool_amount most = worker_most(pool);
 	uint32_t i;
 
-	pool->doubt = none;
+	pool->uncertain_use = none;
 	for (i = 0; i < pool->worker_count; i++) {
 		const struct pool_worker *worker = pool->workers[i];
 		struct gb_pool_amount room = amount_of(&worker->entry.capacity);
@@ -156,7 +156,7 @@
 			continue;
 		if (room.cpu == 0)
 			room = most;
-		amount_add(&pool->doubt, &room);
-		amount_sub(&pool->doubt, &used);
+		amount_add(&pool->uncertain_use, &room);
+		amount_sub(&pool->uncertain_use, &used);
 	}
 }
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -165,7 +165,7 @@
 	order.id.step = seen->step;
 	order.id.index = seen->index;
 	order.id.run = seen->run;
-	order.token = pool_life_token(pool, worker);
+	order.token = pool_incarnation_token(pool, worker);
 	call->token = order.token;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "stray_run_stopped",
 	    "{s:s, s:I, s:I, s:I, s:s}", "flow", seen->flow, "step",
@@ -277,7 +277,7 @@
 		    run->flow->spec.id, "step", (json_int_t)run->step, "index",
 		    (json_int_t)run->index, "run", (json_int_t)run->number,
 		    "worker", worker->entry.id, "life",
-		    (json_int_t)worker->life, "acked",
+		    (json_int_t)worker->incarnation, "acked",
 		    (json_int_t)worker->acked, "started_ms_ago",
 		    (json_int_t)((pool->now - run->started) / GB_MSEC), "state",
 		    (int)run->state);
@@ -330,7 +330,7 @@
 }
 
 void
-pool_report_life_over(struct pool_worker *worker)
+pool_report_incarnation_ended(struct pool_worker *worker)
 {
 	struct pool_ends held = STAILQ_HEAD_INITIALIZER(held);
 	struct pool_end *end;
--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -96,7 +96,7 @@
 	order->id.step = run->step;
 	order->id.index = run->index;
 	order->id.run = run->number;
-	order->token = pool_life_token(pool, run->worker);
+	order->token = pool_incarnation_token(pool, run->worker);
 }
 
 /** Send the order to start a run; the worker takes the same order twice as
@@ -235,7 +235,7 @@
 worker_takes_again(const struct pool_worker *worker)
 {
 	return pool_worker_offered(worker) && !worker->entry.draining &&
-	       pool_life_listed(worker) &&
+	       pool_incarnation_listed(worker) &&
 	       gb_res_fits(&worker->used, &worker->entry.capacity);
 }
 
@@ -247,7 +247,7 @@
 	    pool_fit_ticket(pool, step, run->worker->handle);
 
 	/* Another life might take it: wait until the worker has answered. */
-	run->again = !pool_life_sure(run->worker);
+	run->again = !pool_incarnation_confirmed(run->worker);
 	if (run->again)
 		return;
 	if (run->confirmed != 0)
@@ -307,12 +307,12 @@
 	struct pool_worker *worker = pool_worker_get(pool, call->worker);
 
 	if (res->status == GB_POOL_ORDER_REBORN && worker != NULL &&
-	    call->sent > worker->life_since) {
+	    call->sent > worker->incarnation_since) {
 		pool_worker_over(pool, worker, "another lifetime answered");
 		return NULL;
 	}
-	pool_life_order_answered(pool, call, res);
-	if (pool_life_fenced_off(pool, call, res->status))
+	pool_incarnation_order_answered(pool, call, res);
+	if (pool_incarnation_fenced_off(pool, call, res->status))
 		return NULL;
 	return call->run;
 }
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -105,8 +105,8 @@
 
 /** A worker that may run a step, with the ticket that proves it. */
 struct pool_approval {
-	uint32_t worker; /**< handle */
-	int64_t life;	 /**< of the worker, for which the ticket holds */
+	uint32_t worker;     /**< handle */
+	int64_t incarnation; /**< of the worker, for which the ticket holds */
 	gb_time expires;
 	char ticket[GB_NAME_MAX + 1];
 };
@@ -244,17 +244,18 @@
 	uint32_t handle;
 	struct gb_pool_entry entry;
 	char rack[GB_NAME_MAX + 1];
-	gb_res used;	       /**< by runs */
-	gb_res claimed;	       /**< kept for gangs whose tickets are renewed */
-	gb_res booked;	       /**< kept for gangs that wait for room */
-	gb_time booked_at;     /**< when the first of them wants it, 0: none */
-	bool was_booked;       /**< in the dispatch before this one */
-	int64_t life;	       /**< that answered last, 0: not told */
-	gb_time life_since;    /**< when it first answered */
-	int64_t over_life;     /**< that is over, when over is set */
-	int64_t recorded_life; /**< in the stored sets as they were read */
-	bool doubt;	       /**< may have started again since it answered */
-	bool leaving;	       /**< this life has said that it leaves */
+	gb_res used;	     /**< by runs */
+	gb_res claimed;	     /**< kept for gangs whose tickets are renewed */
+	gb_res booked;	     /**< kept for gangs that wait for room */
+	gb_time booked_at;   /**< when the first of them wants it, 0: none */
+	bool was_booked;     /**< in the dispatch before this one */
+	int64_t incarnation; /**< that answered last, 0: not told */
+	gb_time incarnation_since; /**< when it first answered */
+	int64_t ended_incarnation; /**< that is over, when over is set */
+	int64_t
+	    recorded_incarnation; /**< in the stored sets as they were read */
+	bool maybe_restarted; /**< may have started again since it answered */
+	bool leaving;	      /**< this life has said that it leaves */
 	uint64_t fence;	   /**< grows when orders on their way must not count */
 	bool listed;	   /**< by the platform */
 	bool served;	   /**< the configuration names its service */
@@ -274,7 +275,7 @@
 	int64_t clock_ms;     /**< its clock in the last answer */
 	gb_time clock_at;     /**< when that answer came */
 	int64_t lease_end_ms; /**< latest end of a lease that was sent */
-	bool lease_doubt;     /**< that may have reached another life */
+	bool lease_uncertain; /**< that may have reached another life */
 	gb_time lapse_at;     /**< surely over by then */
 	uint64_t seen;	      /**< number of the last end taken in */
 	uint64_t acked;	      /**< ends up to it are stored */
@@ -471,7 +472,7 @@
 	struct pool_queue_stat *queues;
 	struct pool_org *orgs;
 	/** Room in which something may run that this owner does not know of. */
-	struct gb_pool_amount doubt;
+	struct gb_pool_amount uncertain_use;
 	struct pool_part parts[GB_POOL_PARTS];
 	/* Reading what is stored */
 	struct pool_pages pages; /**< that are to be read */
@@ -688,7 +689,7 @@
 /** Whether a report names a run, as one that goes on or has ended. */
 bool pool_report_names(const struct gb_pool_report *, const struct pool_run *);
 /** A life is over: no more of its ends can be acknowledged. */
-void pool_report_life_over(struct pool_worker *);
+void pool_report_incarnation_ended(struct pool_worker *);
 
 /* listing.c */
 /** Take in an entry that is new or has changed. */
@@ -699,32 +700,33 @@
  * and names a service that there is. */
 bool pool_worker_offered(const struct pool_worker *);
 
-/* life.c */
+/* incarnation.c */
 /** Fencing token of orders to a worker. */
-uint64_t pool_life_token(const struct gb_pool *, const struct pool_worker *);
+uint64_t pool_incarnation_token(
+    const struct gb_pool *, const struct pool_worker *);
 /** Orders to a worker that are still on their way must not be carried out once
  * it has seen the next one; not where each life has an id of its own. */
-void pool_life_fence(struct pool_worker *);
+void pool_incarnation_fence(struct pool_worker *);
 /** Whether the worker of a call knows a newer owner; then the ownership is
  * lost.  False when it was just overtaken by a newer order of this one. */
-bool pool_life_fenced_off(
+bool pool_incarnation_fenced_off(
     struct gb_pool *, const struct pool_call *, enum gb_pool_order_status);
 /** Whether what is sent to a worker now reaches the life that is known. */
-bool pool_life_sure(const struct pool_worker *);
+bool pool_incarnation_confirmed(const struct pool_worker *);
 /** Whether the entry of a worker is that of the life that answers. */
-bool pool_life_listed(const struct pool_worker *);
+bool pool_incarnation_listed(const struct pool_worker *);
 /** Take in what the answer to an order tells of the worker's clock. */
-void pool_life_order_answered(struct gb_pool *, const struct pool_call *,
+void pool_incarnation_order_answered(struct gb_pool *, const struct pool_call *,
     const struct gb_pool_order_res *);
 /** A hold was answered, perhaps by a new life. */
-void pool_life_report(struct gb_pool *, struct pool_worker *,
+void pool_incarnation_report(struct gb_pool *, struct pool_worker *,
     const struct pool_call *, const struct gb_pool_report *);
 /** A sound entry of a known worker has come, before it is taken in. */
-void pool_life_entry(
+void pool_incarnation_entry(
     struct gb_pool *, struct pool_worker *, const struct gb_pool_entry *);
 /** Whether a worker may be looked for at the address of a new entry. */
-bool pool_life_may_move(const struct gb_pool *, const struct pool_worker *,
-    const struct gb_pool_entry *);
+bool pool_incarnation_may_move(const struct gb_pool *,
+    const struct pool_worker *, const struct gb_pool_entry *);
 
 /* worker.c */
 /** End of a lease that begins now, on the worker's clock; 0 while the clock is
@@ -759,8 +761,8 @@
 /** The row that was written last is stored, or not. */
 void pool_worker_set_stored(struct gb_pool *, uint32_t part, bool stored);
 /** A worker of the stored set, of whom nothing else may be known. */
-void pool_worker_recorded(
-    struct gb_pool *, uint32_t part, const gb_worker_ref *, int64_t life);
+void pool_worker_recorded(struct gb_pool *, uint32_t part,
+    const gb_worker_ref *, int64_t incarnation);
 void pool_workers_reset(struct gb_pool *);
 void pool_workers_free(struct gb_pool *);
 
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -163,8 +163,9 @@
 	if (worker->over)
 		return;
 	worker->over = true;
-	worker->over_life =
-	    worker->life != 0 ? worker->life : worker->entry.life;
+	worker->ended_incarnation = worker->incarnation != 0
+					? worker->incarnation
+					: worker->entry.incarnation;
 	pool_crash_unseen(pool, worker);
 	if (worker->silent == 0)
 		worker->missed = pool->now;
@@ -181,7 +182,7 @@
 
 	if (worker->silent++ == 0) {
 		worker->missed = pool->now;
-		pool_life_fence(worker);
+		pool_incarnation_fence(worker);
 		pool_crash_worker_missed(pool, worker);
 	}
 	pause = HOLD_RETRY * (gb_time)(worker->silent - 1);
@@ -232,10 +233,10 @@
 		worker_silent(pool, worker);
 		return;
 	}
-	if (pool_life_fenced_off(pool, call, report->status))
+	if (pool_incarnation_fenced_off(pool, call, report->status))
 		return;
 	if (report->status == GB_POOL_ORDER_REBORN &&
-	    call->sent <= worker->life_since) {
+	    call->sent <= worker->incarnation_since) {
 		worker->hold_at = pool->now;
 		return;
 	}
@@ -253,7 +254,7 @@
 		    "{s:s, s:I}", "worker", worker->entry.id, "silent",
 		    (json_int_t)worker->silent);
 	}
-	pool_life_report(pool, worker, call, report);
+	pool_incarnation_report(pool, worker, call, report);
 	worker->answered = pool->now;
 	worker->silent = 0;
 	pool_crash_worker_known(pool, worker, false);
@@ -306,19 +307,19 @@
 	worker->hold_sent = pool->now;
 	hold.worker = worker->entry.id;
 	hold.addr = worker->entry.addr;
-	hold.token = pool_life_token(pool, worker);
+	hold.token = pool_incarnation_token(pool, worker);
 	/* A hold without answer may still renew the lease: a worker that stays
 	 * silent is asked without doing so, or its runs would never lapse. */
 	if (worker->silent < HOLD_RENEW_TRIES)
 		hold.lease_end_ms = pool_worker_lease(pool, worker, NULL);
 	hold.cursor = worker->acked;
-	hold.life = worker->life;
-	hold.sure = pool_life_sure(worker) &&
-		    (pool->now - worker->answered <= HOLD_PROOF ||
-			worker->questions >= HOLD_QUESTIONS);
+	hold.incarnation = worker->incarnation;
+	hold.confirmed = pool_incarnation_confirmed(worker) &&
+			 (pool->now - worker->answered <= HOLD_PROOF ||
+			     worker->questions >= HOLD_QUESTIONS);
 	call->token = hold.token;
 	call->lease = hold.lease_end_ms != 0;
-	if (worker->fenced && worker->silent == 0 && !worker->doubt &&
+	if (worker->fenced && worker->silent == 0 && !worker->maybe_restarted &&
 	    !holds_are_short(pool))
 		hold.wait_us = hold_wait(pool, worker);
 	pool->stats.holds++;
@@ -430,12 +431,12 @@
 		pool_report_clear(worker);
 		pool_crash_worker_forget(worker);
 		worker->fenced = false;
-		worker->life = 0;
-		worker->recorded_life = 0;
-		worker->doubt = false;
+		worker->incarnation = 0;
+		worker->recorded_incarnation = 0;
+		worker->maybe_restarted = false;
 		worker->fence = 0;
 		worker->lease_end_ms = 0;
-		worker->lease_doubt = false;
+		worker->lease_uncertain = false;
 		worker->recorded = 0;
 		worker->recording = 0;
 		worker->reported = 0;
--- a/libgooseberry/pool/worker_set.c
+++ b/libgooseberry/pool/worker_set.c
@@ -65,7 +65,8 @@
 	uint32_t i;
 
 	set.list.list_val = gb_calloc(POOL_SET_WORKERS, sizeof(gb_worker_ref));
-	set.lives.lives_val = gb_calloc(POOL_SET_WORKERS, sizeof(int64_t));
+	set.incarnations.incarnations_val =
+	    gb_calloc(POOL_SET_WORKERS, sizeof(int64_t));
 	for (i = first; i < last && i < pool->worker_count; i++) {
 		struct pool_worker *worker = pool->workers[i];
 		gb_worker_ref *ref = &set.list.list_val[set.list.list_len];
@@ -76,7 +77,9 @@
 		worker->recording |= bit;
 		ref->id = worker->entry.id;
 		ref->addr = worker->entry.addr;
-		set.lives.lives_val[set.lives.lives_len++] = worker->life;
+		set.incarnations
+		    .incarnations_val[set.incarnations.incarnations_len++] =
+		    worker->incarnation;
 		set.list.list_len++;
 	}
 	part->set_sent = UINT64_C(1) << row;
@@ -85,7 +88,7 @@
 	    GB_POOL_WORKERS_KEY "%02u", row % POOL_SET_ROWS);
 	ok = gb_xdr_encode((xdrproc_t)xdr_gb_worker_set, &set, body);
 	free(set.list.list_val);
-	free(set.lives.lives_val);
+	free(set.incarnations.incarnations_val);
 	return ok;
 }
 
@@ -122,8 +125,8 @@
 }
 
 void
-pool_worker_recorded(
-    struct gb_pool *pool, uint32_t part, const gb_worker_ref *ref, int64_t life)
+pool_worker_recorded(struct gb_pool *pool, uint32_t part,
+    const gb_worker_ref *ref, int64_t incarnation)
 {
 	struct pool_worker *worker = pool_worker_find(pool, ref->id);
 	struct gb_pool_entry entry = {0};
@@ -134,5 +137,5 @@
 		worker = pool_worker_new(pool, &entry);
 	}
 	worker->recorded |= UINT32_C(1) << part;
-	worker->recorded_life = life;
+	worker->recorded_incarnation = incarnation;
 }
--- a/soak/caller.c
+++ b/soak/caller.c
@@ -60,7 +60,7 @@
 	gb_time at;	/**< next step */
 	gb_time sent;
 	struct soak_node *node; /**< that the call went to */
-	gb_time life;
+	gb_time incarnation;
 	char state[16];
 };
 
@@ -152,7 +152,7 @@
 	gb_time took = soak_now() - job->sent;
 
 	if (res->status != 0 || !res->sent || job->node->stopping == 0 ||
-	    job->node->started != job->life)
+	    job->node->started != job->incarnation)
 		return;
 	if (took > CUT_SLACK && took < CALL_TIMEOUT &&
 	    job->sent - soak.unplanned > 3 * GB_SEC)
@@ -169,7 +169,7 @@
 
 	snprintf(path, sizeof(path), "/%s/%s", job->queue, job->id);
 	job->node = node_pick();
-	job->life = job->node->started;
+	job->incarnation = job->node->started;
 	job->sent = soak_now();
 	job->out = true;
 	snprintf(header, sizeof(header),
--- a/soak/operator.c
+++ b/soak/operator.c
@@ -42,7 +42,7 @@
 /** A question about one version, put to one life of a node. */
 struct probe {
 	struct soak_node *node;
-	gb_time life;
+	gb_time incarnation;
 	gb_time sent;
 	unsigned int version;
 	enum probe_kind kind;
@@ -189,7 +189,7 @@
 {
 	struct probe *probe = data;
 
-	if (probe->node->started == probe->life)
+	if (probe->node->started == probe->incarnation)
 		probe_check(probe, res->status);
 	free(probe);
 }
@@ -202,7 +202,7 @@
 	char path[64];
 
 	probe->node = node;
-	probe->life = node->started;
+	probe->incarnation = node->started;
 	probe->sent = soak_now();
 	probe->version = of;
 	probe->kind = kind;
--- a/standin/emulator_worker.c
+++ b/standin/emulator_worker.c
@@ -216,8 +216,9 @@
 	}
 	emu_answer(call, 200,
 	    json_pack("{s:I, s:I, s:o, s:o}", "ClockMs",
-		(json_int_t)res.clock_ms, "born", (json_int_t)report->life,
-		"Running", running, "Finished", ended));
+		(json_int_t)res.clock_ms, "born",
+		(json_int_t)report->incarnation, "Running", running, "Finished",
+		ended));
 }
 
 /** Answer a hold if there is something to tell or nothing to wait for. */
@@ -348,7 +349,7 @@
 	    "Service", entry.service, "Address", addr, "Zone", entry.dc,
 	    "Version", "1", "Slots", 8, "State",
 	    entry.draining ? "draining" : "ready", "ColdRemainingMs", 0, "Seq",
-	    1, "born", (json_int_t)entry.life, "Labels", entry.label[0],
+	    1, "born", (json_int_t)entry.incarnation, "Labels", entry.label[0],
 	    "Capacity", "Cpu", entry.capacity.cpu, "MemMb", entry.capacity.mem,
 	    "Gpus", entry.capacity.accel);
 	if (spoiled > 0)
--- a/standin/world.c
+++ b/standin/world.c
@@ -98,7 +98,7 @@
 static void
 worker_begin(struct world *world, struct world_worker *worker)
 {
-	worker->life++;
+	worker->incarnation++;
 	worker->born_ms =
 	    WORLD_EPOCH_MS + world->clock_step_ms + world->now / GB_MSEC;
 	worker->up = true;
@@ -115,7 +115,7 @@
 worker_name(struct world *world, struct world_worker *worker)
 {
 	snprintf(worker->id, sizeof(worker->id), "w-%u-%u", worker->number,
-	    worker->life);
+	    worker->incarnation);
 	worker->offset_ms =
 	    CLOCK_OFFSET_MS + (int64_t)(gb_random_next(&world->seed) % 100000);
 }
@@ -180,7 +180,7 @@
 
 	memset(entry, 0, sizeof(*entry));
 	snprintf(entry->id, sizeof(entry->id), "%s", worker->id);
-	entry->life = world->entries_untold ? 0 : worker->born_ms;
+	entry->incarnation = world->entries_untold ? 0 : worker->born_ms;
 	snprintf(entry->addr, sizeof(entry->addr), "%s", worker->addr);
 	snprintf(entry->dc, sizeof(entry->dc), "%s", worker->dc);
 	snprintf(entry->service, sizeof(entry->service), "%s", worker->service);
@@ -262,7 +262,7 @@
 }
 
 void
-world_lives_untold(struct world *world, bool reports, bool entries)
+world_incarnations_unknown(struct world *world, bool reports, bool entries)
 {
 	world->reports_untold = reports;
 	world->entries_untold = entries;
@@ -325,7 +325,7 @@
 {
 	const struct world_worker *worker = worker_at(world, addr);
 
-	return worker == NULL || !worker->up ? 0 : worker->life;
+	return worker == NULL || !worker->up ? 0 : worker->incarnation;
 }
 
 static int64_t
@@ -620,16 +620,17 @@
     const struct gb_pool_order *order)
 {
 	gb_time expires = 0;
-	unsigned int life = 0;
+	unsigned int incarnation = 0;
 
 	if (order->ticket == NULL ||
-	    sscanf(order->ticket, "%" SCNd64 ".%u", &expires, &life) != 2 ||
+	    sscanf(order->ticket, "%" SCNd64 ".%u", &expires, &incarnation) !=
+		2 ||
 	    expires < world->now) {
 		world_fault(
 		    world, &world->faults.ticket, "no ticket", order->id.flow);
 		return false;
 	}
-	return life == worker->life;
+	return incarnation == worker->incarnation;
 }
 
 void
@@ -714,7 +715,7 @@
 		&report->status, &report->clock_ms))
 		return;
 	report->status = GB_POOL_ORDER_DONE;
-	report->life = world->reports_untold ? 0 : worker->born_ms;
+	report->incarnation = world->reports_untold ? 0 : worker->born_ms;
 	lease_renew(world, worker, hold->lease_end_ms);
 	ends_forget(world, worker, hold->cursor);
 	TAILQ_FOREACH(run, &worker->runs, next)
@@ -761,13 +762,13 @@
 
 /** Life of the worker with an id, for which a ticket holds. */
 static unsigned int
-worker_life(const struct world *world, const char *id)
+worker_incarnation(const struct world *world, const char *id)
 {
 	unsigned int i;
 
 	for (i = 0; i < world->worker_count; i++) {
 		if (strcmp(world->workers[i]->id, id) == 0)
-			return world->workers[i]->life;
+			return world->workers[i]->incarnation;
 	}
 	return 0;
 }
@@ -791,7 +792,7 @@
 		if (gb_hash_pair(ask->step, worker) % 100 >= percent)
 			continue;
 		snprintf(text, sizeof(text), "%" PRId64 ".%u",
-		    world->now + valid, worker_life(world, worker));
+		    world->now + valid, worker_incarnation(world, worker));
 		res->approved.approved_val[res->approved.approved_len].worker =
 		    gb_strdup(worker);
 		res->approved.approved_val[res->approved.approved_len++]
--- a/standin/world.h
+++ b/standin/world.h
@@ -61,7 +61,7 @@
 void world_worker_rename(struct world *, unsigned int number, const char *id);
 /** From now on workers don't tell when they started: in their reports, and in
  * their entries. */
-void world_lives_untold(struct world *, bool reports, bool entries);
+void world_incarnations_unknown(struct world *, bool reports, bool entries);
 /** Set the time of day forward or back, by which workers tell their start. */
 void world_clock_step(struct world *, gb_time);
 /** Number of the process that serves an address; a connection to one ends with
--- a/standin/world_state.h
+++ b/standin/world_state.h
@@ -46,8 +46,8 @@
 
 struct world_worker {
 	unsigned int number;
-	unsigned int life; /**< grows with each start of the process */
-	int64_t born_ms;   /**< time of day of the start */
+	unsigned int incarnation; /**< grows with each start of the process */
+	int64_t born_ms;	  /**< time of day of the start */
 	bool up;
 	gb_time back_at; /**< a crashed one has a new lifetime then, 0: never */
 	bool draining;
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -51,7 +51,7 @@
 	gb_time due;
 	enum event_kind kind;
 	unsigned int node;
-	uint64_t life;
+	uint64_t incarnation;
 	uint64_t call; /**< 0: nobody waits for the answer */
 	gb_time expires;
 	struct gb_pool_order order;
@@ -116,7 +116,7 @@
 	event->call = call;
 	event->due = cell->now + after;
 	event->node = from->node;
-	event->life = cell->lives[from->node];
+	event->incarnation = cell->incarnations[from->node];
 	return event;
 }
 
@@ -395,7 +395,8 @@
 static struct gb_pool *
 event_pool(const struct pool_cell *cell, const struct pool_event *event)
 {
-	if (event->call == 0 || cell->lives[event->node] != event->life)
+	if (event->call == 0 ||
+	    cell->incarnations[event->node] != event->incarnation)
 		return NULL;
 	return cell->nodes[event->node];
 }
@@ -467,7 +468,8 @@
 static void
 hold_connect(const struct pool_cell *cell, struct pool_event *event)
 {
-	event->question = event->hold.life != 0 && !event->hold.sure &&
+	event->question = event->hold.incarnation != 0 &&
+			  !event->hold.confirmed &&
 			  *known_process(cell, event) != event->process;
 	if (!event->question)
 		return;
@@ -688,12 +690,12 @@
 
 	snprintf(name, sizeof(name), "n%u", node);
 	snprintf(addr, sizeof(addr), "10.9.0.%u:70", node + 1);
-	cell->lives[node]++;
+	cell->incarnations[node]++;
 	cell_nodes[node].cell = cell;
 	cell_nodes[node].node = node;
 	settings.name = name;
 	settings.addr = addr;
-	settings.incarnation = node * 1000 + cell->lives[node];
+	settings.incarnation = node * 1000 + cell->incarnations[node];
 	settings.seed = cell->setup.seed + node;
 	settings.events = cell->events_log;
 	settings.limits.lease_us = 6 * GB_SEC;
--- a/tests/pool_cell.h
+++ b/tests/pool_cell.h
@@ -66,7 +66,7 @@
 	struct pool_cell_setup setup;
 	struct world *world;
 	struct gb_pool *nodes[CELL_NODES];
-	uint64_t lives[CELL_NODES];
+	uint64_t incarnations[CELL_NODES];
 	struct gb_link *links[CELL_NODES];
 	struct pool_cell_faults faults;
 	struct pool_cell_flow *flows;
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -61,7 +61,7 @@
 	assert_string_equal(entry.service, "svc");
 	assert_int_equal(entry.capacity.cpu, 16000);
 	assert_int_equal(entry.label_count, 2);
-	assert_int_equal(entry.life, 1778839491459);
+	assert_int_equal(entry.incarnation, 1778839491459);
 	assert_false(entry.draining);
 	assert_int_equal(
 	    fault_with("State", "\"draining\""), GB_POOL_ENTRY_SOUND);
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -261,7 +261,7 @@
 
 	(void)state;
 	cell = pool_cell_begin(&plain);
-	world_lives_untold(cell->world, true, true);
+	world_incarnations_unknown(cell->world, true, true);
 	for (i = 0; i < 4; i++) {
 		lookups(cell, 30);
 		world_worker_reborn(cell->world, i);
@@ -280,7 +280,7 @@
 	unsigned int i;
 
 	(void)state;
-	world_lives_untold(cell->world, true, false);
+	world_incarnations_unknown(cell->world, true, false);
 	pool_cell_take(cell, 0);
 	pool_cell_run(cell, GB_SEC);
 	lookups(cell, 60);
