--- a/bench/pool.c
+++ b/bench/pool.c
@@ -23,7 +23,7 @@
 /** Answers of the platform come after this. */
 #define WIRE (5 * GB_MSEC)
 /** An end is told this late at the most. */
-#define HOLD_TURN (50 * GB_MSEC)
+#define HEARTBEAT_TURNAROUND (50 * GB_MSEC)
 #define RUNS_MOST 64
 #define MEMBERS 90
 #define MEMBERS_EACH (500 * GB_MSEC)
@@ -38,7 +38,7 @@
 /** Every second flow is the first organisation's, the hot one. */
 #define HOT_EACH 2
 
-enum kind { TXN, READ, START, STOP, HOLD, ADVISE };
+enum kind { TXN, READ, START, STOP, HEARTBEAT, ADVISE };
 
 /** An answer that is due. */
 struct event {
@@ -75,8 +75,8 @@
 	struct world *tables;
 	struct fake_worker *workers;
 	uint32_t worker_count;
-	struct ring quick; /**< answers after WIRE */
-	struct ring holds; /**< answers after HOLD_TURN */
+	struct ring quick;	/**< answers after WIRE */
+	struct ring heartbeats; /**< answers after HEARTBEAT_TURNAROUND */
 	gb_time now;
 	gb_time cpu;	 /**< spent in the pool, since measured */
 	gb_time outside; /**< of it, in this file */
@@ -126,7 +126,8 @@
 static struct event *
 event_add(struct play *play, enum kind kind, uint64_t call)
 {
-	struct ring *ring = kind == HOLD ? &play->holds : &play->quick;
+	struct ring *ring =
+	    kind == HEARTBEAT ? &play->heartbeats : &play->quick;
 	struct event *event;
 
 	if (ring->count == ring->size)
@@ -135,7 +136,8 @@
 	memset(event, 0, sizeof(*event));
 	event->kind = kind;
 	event->call = call;
-	event->due = play->now + (kind == HOLD ? HOLD_TURN : WIRE);
+	event->due =
+	    play->now + (kind == HEARTBEAT ? HEARTBEAT_TURNAROUND : WIRE);
 	return event;
 }
 
@@ -180,13 +182,14 @@
 }
 
 static void
-op_hold(void *data, uint64_t call, const struct gb_pool_hold *hold)
+op_heartbeat(
+    void *data, uint64_t call, const struct gb_pool_heartbeat *heartbeat)
 {
 	struct play *play = data;
 	gb_time began = quick_ns();
-	struct event *event = event_add(play, HOLD, call);
+	struct event *event = event_add(play, HEARTBEAT, call);
 
-	event->worker = worker_number(hold->worker);
+	event->worker = worker_number(heartbeat->worker);
 	play->outside += quick_ns() - began;
 }
 
@@ -247,7 +250,7 @@
 
 /** Ends that are due go to the end of the worker's list of runs. */
 static void
-hold_answer(struct play *play, const struct event *event)
+heartbeat_answer(struct play *play, const struct event *event)
 {
 	struct fake_worker *worker = &play->workers[event->worker];
 	struct gb_pool_seen running[RUNS_MOST];
@@ -273,7 +276,7 @@
 		*run = worker->runs[--worker->count];
 	}
 	play->outside += quick_ns() - began;
-	gb_pool_hold_done(play->pool, play->now, event->call, &report);
+	gb_pool_heartbeat_done(play->pool, play->now, event->call, &report);
 }
 
 static void
@@ -298,8 +301,8 @@
 	case STOP:
 		gb_pool_stop_done(pool, play->now, event->call, &done);
 		break;
-	case HOLD:
-		hold_answer(play, event);
+	case HEARTBEAT:
+		heartbeat_answer(play, event);
 		break;
 	case ADVISE:
 		gb_pool_advise_done(
@@ -441,7 +444,7 @@
 		flow_submit(play, first, orgs);
 	play->now += GB_POOL_TICK_US;
 	ring_run(play, &play->quick);
-	ring_run(play, &play->holds);
+	ring_run(play, &play->heartbeats);
 	gb_pool_tick(play->pool, play->now, play->now);
 	took = cpu_ns() - began - (play->outside - outside);
 	play->cpu += took;
@@ -452,8 +455,8 @@
 static void
 play_new(struct play *play, uint32_t workers, uint32_t orgs, uint32_t keys)
 {
-	const struct gb_pool_ops ops = {op_start, op_stop, op_hold, op_advise,
-	    op_txn, op_read, op_answer, op_owner, NULL, play};
+	const struct gb_pool_ops ops = {op_start, op_stop, op_heartbeat,
+	    op_advise, op_txn, op_read, op_answer, op_owner, NULL, play};
 	struct gb_pool_config *config = config_make(orgs, keys);
 	struct gb_pool_settings settings = {.name = "bench",
 	    .addr = "10.0.0.1:70",
@@ -497,7 +500,7 @@
 {
 	gb_pool_unref(play->pool);
 	ring_free(&play->quick);
-	ring_free(&play->holds);
+	ring_free(&play->heartbeats);
 	world_free(play->tables);
 	free(play->workers);
 }
--- a/libgooseberry/gooseberry.h
+++ b/libgooseberry/gooseberry.h
@@ -526,7 +526,7 @@
 enum gb_traffic_kind {
 	GB_TRAFFIC_START,
 	GB_TRAFFIC_STOP,
-	GB_TRAFFIC_HOLD,
+	GB_TRAFFIC_HEARTBEAT,
 	GB_TRAFFIC_ADVICE,
 	GB_TRAFFIC_STORE_WRITE,
 	GB_TRAFFIC_STORE_READ,
--- a/libgooseberry/node/metrics.c
+++ b/libgooseberry/node/metrics.c
@@ -90,7 +90,7 @@
 	    {"gooseberry_stops", "Orders to stop a run.", s->stops},
 	    {"gooseberry_stops_for_gangs", "Of these, to make room for gangs.",
 		s->preempted},
-	    {"gooseberry_holds", "Looks at workers.", s->holds},
+	    {"gooseberry_holds", "Looks at workers.", s->heartbeats},
 	    {"gooseberry_runs_done", "Runs that ended done.", s->done},
 	    {"gooseberry_runs_failed", "Runs that failed.", s->failed},
 	    {"gooseberry_runs_stopped", "Runs that were stopped.", s->stopped},
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -97,11 +97,12 @@
 }
 
 static void
-op_hold(void *data, uint64_t call, const struct gb_pool_hold *hold)
+op_heartbeat(
+    void *data, uint64_t call, const struct gb_pool_heartbeat *heartbeat)
 {
 	struct gb_node *node = data;
 
-	node->platform.hold(node->platform.data, call, hold);
+	node->platform.heartbeat(node->platform.data, call, heartbeat);
 }
 
 /** What the end of a member's call of advice needs. */
@@ -264,10 +265,10 @@
 }
 
 void
-gb_node_hold_done(
+gb_node_heartbeat_done(
     struct gb_node *node, uint64_t call, const struct gb_pool_report *report)
 {
-	gb_pool_hold_done(node->pool, node_now(), call, report);
+	gb_pool_heartbeat_done(node->pool, node_now(), call, report);
 }
 
 void
@@ -586,7 +587,7 @@
 
 /* Node -------------------------------------------------------------------- */
 
-static const struct gb_pool_ops pool_ops = {op_start, op_stop, op_hold,
+static const struct gb_pool_ops pool_ops = {op_start, op_stop, op_heartbeat,
     op_advise, op_txn, op_read, op_answer, op_owner, op_link, NULL};
 
 struct gb_node *
--- a/libgooseberry/node/node.h
+++ b/libgooseberry/node/node.h
@@ -16,7 +16,8 @@
 struct gb_node_platform {
 	void (*start)(void *, uint64_t call, const struct gb_pool_order *);
 	void (*stop)(void *, uint64_t call, const struct gb_pool_order *);
-	void (*hold)(void *, uint64_t call, const struct gb_pool_hold *);
+	void (*heartbeat)(
+	    void *, uint64_t call, const struct gb_pool_heartbeat *);
 	void (*advise)(void *, uint64_t call, const gb_advice_ask *);
 	void (*txn)(void *, uint64_t call, const struct gb_pool_txn *);
 	void (*read)(void *, uint64_t call, const struct gb_pool_read *);
@@ -87,7 +88,7 @@
     struct gb_node *, uint64_t call, const struct gb_pool_order_res *);
 void gb_node_stop_done(
     struct gb_node *, uint64_t call, const struct gb_pool_order_res *);
-void gb_node_hold_done(
+void gb_node_heartbeat_done(
     struct gb_node *, uint64_t call, const struct gb_pool_report *);
 void gb_node_advise_done(
     struct gb_node *, uint64_t call, const gb_advice_res *);
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -213,7 +213,7 @@
 /** Renew a worker's lease and ask what it runs.  Lease and cursor are for one
  * life of the worker: where neither a connection to it stands nor `sure` says
  * that no other can answer, the worker is only asked. */
-struct gb_pool_hold {
+struct gb_pool_heartbeat {
 	const char *worker;
 	const char *addr;
 	int64_t incarnation; /**< that is meant, 0: there is only one under the
@@ -337,7 +337,8 @@
 struct gb_pool_ops {
 	void (*start)(void *, uint64_t call, const struct gb_pool_order *);
 	void (*stop)(void *, uint64_t call, const struct gb_pool_order *);
-	void (*hold)(void *, uint64_t call, const struct gb_pool_hold *);
+	void (*heartbeat)(
+	    void *, uint64_t call, const struct gb_pool_heartbeat *);
 	/** Ask the advice service by way of a member. */
 	void (*advise)(void *, uint64_t call, const char *member_addr,
 	    const gb_advice_ask *);
@@ -468,7 +469,7 @@
     const struct gb_pool_order_res *);
 void gb_pool_stop_done(struct gb_pool *, gb_time now, uint64_t call,
     const struct gb_pool_order_res *);
-void gb_pool_hold_done(struct gb_pool *, gb_time now, uint64_t call,
+void gb_pool_heartbeat_done(struct gb_pool *, gb_time now, uint64_t call,
     const struct gb_pool_report *);
 void gb_pool_advise_done(
     struct gb_pool *, gb_time now, uint64_t call, const gb_advice_res *);
@@ -495,7 +496,8 @@
 /** Counters of a core, for the metrics address. */
 struct gb_pool_stats {
 	uint64_t submitted, accepted, refused, repeated;
-	uint64_t starts, starts_refused, starts_lost, stops, preempted, holds;
+	uint64_t starts, starts_refused, starts_lost, stops, preempted,
+	    heartbeats;
 	uint64_t done, failed, stopped, lapsed, broken, alone;
 	uint64_t crashed;      /**< runs lost with a worker that is over */
 	uint64_t gone;	       /**< runs that a worker no longer lists */
--- a/libgooseberry/pool/incarnation.c
+++ b/libgooseberry/pool/incarnation.c
@@ -75,8 +75,8 @@
 	worker->maybe_restarted = true;
 	pool_incarnation_fence(worker);
 	/* A hold that is out may wait on a connection that has ended. */
-	worker->hold_call = 0;
-	worker->hold_at = pool->now;
+	worker->heartbeat_call = 0;
+	worker->heartbeat_at = pool->now;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_doubted",
 	    "{s:s, s:s, s:I, s:I, s:I}", "worker", worker->entry.id, "why", why,
 	    "life", (json_int_t)worker->incarnation, "listed",
@@ -310,7 +310,7 @@
 	worker->incarnation_since = pool->now;
 	worker->silent = 0;
 	worker->missed = 0;
-	worker->hold_at = pool->now;
+	worker->heartbeat_at = pool->now;
 	pool_incarnation_fence(worker);
 	snprintf(
 	    worker->entry.addr, sizeof(worker->entry.addr), "%s", entry->addr);
--- a/libgooseberry/pool/listing.c
+++ b/libgooseberry/pool/listing.c
@@ -105,7 +105,7 @@
 	 */
 	worker->over = false;
 	worker->silent = 0;
-	worker->hold_at = pool->now;
+	worker->heartbeat_at = pool->now;
 }
 
 static struct pool_worker *
--- a/libgooseberry/pool/pace.c
+++ b/libgooseberry/pool/pace.c
@@ -25,10 +25,10 @@
 /** Looks at workers wait while the link is busy for longer than this: a new
  * owner asks all workers at once, and what members ask it meanwhile must be
  * answered well before its silence is suspected (0.9 s). */
-#define PACE_LOOKS_MOST (200 * GB_MSEC)
+#define PACE_HEARTBEATS_MOST (200 * GB_MSEC)
 /** A look at a worker is put off by this many times as long as the link is
  * busy: ends are told in fewer, longer answers. */
-#define PACE_LOOKS 2
+#define PACE_HEARTBEATS 2
 /** Answers to first looks take the link for this long, each with a connection
  * and a few runs. */
 #define PACE_FIRST_TIME (150 * GB_MSEC)
@@ -69,13 +69,13 @@
 }
 
 bool
-pool_pace_looks(const struct gb_pool *pool)
+pool_pace_may_send_heartbeat(const struct gb_pool *pool)
 {
-	return pace_link(pool).queued <= PACE_LOOKS_MOST;
+	return pace_link(pool).queued <= PACE_HEARTBEATS_MOST;
 }
 
 uint32_t
-pool_pace_first(const struct gb_pool *pool)
+pool_pace_first_heartbeats(const struct gb_pool *pool)
 {
 	uint64_t rate = pool_pace_rate(pool);
 	uint64_t most = rate * PACE_FIRST_TIME / GB_SEC / PACE_FIRST_BYTES;
@@ -86,9 +86,9 @@
 }
 
 gb_time
-pool_pace_look(const struct gb_pool *pool, gb_time pause)
+pool_pace_heartbeat_delay(const struct gb_pool *pool, gb_time pause)
 {
-	return pause + PACE_LOOKS * pace_link(pool).queued;
+	return pause + PACE_HEARTBEATS * pace_link(pool).queued;
 }
 
 uint64_t
--- a/libgooseberry/pool/pool.c
+++ b/libgooseberry/pool/pool.c
@@ -438,7 +438,7 @@
 }
 
 void
-gb_pool_hold_done(struct gb_pool *pool, gb_time now, uint64_t id,
+gb_pool_heartbeat_done(struct gb_pool *pool, gb_time now, uint64_t id,
     const struct gb_pool_report *report)
 {
 	struct pool_call *call = pool_call_take(pool, id);
@@ -446,7 +446,7 @@
 	pool->now = now;
 	if (call == NULL)
 		return;
-	pool_worker_hold_done(pool, call, report);
+	pool_worker_heartbeat_done(pool, call, report);
 	free(call);
 }
 
--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -362,7 +362,7 @@
 	    res->status == GB_POOL_ORDER_OLD) {
 		run->stopped = pool->now;
 		run->state = POOL_RUN_STOPPING;
-		if (run->worker->hold_call == 0)
-			run->worker->hold_at = pool->now;
+		if (run->worker->heartbeat_call == 0)
+			run->worker->heartbeat_at = pool->now;
 	}
 }
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -265,9 +265,9 @@
 	uint32_t recording; /**< the same of the sets that are being written */
 	bool foreign;	    /**< runs something whose size is unknown */
 	gb_time reported;   /**< when the newest hold with an answer was sent */
-	uint64_t hold_call;
-	gb_time hold_sent;
-	gb_time hold_at;	/**< next hold */
+	uint64_t heartbeat_call;
+	gb_time heartbeat_sent;
+	gb_time heartbeat_at;	/**< next hold */
 	gb_time answered;	/**< last hold that was answered */
 	unsigned int silent;	/**< holds without answer in a row */
 	unsigned int questions; /**< answers in a row to mere questions */
@@ -390,7 +390,7 @@
 enum pool_call_kind {
 	POOL_CALL_RUN_START,
 	POOL_CALL_RUN_STOP,
-	POOL_CALL_HOLD,
+	POOL_CALL_HEARTBEAT,
 	POOL_CALL_PART,	      /**< transaction of the writer */
 	POOL_CALL_PROBE,      /**< a look whether the store answers */
 	POOL_CALL_OWNER_READ, /**< of an owner's row */
@@ -484,11 +484,11 @@
 	struct pool_worker **workers;
 	uint32_t worker_count;
 	uint32_t worker_size;
-	gb_time answer_lost;  /**< when a worker last came back that had not
-				   been away, 0: never */
-	uint32_t first_looks; /**< first looks at workers that are out */
-	uint32_t tick_from;   /**< worker that the next tick begins with */
-	bool listed;	      /**< the list of workers has been read */
+	gb_time answer_lost; /**< when a worker last came back that had not
+				  been away, 0: never */
+	uint32_t first_heartbeats; /**< first looks at workers that are out */
+	uint32_t tick_from;	   /**< worker that the next tick begins with */
+	bool listed;		   /**< the list of workers has been read */
 	/* Advice */
 	struct pool_lane *lanes;
 	size_t lane_count;
@@ -588,11 +588,11 @@
 bool pool_pace_starts(const struct gb_pool *);
 bool pool_pace_advice(const struct gb_pool *);
 /** Whether the link takes a look at a worker. */
-bool pool_pace_looks(const struct gb_pool *);
+bool pool_pace_may_send_heartbeat(const struct gb_pool *);
 /** First looks at workers that may be out: they are all answered at once. */
-uint32_t pool_pace_first(const struct gb_pool *);
+uint32_t pool_pace_first_heartbeats(const struct gb_pool *);
 /** Pause before the next look at a worker. */
-gb_time pool_pace_look(const struct gb_pool *, gb_time pause);
+gb_time pool_pace_heartbeat_delay(const struct gb_pool *, gb_time pause);
 /** Bytes a second that the link carries, 0: it does not matter. */
 uint64_t pool_pace_rate(const struct gb_pool *);
 /** Bytes that starting tasks of a flow takes. */
@@ -785,7 +785,7 @@
     const struct gb_pool_order_res *);
 void pool_run_stop_done(struct gb_pool *, const struct pool_call *,
     const struct gb_pool_order_res *);
-void pool_worker_hold_done(
+void pool_worker_heartbeat_done(
     struct gb_pool *, const struct pool_call *, const struct gb_pool_report *);
 
 /* health.c */
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -20,35 +20,35 @@
 #define LEASE_MOST (3500 * GB_MSEC)
 /** Longest wait of a hold for an end: of a worker with work, so that progress
  * is seen and a lost answer is missed soon, and without. */
-#define HOLD_WAIT_BUSY (400 * GB_MSEC)
-#define HOLD_WAIT_IDLE (1800 * GB_MSEC)
+#define HEARTBEAT_WAIT_BUSY (400 * GB_MSEC)
+#define HEARTBEAT_WAIT_IDLE (1800 * GB_MSEC)
 /** Where answers of workers were lost lately, a hold of one with work ends this
  * much after the next run is expected to, but is no shorter than the least. */
-#define HOLD_PAST_END (60 * GB_MSEC)
-#define HOLD_WAIT_LEAST (150 * GB_MSEC)
+#define HEARTBEAT_PAST_END (60 * GB_MSEC)
+#define HEARTBEAT_WAIT_LEAST (150 * GB_MSEC)
 /** Answers that are lost come in spells of some seconds. */
-#define HOLD_LOST_LATELY (5 * GB_SEC)
+#define HEARTBEAT_LOST_LATELY (5 * GB_SEC)
 /** Pause after a hold that told of ends: gathers the next ones, because each
  * look at a worker is paid for, and lets the store confirm these, since the
  * worker answers at once as long as one is not acknowledged. */
-#define HOLD_GAP (60 * GB_MSEC)
+#define HEARTBEAT_GAP (60 * GB_MSEC)
 /** Where workers are asked in turn, a busy one waits this much, in
  * microseconds, for each worker there is, which bounds the calls of all. */
-#define HOLD_TURN 250
+#define HEARTBEAT_TURNAROUND 250
 /** Pause after a hold without answer, times the number of those before it: the
  * first is asked again at once, since ends may wait behind a lost answer. */
-#define HOLD_RETRY (100 * GB_MSEC)
-#define HOLD_RETRY_MOST (800 * GB_MSEC)
+#define HEARTBEAT_RETRY (100 * GB_MSEC)
+#define HEARTBEAT_RETRY_MOST (800 * GB_MSEC)
 /** Holds without answer in a row after which the lease is left to lapse. */
-#define HOLD_RENEW_TRIES 2
+#define HEARTBEAT_RENEW_TRIES 2
 /** A worker that answered so short a time ago has not started again since. */
-#define HOLD_PROOF (20 * GB_MSEC)
+#define HEARTBEAT_PROOF (20 * GB_MSEC)
 /** Answers to mere questions in a row after which that is not waited for:
  * connections to the worker may never stand for two calls. */
-#define HOLD_QUESTIONS 2
+#define HEARTBEAT_QUESTIONS 2
 /** A worker that is not listed is asked this often before it is left alone: its
  * entry may come back for 2 s after an outage of the store. */
-#define HOLD_UNLISTED_TRIES 8
+#define HEARTBEAT_UNLISTED_TRIES 8
 
 struct pool_worker *
 pool_worker_get(const struct gb_pool *pool, uint32_t handle)
@@ -185,9 +185,10 @@
 		pool_incarnation_fence(worker);
 		pool_crash_worker_missed(pool, worker);
 	}
-	pause = HOLD_RETRY * (gb_time)(worker->silent - 1);
-	worker->hold_at =
-	    pool->now + (pause < HOLD_RETRY_MOST ? pause : HOLD_RETRY_MOST);
+	pause = HEARTBEAT_RETRY * (gb_time)(worker->silent - 1);
+	worker->heartbeat_at =
+	    pool->now +
+	    (pause < HEARTBEAT_RETRY_MOST ? pause : HEARTBEAT_RETRY_MOST);
 	if (worker->silent == 1)
 		gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "worker_silent",
 		    "{s:s, s:I, s:I}", "worker", worker->entry.id, "runs",
@@ -198,7 +199,7 @@
 /** A hold that waits keeps a connection, and orders need another: with many
  * workers there are not enough for both, and they are asked in turn. */
 static bool
-holds_are_short(const struct gb_pool *pool)
+heartbeats_are_short(const struct gb_pool *pool)
 {
 	return pool->cfg.limits.connections > 0 &&
 	       pool->worker_count * 2 > pool->cfg.limits.connections;
@@ -206,26 +207,27 @@
 
 /** Pause after a hold that was answered. */
 static gb_time
-hold_pause(
+heartbeat_pause(
     const struct gb_pool *pool, const struct pool_worker *worker, size_t ended)
 {
-	if (holds_are_short(pool))
+	if (heartbeats_are_short(pool))
 		return worker->run_count > 0
-			   ? HOLD_TURN * (gb_time)pool->worker_count
-			   : HOLD_WAIT_IDLE;
-	return pool_pace_look(pool, ended == 0 ? GB_MSEC : HOLD_GAP);
+			   ? HEARTBEAT_TURNAROUND * (gb_time)pool->worker_count
+			   : HEARTBEAT_WAIT_IDLE;
+	return pool_pace_heartbeat_delay(
+	    pool, ended == 0 ? GB_MSEC : HEARTBEAT_GAP);
 }
 
 void
-pool_worker_hold_done(struct gb_pool *pool, const struct pool_call *call,
+pool_worker_heartbeat_done(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_report *report)
 {
 	struct pool_worker *worker = pool_worker_get(pool, call->worker);
 
-	pool->first_looks -= call->first;
-	if (worker == NULL || worker->hold_call != call->id)
+	pool->first_heartbeats -= call->first;
+	if (worker == NULL || worker->heartbeat_call != call->id)
 		return;
-	worker->hold_call = 0;
+	worker->heartbeat_call = 0;
 	if (worker->over)
 		return;
 	if (report == NULL || report->status == GB_POOL_ORDER_LOST ||
@@ -237,7 +239,7 @@
 		return;
 	if (report->status == GB_POOL_ORDER_REBORN &&
 	    call->sent <= worker->incarnation_since) {
-		worker->hold_at = pool->now;
+		worker->heartbeat_at = pool->now;
 		return;
 	}
 	if (report->status == GB_POOL_ORDER_REBORN) {
@@ -265,65 +267,66 @@
 	worker->fenced = true;
 	worker->reported = call->sent;
 	worker->questions = report->question ? worker->questions + 1 : 0;
-	worker->hold_at =
-	    pool->now +
-	    (report->question ? 0
-			      : hold_pause(pool, worker, report->ended_count));
+	worker->heartbeat_at =
+	    pool->now + (report->question ? 0
+					  : heartbeat_pause(pool, worker,
+						report->ended_count));
 }
 
 /** How long a hold may wait for an end. */
 static gb_time
-hold_wait(const struct gb_pool *pool, const struct pool_worker *worker)
+heartbeat_wait(const struct gb_pool *pool, const struct pool_worker *worker)
 {
-	gb_time wait = HOLD_WAIT_BUSY;
+	gb_time wait = HEARTBEAT_WAIT_BUSY;
 	const struct pool_run *run;
 	gb_time left;
 
 	if (worker->run_count == 0)
-		return HOLD_WAIT_IDLE;
+		return HEARTBEAT_WAIT_IDLE;
 	if (pool->answer_lost == 0 ||
-	    pool->now - pool->answer_lost > HOLD_LOST_LATELY)
+	    pool->now - pool->answer_lost > HEARTBEAT_LOST_LATELY)
 		return wait;
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		left = pool_book_run_left(pool, run) + HOLD_PAST_END;
+		left = pool_book_run_left(pool, run) + HEARTBEAT_PAST_END;
 		if (left < wait)
 			wait = left;
 	}
-	return wait > HOLD_WAIT_LEAST ? wait : HOLD_WAIT_LEAST;
+	return wait > HEARTBEAT_WAIT_LEAST ? wait : HEARTBEAT_WAIT_LEAST;
 }
 
 static void
-worker_hold(struct gb_pool *pool, struct pool_worker *worker)
+worker_heartbeat(struct gb_pool *pool, struct pool_worker *worker)
 {
-	struct pool_call *call = pool_call_new(pool, POOL_CALL_HOLD);
-	struct gb_pool_hold hold = {0};
+	struct pool_call *call = pool_call_new(pool, POOL_CALL_HEARTBEAT);
+	struct gb_pool_heartbeat heartbeat = {0};
 
 	pool_report_ack(pool, worker);
 	call->worker = worker->handle;
 	call->first = !worker->fenced;
-	pool->first_looks += call->first;
-	worker->hold_call = call->id;
-	worker->hold_sent = pool->now;
-	hold.worker = worker->entry.id;
-	hold.addr = worker->entry.addr;
-	hold.token = pool_incarnation_token(pool, worker);
+	pool->first_heartbeats += call->first;
+	worker->heartbeat_call = call->id;
+	worker->heartbeat_sent = pool->now;
+	heartbeat.worker = worker->entry.id;
+	heartbeat.addr = worker->entry.addr;
+	heartbeat.token = pool_incarnation_token(pool, worker);
 	/* A hold without answer may still renew the lease: a worker that stays
 	 * silent is asked without doing so, or its runs would never lapse. */
-	if (worker->silent < HOLD_RENEW_TRIES)
-		hold.lease_end_ms = pool_worker_lease(pool, worker, NULL);
-	hold.cursor = worker->acked;
-	hold.incarnation = worker->incarnation;
-	hold.confirmed = pool_incarnation_confirmed(worker) &&
-			 (pool->now - worker->answered <= HOLD_PROOF ||
-			     worker->questions >= HOLD_QUESTIONS);
-	call->token = hold.token;
-	call->lease = hold.lease_end_ms != 0;
+	if (worker->silent < HEARTBEAT_RENEW_TRIES)
+		heartbeat.lease_end_ms = pool_worker_lease(pool, worker, NULL);
+	heartbeat.cursor = worker->acked;
+	heartbeat.incarnation = worker->incarnation;
+	heartbeat.confirmed =
+	    pool_incarnation_confirmed(worker) &&
+	    (pool->now - worker->answered <= HEARTBEAT_PROOF ||
+		worker->questions >= HEARTBEAT_QUESTIONS);
+	call->token = heartbeat.token;
+	call->lease = heartbeat.lease_end_ms != 0;
 	if (worker->fenced && worker->silent == 0 && !worker->maybe_restarted &&
-	    !holds_are_short(pool))
-		hold.wait_us = hold_wait(pool, worker);
-	pool->stats.holds++;
-	pool->ops.hold(pool->ops.data, call->id, &hold);
+	    !heartbeats_are_short(pool))
+		heartbeat.wait_us = heartbeat_wait(pool, worker);
+	pool->stats.heartbeats++;
+	pool->ops.heartbeat(pool->ops.data, call->id, &heartbeat);
 }
 
 static void
@@ -352,7 +355,7 @@
 	    !STAILQ_EMPTY(&worker->losses))
 		return true;
 	return (worker->fenced || worker->recorded != 0) &&
-	       (worker->silent < HOLD_UNLISTED_TRIES ||
+	       (worker->silent < HEARTBEAT_UNLISTED_TRIES ||
 		   !pool_owner_settled(pool));
 }
 
@@ -368,13 +371,14 @@
 	if (worker->silent > 0 && worker->run_count > 0 &&
 	    worker->lapse_at < pool->now)
 		worker_runs_drop(pool, worker, "its lease has lapsed");
-	if (worker->hold_call != 0 || worker->hold_at > pool->now ||
+	if (worker->heartbeat_call != 0 || worker->heartbeat_at > pool->now ||
 	    !worker_held(pool, worker))
 		return true;
-	if (!pool_pace_looks(pool) ||
-	    (!worker->fenced && pool->first_looks >= pool_pace_first(pool)))
+	if (!pool_pace_may_send_heartbeat(pool) ||
+	    (!worker->fenced &&
+		pool->first_heartbeats >= pool_pace_first_heartbeats(pool)))
 		return false;
-	worker_hold(pool, worker);
+	worker_heartbeat(pool, worker);
 	return true;
 }
 
@@ -424,7 +428,7 @@
 {
 	uint32_t i;
 
-	pool->first_looks = 0;
+	pool->first_heartbeats = 0;
 	for (i = 0; i < pool->worker_count; i++) {
 		struct pool_worker *worker = pool->workers[i];
 
@@ -440,8 +444,8 @@
 		worker->recorded = 0;
 		worker->recording = 0;
 		worker->reported = 0;
-		worker->hold_call = 0;
-		worker->hold_at = 0;
+		worker->heartbeat_call = 0;
+		worker->heartbeat_at = 0;
 		worker->silent = 0;
 		worker->seen = 0;
 		worker->acked = 0;
--- a/libgooseberry/process/link.c
+++ b/libgooseberry/process/link.c
@@ -114,7 +114,7 @@
 	static const char *const names[GB_TRAFFIC_RPC] = {
 	    [GB_TRAFFIC_START] = "start",
 	    [GB_TRAFFIC_STOP] = "stop",
-	    [GB_TRAFFIC_HOLD] = "hold",
+	    [GB_TRAFFIC_HEARTBEAT] = "hold",
 	    [GB_TRAFFIC_ADVICE] = "advice",
 	    [GB_TRAFFIC_STORE_WRITE] = "store_write",
 	    [GB_TRAFFIC_STORE_READ] = "store_read",
--- a/standin/emulator.c
+++ b/standin/emulator.c
@@ -341,7 +341,7 @@
 
 /** Tasks take workers down, which come back by themselves. */
 static void
-workers_look(struct emulator *emu)
+workers_poll(struct emulator *emu)
 {
 	unsigned int i;
 
@@ -362,7 +362,7 @@
 	struct emulator *emu = timer->data;
 
 	world_tick(emu->world, emu_now(emu));
-	workers_look(emu);
+	workers_poll(emu);
 	emu_worker_tick(emu);
 	if (ticks++ % LIST_EVERY_TICKS == 0)
 		emu_worker_list(emu);
--- a/standin/emulator_worker.c
+++ b/standin/emulator_worker.c
@@ -18,19 +18,19 @@
 #define WAIT_MOST_MS 2000
 
 /** A hold that waits for an end. */
-struct waiting_hold {
-	TAILQ_ENTRY(waiting_hold) next;
+struct waiting_heartbeat {
+	TAILQ_ENTRY(waiting_heartbeat) next;
 	struct emu_worker *worker;
 	struct http_call *call;
 	char lifetime[GB_NAME_MAX + 1];
-	struct gb_pool_hold hold;
+	struct gb_pool_heartbeat heartbeat;
 	gb_time deadline;
 	unsigned int process; /**< that has taken it in */
 };
 
-TAILQ_HEAD(hold_list, waiting_hold);
+TAILQ_HEAD(heartbeat_list, waiting_heartbeat);
 
-static struct hold_list holds = TAILQ_HEAD_INITIALIZER(holds);
+static struct heartbeat_list heartbeats = TAILQ_HEAD_INITIALIZER(heartbeats);
 
 /* Orders ------------------------------------------------------------------ */
 
@@ -181,7 +181,7 @@
 }
 
 static void
-hold_answer(struct http_call *call, const struct gb_pool_report *report)
+heartbeat_answer(struct http_call *call, const struct gb_pool_report *report)
 {
 	const struct gb_pool_order_res res = {
 	    .status = report->status, .clock_ms = report->clock_ms};
@@ -223,27 +223,27 @@
 
 /** Answer a hold if there is something to tell or nothing to wait for. */
 static bool
-hold_try(struct emulator *emu, struct waiting_hold *wait)
+heartbeat_try(struct emulator *emu, struct waiting_heartbeat *wait)
 {
 	struct gb_pool_report report;
 	char addr[GB_NAME_MAX + 1];
 	bool answer;
 
 	worker_addr(wait->worker->number, addr, sizeof(addr));
-	wait->hold.worker = wait->lifetime;
-	wait->hold.addr = addr;
+	wait->heartbeat.worker = wait->lifetime;
+	wait->heartbeat.addr = addr;
 	/* The process that took it in has gone, and its connections with it:
 	 * nobody answers. */
 	if (wait->process != world_worker_process(emu->world, addr))
 		return true;
-	world_hold(emu->world, &wait->hold, &report);
+	world_heartbeat(emu->world, &wait->heartbeat, &report);
 	/* These counted when the call came. */
-	wait->hold.lease_end_ms = 0;
-	wait->hold.cursor = 0;
+	wait->heartbeat.lease_end_ms = 0;
+	wait->heartbeat.cursor = 0;
 	answer = report.status != GB_POOL_ORDER_DONE ||
 		 report.ended_count > 0 || wait->deadline <= emu_now(emu);
 	if (answer)
-		hold_answer(wait->call, &report);
+		heartbeat_answer(wait->call, &report);
 	world_report_free(&report);
 	return answer;
 }
@@ -253,7 +253,7 @@
     struct emulator *emu, struct emu_worker *worker, struct http_call *call)
 {
 	json_t *root = json_loadb(call->body, call->body_len, 0, NULL);
-	struct waiting_hold *wait = gb_calloc(1, sizeof(*wait));
+	struct waiting_heartbeat *wait = gb_calloc(1, sizeof(*wait));
 	char addr[GB_NAME_MAX + 1];
 	int64_t ms = plat_json_int(root, "WaitMs");
 
@@ -261,30 +261,30 @@
 	wait->call = call;
 	http_call_header(call, "x-gooseberrycart-target-instance",
 	    wait->lifetime, sizeof(wait->lifetime));
-	wait->hold.token = (uint64_t)plat_json_int(root, "FencingToken");
-	wait->hold.cursor = (uint64_t)plat_json_int(root, "AckCursor");
-	wait->hold.lease_end_ms = plat_json_int(root, "DeadlineMs");
+	wait->heartbeat.token = (uint64_t)plat_json_int(root, "FencingToken");
+	wait->heartbeat.cursor = (uint64_t)plat_json_int(root, "AckCursor");
+	wait->heartbeat.lease_end_ms = plat_json_int(root, "DeadlineMs");
 	wait->deadline =
 	    emu_now(emu) + (ms < WAIT_MOST_MS ? ms : WAIT_MOST_MS) * GB_MSEC;
 	json_decref(root);
 	worker_addr(worker->number, addr, sizeof(addr));
 	wait->process = world_worker_process(emu->world, addr);
-	if (hold_try(emu, wait))
+	if (heartbeat_try(emu, wait))
 		free(wait);
 	else
-		TAILQ_INSERT_TAIL(&holds, wait, next);
+		TAILQ_INSERT_TAIL(&heartbeats, wait, next);
 }
 
 void
 emu_worker_tick(struct emulator *emu)
 {
-	struct waiting_hold *wait = TAILQ_FIRST(&holds);
+	struct waiting_heartbeat *wait = TAILQ_FIRST(&heartbeats);
 
 	while (wait != NULL) {
-		struct waiting_hold *next = TAILQ_NEXT(wait, next);
+		struct waiting_heartbeat *next = TAILQ_NEXT(wait, next);
 
-		if (hold_try(emu, wait)) {
-			TAILQ_REMOVE(&holds, wait, next);
+		if (heartbeat_try(emu, wait)) {
+			TAILQ_REMOVE(&heartbeats, wait, next);
 			free(wait);
 		}
 		wait = next;
--- a/standin/world.c
+++ b/standin/world.c
@@ -702,22 +702,22 @@
 }
 
 void
-world_hold(struct world *world, const struct gb_pool_hold *hold,
+world_heartbeat(struct world *world, const struct gb_pool_heartbeat *heartbeat,
     struct gb_pool_report *report)
 {
-	struct world_worker *worker = worker_at(world, hold->addr);
+	struct world_worker *worker = worker_at(world, heartbeat->addr);
 	const struct world_run *run;
 	const struct world_end *end;
 	unsigned int ends = 0;
 
 	memset(report, 0, sizeof(*report));
-	if (!order_accept(world, worker, hold->worker, hold->token,
+	if (!order_accept(world, worker, heartbeat->worker, heartbeat->token,
 		&report->status, &report->clock_ms))
 		return;
 	report->status = GB_POOL_ORDER_DONE;
 	report->incarnation = world->reports_untold ? 0 : worker->born_ms;
-	lease_renew(world, worker, hold->lease_end_ms);
-	ends_forget(world, worker, hold->cursor);
+	lease_renew(world, worker, heartbeat->lease_end_ms);
+	ends_forget(world, worker, heartbeat->cursor);
 	TAILQ_FOREACH(run, &worker->runs, next)
 	{
 		report->running_count++;
--- a/standin/world.h
+++ b/standin/world.h
@@ -84,8 +84,8 @@
 void world_stop(
     struct world *, const struct gb_pool_order *, struct gb_pool_order_res *);
 /** The report is freed with world_report_free. */
-void world_hold(
-    struct world *, const struct gb_pool_hold *, struct gb_pool_report *);
+void world_heartbeat(
+    struct world *, const struct gb_pool_heartbeat *, struct gb_pool_report *);
 void world_report_free(struct gb_pool_report *);
 
 /** Tell the oracle what was submitted: what runs is compared with it. */
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -24,7 +24,7 @@
  * was quick before. */
 #define CELL_READ_TIMEOUT (400 * GB_MSEC)
 #define CELL_TIMEOUT (300 * GB_MSEC)
-#define CELL_HOLD_MARGIN (200 * GB_MSEC)
+#define CELL_HEARTBEAT_MARGIN (200 * GB_MSEC)
 #define CELL_LATE (2 * GB_SEC)
 #define CELL_LIST (500 * GB_MSEC)
 #define CELL_RARE (100 * GB_MSEC)
@@ -37,7 +37,7 @@
 enum event_kind {
 	EVENT_START,
 	EVENT_STOP,
-	EVENT_HOLD,
+	EVENT_HEARTBEAT,
 	EVENT_ADVISE,
 	EVENT_TXN,
 	EVENT_READ,
@@ -55,7 +55,7 @@
 	uint64_t call; /**< 0: nobody waits for the answer */
 	gb_time expires;
 	struct gb_pool_order order;
-	struct gb_pool_hold hold;
+	struct gb_pool_heartbeat heartbeat;
 	gb_advice_ask ask;
 	struct gb_pool_txn txn;
 	struct gb_pool_read read;
@@ -131,8 +131,8 @@
 	free((char *)event->order.spec);
 	free((char *)event->order.checkpoint);
 	free((char *)event->order.ticket);
-	free((char *)event->hold.worker);
-	free((char *)event->hold.addr);
+	free((char *)event->heartbeat.worker);
+	free((char *)event->heartbeat.addr);
 	free((char *)event->read.from);
 	free((char *)event->read.to);
 	for (i = 0; i < event->txn.cond_count; i++) {
@@ -199,31 +199,33 @@
 }
 
 static struct pool_event *
-hold_add(const struct cell_node *from, uint64_t call,
-    const struct gb_pool_hold *hold, gb_time after)
+heartbeat_add(const struct cell_node *from, uint64_t call,
+    const struct gb_pool_heartbeat *heartbeat, gb_time after)
 {
-	struct pool_event *event = event_add(from, EVENT_HOLD, call, after);
+	struct pool_event *event =
+	    event_add(from, EVENT_HEARTBEAT, call, after);
 
-	event->hold = *hold;
-	event->hold.worker = copy(hold->worker);
-	event->hold.addr = copy(hold->addr);
-	event->expires = event->due + hold->wait_us;
+	event->heartbeat = *heartbeat;
+	event->heartbeat.worker = copy(heartbeat->worker);
+	event->heartbeat.addr = copy(heartbeat->addr);
+	event->expires = event->due + heartbeat->wait_us;
 	return event;
 }
 
 static void
-op_hold(void *data, uint64_t call, const struct gb_pool_hold *hold)
+op_heartbeat(
+    void *data, uint64_t call, const struct gb_pool_heartbeat *heartbeat)
 {
 	const struct cell_node *from = data;
 	struct pool_cell *cell = from->cell;
 	gb_time travel =
-	    link_wait(from, GB_TRAFFIC_HOLD, CELL_HEAD) + 2 * CELL_WIRE;
-	bool late =
-	    cell->faults.hold_late > 0 && chance(cell, cell->faults.hold_late);
+	    link_wait(from, GB_TRAFFIC_HEARTBEAT, CELL_HEAD) + 2 * CELL_WIRE;
+	bool late = cell->faults.heartbeat_late > 0 &&
+		    chance(cell, cell->faults.heartbeat_late);
 
 	if (late)
-		hold_add(from, 0, hold, travel + CELL_LATE);
-	hold_add(from, call, hold, travel)->silent = late;
+		heartbeat_add(from, 0, heartbeat, travel + CELL_LATE);
+	heartbeat_add(from, call, heartbeat, travel)->silent = late;
 }
 
 static void
@@ -437,13 +439,13 @@
 /** The answer of a hold was lost: it is given up some time after its wait.
  * False when the event stays. */
 static bool
-event_hold_silent(struct pool_cell *cell, const struct pool_event *event)
+event_heartbeat_silent(struct pool_cell *cell, const struct pool_event *event)
 {
 	const struct gb_pool_report lost = {.status = GB_POOL_ORDER_LOST};
 
-	if (cell->now < event->expires + CELL_HOLD_MARGIN)
+	if (cell->now < event->expires + CELL_HEARTBEAT_MARGIN)
 		return false;
-	gb_pool_hold_done(
+	gb_pool_heartbeat_done(
 	    event_pool(cell, event), cell->now, event->call, &lost);
 	return true;
 }
@@ -457,7 +459,7 @@
 
 	for (i = 0; i + 1 < count; i++) {
 		if (strcmp(world_worker_addr(cell->world, i),
-			event->hold.addr) == 0)
+			event->heartbeat.addr) == 0)
 			break;
 	}
 	return &cell->known[event->node][i % CELL_KNOWN];
@@ -466,76 +468,76 @@
 /** Over a new connection the worker is only asked, unless it answered just now.
  */
 static void
-hold_connect(const struct pool_cell *cell, struct pool_event *event)
+heartbeat_connect(const struct pool_cell *cell, struct pool_event *event)
 {
-	event->question = event->hold.incarnation != 0 &&
-			  !event->hold.confirmed &&
+	event->question = event->heartbeat.incarnation != 0 &&
+			  !event->heartbeat.confirmed &&
 			  *known_process(cell, event) != event->process;
 	if (!event->question)
 		return;
-	event->hold.cursor = 0;
-	event->hold.lease_end_ms = 0;
-	event->hold.wait_us = 0;
+	event->heartbeat.cursor = 0;
+	event->heartbeat.lease_end_ms = 0;
+	event->heartbeat.wait_us = 0;
 	event->expires = cell->now;
 }
 
 /** What the worker says to a hold; the connection ends with the process that
  * has taken it in. */
 static void
-hold_receive(const struct pool_cell *cell, struct pool_event *event,
+heartbeat_receive(const struct pool_cell *cell, struct pool_event *event,
     struct gb_pool_report *report)
 {
 	unsigned int process =
-	    world_worker_process(cell->world, event->hold.addr);
+	    world_worker_process(cell->world, event->heartbeat.addr);
 
 	if (event->process == 0) {
 		event->process = process;
-		hold_connect(cell, event);
+		heartbeat_connect(cell, event);
 	}
 	if (event->process != process) {
 		memset(report, 0, sizeof(*report));
 		report->status = GB_POOL_ORDER_LOST;
 		return;
 	}
-	world_hold(cell->world, &event->hold, report);
+	world_heartbeat(cell->world, &event->heartbeat, report);
 	report->question = event->question;
 	/* They count when the hold comes, not while it waits. */
-	event->hold.cursor = 0;
-	event->hold.lease_end_ms = 0;
+	event->heartbeat.cursor = 0;
+	event->heartbeat.lease_end_ms = 0;
 	if (report->status == GB_POOL_ORDER_DONE && !cell->closes)
 		*known_process(cell, event) = process;
 }
 
 /** False when the hold waits on. */
 static bool
-event_hold(struct pool_cell *cell, struct pool_event *event)
+event_heartbeat(struct pool_cell *cell, struct pool_event *event)
 {
 	struct gb_pool *pool = event_pool(cell, event);
 	struct gb_pool_report report;
 	bool wait;
 
 	if (event->call == 0) {
-		world_hold(cell->world, &event->hold, &report);
+		world_heartbeat(cell->world, &event->heartbeat, &report);
 		world_report_free(&report);
 		return true;
 	}
 	if (pool == NULL)
 		return true;
 	if (event->silent)
-		return event_hold_silent(cell, event);
-	hold_receive(cell, event, &report);
+		return event_heartbeat_silent(cell, event);
+	heartbeat_receive(cell, event, &report);
 	wait = report.status == GB_POOL_ORDER_DONE && report.ended_count == 0 &&
 	       cell->now < event->expires;
-	if (!wait && chance(cell, cell->faults.hold_lost))
+	if (!wait && chance(cell, cell->faults.heartbeat_lost))
 		report.status = GB_POOL_ORDER_LOST;
-	event->silent = !wait && cell->faults.hold_silent > 0 &&
-			chance(cell, cell->faults.hold_silent);
+	event->silent = !wait && cell->faults.heartbeat_silent > 0 &&
+			chance(cell, cell->faults.heartbeat_silent);
 	event->silent =
 	    event->silent ||
 	    (cell->faults.workers_dark && report.status == GB_POOL_ORDER_LOST);
 	wait = wait || event->silent;
 	if (!wait)
-		gb_pool_hold_done(pool, cell->now, event->call, &report);
+		gb_pool_heartbeat_done(pool, cell->now, event->call, &report);
 	world_report_free(&report);
 	return !wait;
 }
@@ -628,8 +630,8 @@
 	case EVENT_STOP:
 		event_order(cell, event);
 		return true;
-	case EVENT_HOLD:
-		return event_hold(cell, event);
+	case EVENT_HEARTBEAT:
+		return event_heartbeat(cell, event);
 	case EVENT_ADVISE:
 		event_advise(cell, event);
 		return true;
@@ -662,7 +664,7 @@
 			cell->events[i].silent = event.silent;
 			cell->events[i].process = event.process;
 			cell->events[i].question = event.question;
-			cell->events[i].hold = event.hold;
+			cell->events[i].heartbeat = event.heartbeat;
 			continue;
 		}
 		event_clear(&event);
@@ -681,8 +683,9 @@
 static void
 node_start(struct pool_cell *cell, unsigned int node)
 {
-	static const struct gb_pool_ops table = {op_start, op_stop, op_hold,
-	    op_advise, op_txn, op_read, op_answer, op_owner, op_link, NULL};
+	static const struct gb_pool_ops table = {op_start, op_stop,
+	    op_heartbeat, op_advise, op_txn, op_read, op_answer, op_owner,
+	    op_link, NULL};
 	struct gb_pool_settings settings = {0};
 	struct gb_pool_ops ops = table;
 	char name[16];
--- a/tests/pool_cell.h
+++ b/tests/pool_cell.h
@@ -20,11 +20,11 @@
 	unsigned int order_lost;    /**< carried out, no answer */
 	unsigned int order_late;    /**< no answer, carried out 2 s later */
 	unsigned int order_dropped; /**< neither carried out nor answered */
-	unsigned int hold_lost;
-	unsigned int hold_silent; /**< its answer never comes */
-	unsigned int hold_late;	  /**< no answer, carried out 2 s later */
-	unsigned int txn_lost;	  /**< done, no answer */
-	unsigned int txn_late;	  /**< no answer, done 2 s later */
+	unsigned int heartbeat_lost;
+	unsigned int heartbeat_silent; /**< its answer never comes */
+	unsigned int heartbeat_late;   /**< no answer, carried out 2 s later */
+	unsigned int txn_lost;	       /**< done, no answer */
+	unsigned int txn_late;	       /**< no answer, done 2 s later */
 	unsigned int advice_lost;
 	bool workers_dark; /**< workers that are down answer nothing, in place
 			      of resetting connections */
--- a/tests/pool_random.c
+++ b/tests/pool_random.c
@@ -53,7 +53,7 @@
 	if (n / 512 % 3 == 0)
 		world_clock_step(
 		    cell->world, ((gb_time)(n / 2048 % 9) - 4) * GB_SEC);
-	cell->faults.hold_late = (unsigned int)(n / 65536 % 4) * 4;
+	cell->faults.heartbeat_late = (unsigned int)(n / 65536 % 4) * 4;
 	world_worker_restart(cell->world, worker);
 }
 
@@ -97,7 +97,7 @@
 		world_worker_sick(cell->world, worker, n % 5 == 0, n % 7 == 0);
 		break;
 	case 10:
-		cell->faults.hold_lost = n % 5 * 5;
+		cell->faults.heartbeat_lost = n % 5 * 5;
 		break;
 	case 11:
 		cell->faults.parts_down =
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -121,7 +121,7 @@
 	server->answer = answer;
 	server->closes = closes;
 	server_start(loop, server);
-	plat_http_call(http, GB_TRAFFIC_HOLD, server->addr, "GET", "/", "",
+	plat_http_call(http, GB_TRAFFIC_HEARTBEAT, server->addr, "GET", "/", "",
 	    NULL, 0, CALL_TIMEOUT, on_done, &outcome);
 	while (!outcome.done)
 		uv_run(loop, UV_RUN_ONCE);
@@ -269,8 +269,8 @@
 	server.answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
 	server_start(loop, &server);
 	assert_false(plat_http_prefer(http, server.addr, MARK));
-	plat_http_call(http, GB_TRAFFIC_HOLD, server.addr, "GET", "/", "", NULL,
-	    0, CALL_TIMEOUT, on_marked, &outcome);
+	plat_http_call(http, GB_TRAFFIC_HEARTBEAT, server.addr, "GET", "/", "",
+	    NULL, 0, CALL_TIMEOUT, on_marked, &outcome);
 	while (!outcome.done)
 		uv_run(loop, UV_RUN_ONCE);
 	assert_int_equal(outcome.status, 200);
--- a/tests/test_lost_holds.c
+++ b/tests/test_lost_holds.c
@@ -28,7 +28,7 @@
 
 	setup.seed = seed;
 	cell = pool_cell_begin(&setup);
-	cell->faults.hold_silent = 20;
+	cell->faults.heartbeat_silent = 20;
 	for (i = 0; i < LOOKUPS; i++) {
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 40 * GB_MSEC);
--- a/tests/test_lost_holds_seed.c
+++ b/tests/test_lost_holds_seed.c
@@ -25,7 +25,7 @@
 	size_t i;
 
 	(void)state;
-	cell->faults.hold_silent = 20;
+	cell->faults.heartbeat_silent = 20;
 	for (i = 0; i < 100; i++) {
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 40 * GB_MSEC);
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -117,11 +117,11 @@
 }
 
 static void
-op_hold(void *data, uint64_t id, const struct gb_pool_hold *hold)
+op_heartbeat(void *data, uint64_t id, const struct gb_pool_heartbeat *heartbeat)
 {
 	(void)data;
 	(void)id;
-	(void)hold;
+	(void)heartbeat;
 	fail_msg("there are no workers");
 }
 
@@ -188,8 +188,8 @@
 static struct gb_node *
 node_start(struct cell *cell, unsigned int number)
 {
-	const struct gb_node_platform platform = {op_order, op_order, op_hold,
-	    op_advise, op_txn, op_read, op_follow, config_decode,
+	const struct gb_node_platform platform = {op_order, op_order,
+	    op_heartbeat, op_advise, op_txn, op_read, op_follow, config_decode,
 	    &cell->seats[number]};
 	struct gb_node_settings settings = {0};
 	struct gb_error err = {0};
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -1089,11 +1089,11 @@
 		cell = pool_cell_begin(&setup);
 		submit_without_owner(cell, "lookup", cell->config->version);
 		pool_cell_run(cell, after);
-		cell->faults.hold_lost = 60;
+		cell->faults.heartbeat_lost = 60;
 		pool_cell_take(cell, 1);
 		pool_cell_run(cell, 800 * GB_MSEC);
 		/* For longer, leases lapse over ends that are not seen. */
-		cell->faults.hold_lost = 0;
+		cell->faults.heartbeat_lost = 0;
 		pool_cell_run(cell, 6 * GB_SEC);
 		pool_cell_assert_unharmed(cell);
 		pool_cell_free(cell);
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -209,7 +209,7 @@
 	cell->faults.order_lost = (unsigned int)(seed % 3) * 20;
 	cell->faults.order_late = (unsigned int)(seed % 2) * 20;
 	cell->faults.order_dropped = (unsigned int)(seed % 5) * 10;
-	cell->faults.hold_lost = (unsigned int)(seed % 4) * 10;
+	cell->faults.heartbeat_lost = (unsigned int)(seed % 4) * 10;
 	for (i = 0; i < 5; i++)
 		random_round(cell, i);
 	pool_cell_run(cell, 2 * GB_SEC);
@@ -253,13 +253,13 @@
 		pool_cell_step(cell, 20, 2000, 3 * GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", "ms=3000");
 		pool_cell_run(cell, 500 * GB_MSEC);
-		cell->faults.hold_lost = 60;
+		cell->faults.heartbeat_lost = 60;
 		pool_cell_replace_owner(cell, 1);
 		while (pool_cell_owner(cell) != 1)
 			pool_cell_run(cell, 5 * GB_MSEC);
 		submit_imports(cell, 0);
 		pool_cell_run(cell, 800 * GB_MSEC);
-		cell->faults.hold_lost = 0;
+		cell->faults.heartbeat_lost = 0;
 		pool_cell_run(cell, 20 * GB_SEC);
 		assert_all_done(cell);
 		pool_cell_free(cell);
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -166,10 +166,10 @@
 	lookups(cell, 60);
 	for (i = 0; i < 20; i++) {
 		cell->faults.order_late = orders;
-		cell->faults.hold_late = holds;
+		cell->faults.heartbeat_late = holds;
 		lookups(cell, 20);
 		cell->faults.order_late = 0;
-		cell->faults.hold_late = 0;
+		cell->faults.heartbeat_late = 0;
 		pool_cell_run(cell, GB_SEC);
 		world_worker_restart(cell->world, i % plain.workers);
 		lookups(cell, 12);
--- a/tests/test_world.c
+++ b/tests/test_world.c
@@ -168,7 +168,7 @@
 test_an_end_listed_twice_counts_once(void **state)
 {
 	struct gang_world gang;
-	struct gb_pool_hold hold = {0};
+	struct gb_pool_heartbeat heartbeat = {0};
 	struct gb_pool_report report;
 	struct gb_pool_entry entry;
 	unsigned int i;
@@ -177,11 +177,11 @@
 	gang_world_init(&gang);
 	gang_fail(&gang, 1, 0);
 	world_worker_entry(gang.world, 0, &entry);
-	hold.worker = entry.id;
-	hold.addr = entry.addr;
-	hold.token = 1;
+	heartbeat.worker = entry.id;
+	heartbeat.addr = entry.addr;
+	heartbeat.token = 1;
 	for (i = 0; i < ATTEMPTS; i++) {
-		world_hold(gang.world, &hold, &report);
+		world_heartbeat(gang.world, &heartbeat, &report);
 		assert_int_equal(report.ended_count, 1);
 		world_report_free(&report);
 	}
