--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -109,7 +109,7 @@
 static void
 intake_again(struct intake *in)
 {
-	in->out = false;
+	in->in_flight = false;
 	in->next_try = node_now() + TRY_PAUSE;
 }
 
@@ -163,7 +163,7 @@
 	    gb_pool_part(id), GB_POOL_STATES, id, to, 1, 0};
 
 	snprintf(to, sizeof(to), "%.200s0", id);
-	in->out = true;
+	in->in_flight = true;
 	node->platform.read(
 	    node->platform.data, node_call_new(node, in, NULL, done), &read);
 }
@@ -240,7 +240,7 @@
 		(xdrproc_t)xdr_gb_flow_state, &state, &puts[0].value) ||
 	    !gb_xdr_encode((xdrproc_t)xdr_gb_flow_row, &stored, &puts[1].value))
 		abort(); /* made and checked by this process */
-	in->out = true;
+	in->in_flight = true;
 	node->platform.txn(node->platform.data,
 	    node_call_new(node, in, flow_written, NULL), &txn);
 	free(puts[0].value.gb_body_val);
@@ -415,7 +415,7 @@
 intake_try_store(struct intake *in, gb_time now)
 {
 	if (!budget_takes(in, now)) {
-		in->out = false;
+		in->in_flight = false;
 		intake_give_up(in);
 		return;
 	}
@@ -426,7 +426,7 @@
 	} else if (intake_patient(in)) {
 		intake_again(in);
 	} else {
-		in->out = false;
+		in->in_flight = false;
 		intake_give_up(in);
 	}
 }
@@ -461,7 +461,7 @@
 	bool reads = watch_owner_reads(&node->watch, now);
 
 	in->tries++;
-	in->out = true;
+	in->in_flight = true;
 	if (gb_pool_owns(node->pool)) {
 		intake_local(in);
 	} else if (owner && !silent && !reads && intake_shed(in)) {
@@ -470,7 +470,7 @@
 		intake_remote(in, in->deadline - now);
 	} else if (in->submit != NULL && node_store_out(node)) {
 		/* Neither an owner nor the store: known at once. */
-		in->out = false;
+		in->in_flight = false;
 		intake_give_up(in);
 	} else if (in->submit != NULL &&
 		   (silent || reads || now - in->began >= WRITE_AFTER)) {
@@ -492,9 +492,9 @@
 
 	for (in = TAILQ_FIRST(&node->intakes); in != NULL; in = next) {
 		next = TAILQ_NEXT(in, next);
-		if (in->out && !in->answered && in->deadline <= now)
+		if (in->in_flight && !in->answered && in->deadline <= now)
 			intake_answer_early(in);
-		if (in->out)
+		if (in->in_flight)
 			continue;
 		if (in->answered || in->deadline <= now)
 			intake_give_up(in);
--- a/libgooseberry/node/node_state.h
+++ b/libgooseberry/node/node_state.h
@@ -57,7 +57,7 @@
 	gb_time began;
 	gb_time deadline;
 	gb_time next_try;
-	bool out; /**< a try is out */
+	bool in_flight; /**< a try is out */
 	bool
 	    answered; /**< its caller has its answer; waits for the try's end */
 	bool maybe;   /**< an earlier try may have been carried out */
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -210,7 +210,7 @@
 	call->sent = node_now();
 	snprintf(call->to, sizeof(call->to), "%s", node->watch.owner);
 	hello_fill(node, &hello);
-	node->watch.hello_out = true;
+	node->watch.hello_in_flight = true;
 	sight_hello_sent(node);
 	gb_rpc_client_call(gb_rpc_pool_get(node->peers, node->watch.owner),
 	    GB_PROC_HELLO, &hello, HELLO_TIMEOUT, hello_done, call);
--- a/libgooseberry/node/watch.c
+++ b/libgooseberry/node/watch.c
@@ -150,7 +150,7 @@
 watch_missed(const struct watch *w, gb_time now)
 {
 	return w->missed > 0 ||
-	       (w->hello_out &&
+	       (w->hello_in_flight &&
 		   now - w->hello_at > WATCH_LATE + 2 * w->hello_took);
 }
 
@@ -320,10 +320,10 @@
 	enum watch_action action = WATCH_NOTHING;
 
 	watch_look(w, now);
-	if (!w->read_out)
+	if (!w->read_in_flight)
 		action = watch_decide(w, now);
 	if (action != WATCH_NOTHING || w->vacant || w->owner[0] == '\0' ||
-	    w->hello_out || w->next_hello > now)
+	    w->hello_in_flight || w->next_hello > now)
 		return action;
 	w->hello_at = now;
 	return WATCH_HELLO;
@@ -339,7 +339,7 @@
 watch_reading(struct watch *w, gb_time now)
 {
 	w->read_compared = watch_compares(w, now);
-	w->read_out = true;
+	w->read_in_flight = true;
 	w->read_sent = now;
 }
 
@@ -379,11 +379,11 @@
 {
 	const char *addr = row->addr == NULL ? "" : row->addr;
 
-	if (w->read_out) {
+	if (w->read_in_flight) {
 		w->store_took = now - w->read_sent;
 		w->store_read_at = now;
 	}
-	w->read_out = false;
+	w->read_in_flight = false;
 	w->next_read = now + WATCH_READ_EVERY + w->store_took;
 	if (addr[0] == '\0' || strcmp(addr, w->self) == 0) {
 		w->epoch = row->epoch;
@@ -421,7 +421,7 @@
 void
 watch_row_failed(struct watch *w, gb_time now)
 {
-	w->read_out = false;
+	w->read_in_flight = false;
 	w->store_doubted = false;
 	w->served_since = 0;
 	/* The next read is of another part. */
@@ -432,9 +432,9 @@
 void
 watch_heard(struct watch *w, gb_time now, const struct watch_news *news)
 {
-	if (w->hello_out)
+	if (w->hello_in_flight)
 		w->hello_took = now - w->hello_at;
-	w->hello_out = false;
+	w->hello_in_flight = false;
 	w->next_hello =
 	    now + (news->place.rank < WATCH_DOUBTERS ? WATCH_HELLO_FIRST
 						     : WATCH_HELLO_EVERY);
@@ -467,7 +467,7 @@
 	w->store_doubted = false;
 	w->taking_since = 0;
 	watch_trust(w, now);
-	w->hello_out = false;
+	w->hello_in_flight = false;
 	w->owner_since = now;
 	w->next_hello = now;
 }
@@ -483,14 +483,14 @@
 void
 watch_recheck(struct watch *w, gb_time now)
 {
-	if (!w->hello_out && w->next_hello > now)
+	if (!w->hello_in_flight && w->next_hello > now)
 		w->next_hello = now;
 }
 
 void
 watch_denied(struct watch *w, gb_time now, const char *owner, uint64_t epoch)
 {
-	w->hello_out = false;
+	w->hello_in_flight = false;
 	w->next_hello = now + WATCH_HELLO_EVERY / 2;
 	if (epoch > w->epoch && owner[0] != '\0' &&
 	    strcmp(owner, w->self) != 0) {
@@ -505,7 +505,7 @@
 void
 watch_taking(struct watch *w, gb_time now)
 {
-	w->hello_out = false;
+	w->hello_in_flight = false;
 	w->next_hello = now + WATCH_HELLO_EVERY / 4;
 	if (w->taking_since == 0)
 		w->taking_since = now;
@@ -515,7 +515,7 @@
 void
 watch_unheard(struct watch *w, gb_time now, bool refused)
 {
-	w->hello_out = false;
+	w->hello_in_flight = false;
 	/* The first is followed at once by another, over a new connection if
 	 * the one before has gone silent. */
 	w->next_hello = now;
@@ -565,6 +565,6 @@
 	w->store_doubted = false;
 	w->owner[0] = '\0';
 	watch_trust(w, now);
-	w->hello_out = false;
+	w->hello_in_flight = false;
 	w->next_read = now + watch_spread(w) + pause;
 }
--- a/libgooseberry/node/watch.h
+++ b/libgooseberry/node/watch.h
@@ -45,9 +45,9 @@
 	gb_time owner_since;	/**< this node knows of this owner */
 	bool vacant;		/**< nobody owns the pool */
 	enum watch_cause cause; /**< why it was found vacant last */
-	bool read_out;
+	bool read_in_flight;
 	bool read_compared; /**< its part is one that the owner renews */
-	bool hello_out;
+	bool hello_in_flight;
 	gb_time next_read;
 	gb_time read_sent;
 	bool store_doubted; /**< the owner misses the store: does this node? */
--- a/libgooseberry/pool/advice.c
+++ b/libgooseberry/pool/advice.c
@@ -180,9 +180,9 @@
 	HASH_ADD(hh, pool->advice_calls, id, sizeof(call->id), call);
 	lane->call = call->id;
 	if (first)
-		flow->steps[number].asks_out++;
+		flow->steps[number].asks_in_flight++;
 	else
-		flow->steps[number].renews_out++;
+		flow->steps[number].renews_in_flight++;
 	pool->stats.advice_calls++;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "advice_ask",
 	    "{s:s, s:I, s:s, s:I, s:b}", "flow", flow->spec.id, "step",
@@ -317,8 +317,9 @@
 	if (!pool_pace_advice(pool))
 		return false;
 	if (count == 0)
-		return step->asks_out == 0 && ask_others(pool, flow, number);
-	return step->renews_out == 0 &&
+		return step->asks_in_flight == 0 &&
+		       ask_others(pool, flow, number);
+	return step->renews_in_flight == 0 &&
 	       ask_lane(pool, flow, number, workers, count, 0);
 }
 
@@ -388,7 +389,7 @@
 	for (i = 0; i < res->approved.approved_len; i++)
 		approval_set(pool, step, &res->approved.approved_val[i],
 		    call->sent, expires);
-	if (step->approved_count == 0 && step->asks_out == 0) {
+	if (step->approved_count == 0 && step->asks_in_flight == 0) {
 		step->advice = POOL_ADVICE_NONE;
 		step->advice_retry_at = pool->now + ADVICE_AGAIN;
 		advice_unasked(step);
@@ -402,9 +403,9 @@
 	struct pool_step *step = &flow->steps[call->step];
 
 	if (call->first) {
-		step->asks_out--;
+		step->asks_in_flight--;
 	} else {
-		step->renews_out--;
+		step->renews_in_flight--;
 		/* Room that was kept for the tickets is used now, or given
 		 * back. */
 		if (step->claim_until == 0)
@@ -412,7 +413,7 @@
 	}
 	if (res->status == GB_ADVICE_OK)
 		advice_take(pool, flow, call, res);
-	else if (call->first && step->asks_out == 0)
+	else if (call->first && step->asks_in_flight == 0)
 		advice_unasked(step);
 }
 
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -315,7 +315,7 @@
 	    !pool_book(pool, flow, step, &flow->wait, workers))
 		flow->wait = 0;
 	else if (POOL_USES(pool, GB_MECH_RENEW) && POOL_ADVICE_NEEDED(flow) &&
-		 step->renews_out == 0 &&
+		 step->renews_in_flight == 0 &&
 		 flow->wait < step_advice_time(flow, step) &&
 		 !step_tickets_hold(pool, step, workers))
 		step_renew(
@@ -330,7 +330,8 @@
 {
 	struct pool_step *step = &flow->steps[number];
 
-	if (step->asks_out > 0 || step->asked_count >= pool->worker_count ||
+	if (step->asks_in_flight > 0 ||
+	    step->asked_count >= pool->worker_count ||
 	    pool_fit_slots(pool, flow, step) >=
 		(uint64_t)step->spec->count * DISPATCH_CHOICE)
 		return;
@@ -393,7 +394,7 @@
 	workers = gb_calloc(wanted, sizeof(*workers));
 	started = pool_fit_place(pool, flow, step, wanted, true, workers);
 	step_start(pool, flow, number, workers, started);
-	if (started < wanted && step->renews_out == 0)
+	if (started < wanted && step->renews_in_flight == 0)
 		placed = pool_fit_place(
 		    pool, flow, step, wanted - started, false, workers);
 	if (placed > 0 && advice && pool_advice_lane_free(pool))
@@ -447,7 +448,7 @@
 	gb_time in;
 
 	if (!POOL_USES(pool, GB_MECH_AHEAD) ||
-	    step->advice != POOL_ADVICE_NONE || step->asks_out > 0 ||
+	    step->advice != POOL_ADVICE_NONE || step->asks_in_flight > 0 ||
 	    !POOL_ADVICE_NEEDED(flow) || step->done > 0 ||
 	    step->advice_retry_at > pool->now || !pool_advice_lane_free(pool))
 		return;
--- a/libgooseberry/pool/load.c
+++ b/libgooseberry/pool/load.c
@@ -147,7 +147,7 @@
 	struct pool_part *part = &pool->parts[number];
 
 	part->round++;
-	part->loads_out = 2;
+	part->loads_in_flight = 2;
 	pool_page_add(
 	    pool, POOL_CALL_LOAD_STATES, number, GB_POOL_STATES, "", "");
 	pool_page_add(pool, POOL_CALL_LOAD_WORKERS, number, GB_POOL_OWNERS,
@@ -169,11 +169,11 @@
 		snprintf(from, sizeof(from), "%.200s0",
 		    res->rows[res->row_count - 1].key);
 		pool_page_add(pool, call->kind, call->part, table, from, "");
-		pool->parts[call->part].loads_out++;
+		pool->parts[call->part].loads_in_flight++;
 	} else if (call->kind == POOL_CALL_LOAD_STATES) {
 		pool_page_add(pool, POOL_CALL_LOAD_FLOWS, call->part,
 		    GB_POOL_FLOWS, "", "");
-		pool->parts[call->part].loads_out++;
+		pool->parts[call->part].loads_in_flight++;
 	}
 }
 
@@ -202,7 +202,7 @@
 		    res);
 		load_next(pool, call, res);
 	}
-	if (--part->loads_out > 0)
+	if (--part->loads_in_flight > 0)
 		return POOL_LOAD_GOES_ON;
 	load_finish(pool, call->part);
 	return POOL_LOAD_DONE;
@@ -231,7 +231,8 @@
 void
 pool_load_inbox(struct gb_pool *pool, uint32_t part)
 {
-	if (!pool_part_attached(pool, part) || pool->parts[part].inbox_out > 0)
+	if (!pool_part_attached(pool, part) ||
+	    pool->parts[part].inbox_in_flight > 0)
 		return;
 	pool_page_add(pool, POOL_CALL_INBOX_LIST, part, GB_POOL_INBOX, "", "");
 	pool_pages_next(pool);
--- a/libgooseberry/pool/page.c
+++ b/libgooseberry/pool/page.c
@@ -53,7 +53,7 @@
 pool_page_free(struct gb_pool *pool, struct pool_page *page)
 {
 	if (page != NULL && page_of_inbox(page))
-		pool->parts[page->part].inbox_out--;
+		pool->parts[page->part].inbox_in_flight--;
 	free(page);
 }
 
@@ -121,7 +121,7 @@
 	page->call = call->id;
 	page->tries++;
 	TAILQ_INSERT_TAIL(&pool->pages_sent, page, next);
-	pool->pages_out++;
+	pool->pages_in_flight++;
 	pool->stats.reads++;
 	pool->ops.read(pool->ops.data, call->id, &read);
 }
@@ -131,8 +131,9 @@
 {
 	struct pool_page *page;
 
-	while ((page = TAILQ_FIRST(&pool->pages)) != NULL &&
-	       (!pages_paced(pool) || pool->pages_out < pages_most(pool))) {
+	while (
+	    (page = TAILQ_FIRST(&pool->pages)) != NULL &&
+	    (!pages_paced(pool) || pool->pages_in_flight < pages_most(pool))) {
 		TAILQ_REMOVE(&pool->pages, page, next);
 		if (page->round == pool->parts[page->part].round)
 			page_send(pool, page);
@@ -154,7 +155,7 @@
 	snprintf(page->from, sizeof(page->from), "%s", from);
 	snprintf(page->to, sizeof(page->to), "%s", to);
 	if (page_of_inbox(page))
-		pool->parts[part].inbox_out++;
+		pool->parts[part].inbox_in_flight++;
 	TAILQ_INSERT_TAIL(&pool->pages, page, next);
 }
 
@@ -171,7 +172,7 @@
 	if (page == NULL)
 		return NULL;
 	TAILQ_REMOVE(&pool->pages_sent, page, next);
-	pool->pages_out--;
+	pool->pages_in_flight--;
 	return page;
 }
 
@@ -217,5 +218,5 @@
 {
 	pages_free(pool, &pool->pages);
 	pages_free(pool, &pool->pages_sent);
-	pool->pages_out = 0;
+	pool->pages_in_flight = 0;
 }
--- a/libgooseberry/pool/preempt.c
+++ b/libgooseberry/pool/preempt.c
@@ -244,7 +244,7 @@
 
 	if (!POOL_USES(pool, GB_MECH_ROOM) ||
 	    pool->cfg.limits.stop_us > PREEMPT_STOP_MOST || spare < 0 ||
-	    step->preempt_at > pool->now || step->renews_out > 0 ||
+	    step->preempt_at > pool->now || step->renews_in_flight > 0 ||
 	    (step->spec->flags & GB_STEP_SAME_RACK) != 0)
 		return POOL_ROOM_NONE;
 	if (step_slots(pool, flow, step, true, &slots) >= wanted) {
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -132,8 +132,9 @@
 	uint64_t run_number;  /**< newest number given to a start */
 	gb_time preempt_at;   /**< may make room again */
 	enum pool_advice_state advice;
-	uint32_t asks_out;   /**< calls about workers not asked about before */
-	uint32_t renews_out; /**< calls for new tickets */
+	uint32_t
+	    asks_in_flight; /**< calls about workers not asked about before */
+	uint32_t renews_in_flight; /**< calls for new tickets */
 	gb_time advice_retry_at;
 	struct pool_approval *approved;
 	uint32_t approved_count;
@@ -316,10 +317,11 @@
 	enum pool_attach attach;
 	gb_time attach_at;
 	unsigned int attach_failures; /**< tries in a row without success */
-	uint32_t round;	    /**< of reading; answers of earlier ones are old */
-	uint32_t loads_out; /**< reads that are out */
-	uint32_t inbox_out; /**< of flows that were stored without an owner */
-	uint64_t row_epoch; /**< in the owner's row as it was read, 0: none */
+	uint32_t round; /**< of reading; answers of earlier ones are old */
+	uint32_t loads_in_flight; /**< reads that are out */
+	uint32_t
+	    inbox_in_flight; /**< of flows that were stored without an owner */
+	uint64_t row_epoch;  /**< in the owner's row as it was read, 0: none */
 	struct contest_row row_contest;
 	bool row_vacant;
 	bool row_own; /**< this process wrote it for this claim */
@@ -477,7 +479,7 @@
 	/* Reading what is stored */
 	struct pool_pages pages; /**< that are to be read */
 	struct pool_pages pages_sent;
-	uint32_t pages_out;
+	uint32_t pages_in_flight;
 	uint32_t row_bytes[GB_POOL_TABLES]; /**< of rows read last, 0: none */
 	/* Workers */
 	struct pool_worker *workers_by_id;
--- a/soak/caller.c
+++ b/soak/caller.c
@@ -412,7 +412,7 @@
 
 /* Audit ------------------------------------------------------------------- */
 
-static unsigned int audits_out;
+static unsigned int audits_in_flight;
 static void (*audit_done)(void);
 
 static void
@@ -434,7 +434,7 @@
 	    strcmp(job->state, "failed") != 0)
 		soak_broken("%s was not done when all was calm", job->id);
 	json_decref(root);
-	if (--audits_out == 0)
+	if (--audits_in_flight == 0)
 		audit_done();
 }
 
@@ -459,7 +459,7 @@
 	printf("workers: alone=%" PRId64 " ticket=%" PRId64 "\n",
 	    plat_json_int(root, "alone"), plat_json_int(root, "ticket"));
 	json_decref(root);
-	if (--audits_out == 0)
+	if (--audits_in_flight == 0)
 		audit_done();
 }
 
@@ -470,13 +470,13 @@
 	char path[64];
 
 	audit_done = done;
-	audits_out = 1;
+	audits_in_flight = 1;
 	TAILQ_FOREACH(job, &jobs, next)
 	{
 		if (job->phase <= JOB_OPEN)
 			soak_broken(
 			    "%s is still open: %s", job->id, job->state);
-		audits_out++;
+		audits_in_flight++;
 		snprintf(path, sizeof(path), "/flow/%s", job->id);
 		plat_http_call(soak.http, GB_TRAFFIC_CALLER, soak.control,
 		    "GET", path, "", NULL, 0, CONTROL_TIMEOUT, audited, job);
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -721,7 +721,7 @@
 	cell_settle(cell);
 	node = cell->nodes[(cell_owner(cell) + 1) % NODES];
 	next = cell->nodes[(cell_owner(cell) + 2) % NODES];
-	for (i = 0; i < ROUNDS_MOST && !node->watch.hello_out; i++)
+	for (i = 0; i < ROUNDS_MOST && !node->watch.hello_in_flight; i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
 	watch_handed(&node->watch, node_now(), next->settings.addr,
 	    node->watch.epoch + 1);
--- a/tests/test_takeovers.c
+++ b/tests/test_takeovers.c
@@ -209,7 +209,7 @@
 	}
 	if (i == NODES || cell.nodes[i].incarnation == 0)
 		return;
-	node->watch.hello_out = true;
+	node->watch.hello_in_flight = true;
 	node->hello = (struct call){true, i, cell.now};
 }
 
