--- a/libgooseberry/gen/proto.c
+++ b/libgooseberry/gen/proto.c
@@ -1253,7 +1253,7 @@
 			 return FALSE;
 		 if (!xdr_int64_t (xdrs, &objp->store_silent_us))
 			 return FALSE;
-		 if (!xdr_bool (xdrs, &objp->store_out))
+		 if (!xdr_bool (xdrs, &objp->store_unavailable))
 			 return FALSE;
 		 if (!xdr_uint32_t (xdrs, &objp->largest_milli))
 			 return FALSE;
@@ -1296,7 +1296,7 @@
 			 return FALSE;
 		 if (!xdr_int64_t (xdrs, &objp->store_silent_us))
 			 return FALSE;
-		 if (!xdr_bool (xdrs, &objp->store_out))
+		 if (!xdr_bool (xdrs, &objp->store_unavailable))
 			 return FALSE;
 		 if (!xdr_uint32_t (xdrs, &objp->largest_milli))
 			 return FALSE;
@@ -1332,7 +1332,7 @@
 		 return FALSE;
 	 if (!xdr_int64_t (xdrs, &objp->store_silent_us))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->store_out))
+	 if (!xdr_bool (xdrs, &objp->store_unavailable))
 		 return FALSE;
 	 if (!xdr_uint32_t (xdrs, &objp->largest_milli))
 		 return FALSE;
--- a/libgooseberry/gen/proto.h
+++ b/libgooseberry/gen/proto.h
@@ -708,7 +708,7 @@
 	gb_name owner_addr;
 	int64_t owner_heard_us;
 	int64_t store_silent_us;
-	bool_t store_out;
+	bool_t store_unavailable;
 	uint32_t largest_milli;
 	uint64_t members_vers;
 	struct {
--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -594,7 +594,7 @@
 	gb_name owner_addr;	/* as far as known */
 	int64_t owner_heard_us;	/* since the owner last answered this node */
 	int64_t store_silent_us;	/* since the owner's last store answer */
-	bool store_out;		/* most parts do not take the owner's writes */
+	bool store_unavailable;		/* most parts do not take the owner's writes */
 	uint32_t largest_milli;	/* processor of the largest live member */
 	uint64_t members_vers;	/* version of the list of members */
 	gb_name members<4096>;	/* empty when the caller has that version */
--- a/libgooseberry/node/handover.c
+++ b/libgooseberry/node/handover.c
@@ -154,7 +154,7 @@
 
 	res.begun = node->config != NULL && !node->leaving &&
 		    !gb_pool_owns(node->pool) && !gb_pool_taking(node->pool) &&
-		    !node_store_out(node) &&
+		    !node_store_unavailable(node) &&
 		    ask->epoch >= gb_pool_epoch(node->pool);
 	gb_rpc_call_reply(call, &res);
 	gb_event(node->events, GB_EVENT_ALWAYS, "handover_asked",
--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -280,7 +280,7 @@
 
 	if (!NODE_USES(in->node, GB_MECH_FOR_OWNER) || in->submit == NULL ||
 	    in->maybe || in->stored_once || gb_pool_owns(in->node->pool) ||
-	    node_store_out(in->node)) {
+	    node_store_unavailable(in->node)) {
 		refused.verdict = GB_FLOW_REFUSED;
 		intake_refused(in, &refused);
 		return;
@@ -468,7 +468,7 @@
 		intake_refuse_for_link(in);
 	} else if (owner && !silent && !reads) {
 		intake_remote(in, in->deadline - now);
-	} else if (in->submit != NULL && node_store_out(node)) {
+	} else if (in->submit != NULL && node_store_unavailable(node)) {
 		/* Neither an owner nor the store: known at once. */
 		in->in_flight = false;
 		intake_give_up(in);
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -16,7 +16,7 @@
 #define TICK_IDLE_MS 25
 /** Calls in a row without success after which the store counts as out for this
  * node, and the pause between looks whether it is back. */
-#define STORE_OUT_LOSSES 2
+#define STORE_UNAVAILABLE_LOSSES 2
 #define STORE_PROBE (200 * GB_MSEC)
 /** Silence of the owner after which a node without the store isn't ready. */
 #define READY_SILENCE (1500 * GB_MSEC)
@@ -205,21 +205,21 @@
 /* Store ------------------------------------------------------------------- */
 
 bool
-node_store_out(const struct gb_node *node)
+node_store_unavailable(const struct gb_node *node)
 {
-	return node->store_losses >= STORE_OUT_LOSSES;
+	return node->store_losses >= STORE_UNAVAILABLE_LOSSES;
 }
 
 static void
 store_heard(struct gb_node *node, gb_store_status status)
 {
-	bool out = node_store_out(node);
+	bool out = node_store_unavailable(node);
 
 	if (status == GB_STORE_OK || status == GB_STORE_CONFLICT)
 		node->store_losses = 0;
 	else
 		node->store_losses++;
-	if (out != node_store_out(node))
+	if (out != node_store_unavailable(node))
 		gb_event(node->events, GB_EVENT_ALWAYS,
 		    out ? "store_regained" : "store_out", "{s:i}", "status",
 		    (int)status);
@@ -240,7 +240,7 @@
 	const struct gb_pool_read read = {node->part_asked++ % GB_POOL_PARTS,
 	    GB_POOL_OWNERS, GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, 0};
 
-	if (!node_store_out(node) || node->store_probing ||
+	if (!node_store_unavailable(node) || node->store_probing ||
 	    node->store_probe_at > node_now())
 		return;
 	node->store_probing = true;
@@ -674,7 +674,7 @@
 
 	/* A node that reaches neither an owner nor the store serves nobody. */
 	return node->config != NULL && !node->leaving &&
-	       (owner || !node_store_out(node));
+	       (owner || !node_store_unavailable(node));
 }
 
 const struct gb_pool_config *
--- a/libgooseberry/node/node_state.h
+++ b/libgooseberry/node/node_state.h
@@ -157,7 +157,7 @@
 void node_config_heard(struct gb_node *, uint64_t version);
 
 /** Whether the store does not answer this node for now. */
-bool node_store_out(const struct gb_node *);
+bool node_store_unavailable(const struct gb_node *);
 
 /** Whether a mechanism is in use. */
 #define NODE_USES(node, mechanism) \
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -176,7 +176,7 @@
 	members_learn(node, res);
 	news.epoch = res->epoch;
 	news.vacating = res->vacating && !node->leaving;
-	news.store_out = res->store_out;
+	news.store_unavailable = res->store_unavailable;
 	news.store_silent = res->store_silent_us;
 	news.largest_milli = res->largest_milli;
 	news.place = place_learn(node, res);
@@ -318,8 +318,8 @@
 		res.owner_addr = node->settings.addr;
 		res.owner_heard_us = 0;
 		res.store_silent_us = gb_pool_store_silent(node->pool, now);
-		res.store_out = NODE_USES(node, GB_MECH_DOUBT) &&
-				gb_pool_store_out(node->pool);
+		res.store_unavailable = NODE_USES(node, GB_MECH_DOUBT) &&
+					gb_pool_store_unavailable(node->pool);
 		res.shed = node->shed.percent;
 	}
 	res.config = node->config == NULL ? 0 : node->config->version;
--- a/libgooseberry/node/watch.c
+++ b/libgooseberry/node/watch.c
@@ -449,7 +449,7 @@
 	w->store_doubted =
 	    !news->vacating &&
 	    (news->store_silent > WATCH_STORE_SILENT ||
-		(news->store_out && news->place.rank < WATCH_DOUBTERS));
+		(news->store_unavailable && news->place.rank < WATCH_DOUBTERS));
 	if (!w->store_doubted)
 		w->served_since = 0;
 	if (news->vacating)
--- a/libgooseberry/node/watch.h
+++ b/libgooseberry/node/watch.h
@@ -104,7 +104,7 @@
 struct watch_news {
 	uint64_t epoch;		/**< of its ownership */
 	bool vacating;		/**< it stops: whoever is next may claim */
-	bool store_out;		/**< the store does not take its writes */
+	bool store_unavailable; /**< the store does not take its writes */
 	gb_time store_silent;	/**< since the store last answered it */
 	uint32_t largest_milli; /**< processor of the largest member */
 	struct succession place;
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -448,7 +448,7 @@
 /** Time since the store last confirmed the ownership. */
 gb_time gb_pool_store_silent(const struct gb_pool *, gb_time now);
 /** Whether most parts of the tables do not take this owner's writes. */
-bool gb_pool_store_out(const struct gb_pool *);
+bool gb_pool_store_unavailable(const struct gb_pool *);
 
 void gb_pool_configure(struct gb_pool *, gb_time now, struct gb_pool_config *);
 /** Entries of the list of workers that are new or have changed; a whole list
--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -228,7 +228,7 @@
 	waiter->change = flow->change;
 	waiter->asks = true;
 	if (flow->status < GB_FLOW_SUCCEEDED || shown == flow->status ||
-	    pool_writer_out(pool, flow->part)) {
+	    pool_writer_unavailable(pool, flow->part)) {
 		waiter->status = shown;
 		flow_answer(pool, waiter, GB_FLOW_ACCEPTED);
 		free(waiter);
--- a/libgooseberry/pool/owner.c
+++ b/libgooseberry/pool/owner.c
@@ -70,13 +70,13 @@
 }
 
 bool
-gb_pool_store_out(const struct gb_pool *pool)
+gb_pool_store_unavailable(const struct gb_pool *pool)
 {
 	unsigned int out = 0;
 	uint32_t i;
 
 	for (i = 0; i < GB_POOL_PARTS; i++)
-		out += pool_writer_out(pool, i);
+		out += pool_writer_unavailable(pool, i);
 	return pool->phase == POOL_OWNER_ACTIVE && out >= OWNER_MAJORITY;
 }
 
--- a/libgooseberry/pool/pool.c
+++ b/libgooseberry/pool/pool.c
@@ -332,7 +332,7 @@
 	}
 	if (!pool_part_answers(pool, token, submit->flow.id))
 		return;
-	if (pool_writer_out(pool, gb_pool_part(submit->flow.id))) {
+	if (pool_writer_unavailable(pool, gb_pool_part(submit->flow.id))) {
 		pool->stats.refused++;
 		pool_answer(pool, token, GB_FLOW_CANT_STORE, GB_SEC);
 		return;
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -618,7 +618,7 @@
 void pool_writer_reset(struct gb_pool *);
 bool pool_writer_idle(const struct gb_pool *);
 /** Whether writes of a part do not come through for now. */
-bool pool_writer_out(const struct gb_pool *, uint32_t part);
+bool pool_writer_unavailable(const struct gb_pool *, uint32_t part);
 bool pool_writer_owner_body(const struct gb_pool *, uint64_t epoch,
     uint64_t serial, bool vacant, gb_body *);
 
--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -36,10 +36,10 @@
 #define WRITER_PROBE_QUICK (80 * GB_MSEC)
 #define WRITER_PROBE_SILENT (700 * GB_MSEC)
 /** Writes in a row that the store refuses, after which it counts as out. */
-#define WRITER_OUT_REFUSED 2
+#define WRITER_UNAVAILABLE_REFUSED 2
 /** Writes in a row that end without an answer, after which it counts as out; a
  * single one may be a connection that was reset. */
-#define WRITER_OUT_LOST 2
+#define WRITER_UNAVAILABLE_LOST 2
 /** Time to come back after a refusal for want of the store: outages last some
  * seconds, and callers have three. */
 #define WRITER_COME_BACK GB_SEC
@@ -321,12 +321,12 @@
 }
 
 bool
-pool_writer_out(const struct gb_pool *pool, uint32_t number)
+pool_writer_unavailable(const struct gb_pool *pool, uint32_t number)
 {
 	const struct pool_part *part = &pool->parts[number];
 
-	return part->refused >= WRITER_OUT_REFUSED ||
-	       part->lost >= WRITER_OUT_LOST || part->silent ||
+	return part->refused >= WRITER_UNAVAILABLE_REFUSED ||
+	       part->lost >= WRITER_UNAVAILABLE_LOST || part->silent ||
 	       part->attach != POOL_ATTACH_DONE;
 }
 
@@ -397,9 +397,9 @@
 	if (part->attach != POOL_ATTACH_DONE)
 		return;
 	part_probe(pool, number);
-	if (pool_writer_out(pool, number))
+	if (pool_writer_unavailable(pool, number))
 		part_out(pool, number);
-	if (pool_writer_out(pool, number) ||
+	if (pool_writer_unavailable(pool, number) ||
 	    (part->call != 0 && pool->now - part->sent > WRITER_ASK_MOST))
 		part_ask_ends(pool, part);
 	if (part->phase == POOL_PART_WAITING && part->retry_at <= pool->now)
@@ -617,7 +617,7 @@
 	uint32_t i;
 
 	for (i = 0; i < GB_POOL_PARTS; i++) {
-		if (pool_writer_out(pool, i))
+		if (pool_writer_unavailable(pool, i))
 			continue;
 		if (pool->parts[i].phase != POOL_PART_IDLE ||
 		    pool->parts[i].renew || pool->parts[i].seal ||
--- a/standin/emulator_store.c
+++ b/standin/emulator_store.c
@@ -192,7 +192,7 @@
 }
 
 static bool
-part_is_out(const struct emulator *emu, uint32_t part)
+part_is_unavailable(const struct emulator *emu, uint32_t part)
 {
 	return (emu->faults.store_parts >> part & 1) != 0;
 }
@@ -223,7 +223,7 @@
 	emu_query(call, "To", to, sizeof(to));
 	emu_query(call, "Limit", limit, sizeof(limit));
 	read.part = part_number(part);
-	if (part_is_out(emu, read.part)) {
+	if (part_is_unavailable(emu, read.part)) {
 		emu_answer(call, 503, json_object());
 		return;
 	}
@@ -343,7 +343,7 @@
 		emu_answer(call, 400, json_object());
 		return;
 	}
-	if (part_is_out(emu, txn_part(root))) {
+	if (part_is_unavailable(emu, txn_part(root))) {
 		json_decref(root);
 		emu_answer(call, 503, json_object());
 		return;
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -562,7 +562,7 @@
 }
 
 static bool
-part_is_out(const struct pool_cell *cell, uint32_t part)
+part_is_unavailable(const struct pool_cell *cell, uint32_t part)
 {
 	return cell->faults.store_down ||
 	       (cell->faults.parts_down >> part & 1) != 0;
@@ -576,7 +576,7 @@
 
 	if (cell->faults.store_resets)
 		res.status = GB_STORE_UNKNOWN;
-	else if (part_is_out(cell, event->txn.part))
+	else if (part_is_unavailable(cell, event->txn.part))
 		res.status = GB_STORE_REFUSED;
 	else
 		world_txn(cell->world, &event->txn, &res);
@@ -595,7 +595,7 @@
 		return;
 	if (cell->faults.store_resets || event->given_up)
 		res.status = GB_STORE_UNKNOWN;
-	else if (event->fails || part_is_out(cell, event->read.part))
+	else if (event->fails || part_is_unavailable(cell, event->read.part))
 		res.status = GB_STORE_REFUSED;
 	else
 		world_read(cell->world, &event->read, &res);
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -37,11 +37,11 @@
 
 /** The owner says that the store does not take its writes. */
 static void
-heard_store_out(struct watch *w, uint32_t rank)
+heard_store_unavailable(struct watch *w, uint32_t rank)
 {
 	struct watch_news news = {0};
 
-	news.store_out = true;
+	news.store_unavailable = true;
 	news.largest_milli = w->largest_milli;
 	news.place = (struct succession){rank, 5, 5};
 	watch_heard(w, now, &news);
@@ -260,7 +260,7 @@
 	while (action != WATCH_TAKE && now - began < 3 * GB_SEC) {
 		action = watch_next(&w, now);
 		if (action == WATCH_HELLO)
-			heard_store_out(&w, 0);
+			heard_store_unavailable(&w, 0);
 		else if (action == WATCH_READ)
 			read_row(&w);
 		now += STEP;
@@ -273,9 +273,9 @@
 typedef void (*owner_says)(struct watch *);
 
 static void
-says_store_out(struct watch *w)
+says_store_unavailable(struct watch *w)
 {
-	heard_store_out(w, 0);
+	heard_store_unavailable(w, 0);
 }
 
 static void
@@ -317,7 +317,7 @@
 
 	(void)state;
 	begin(&w);
-	assert_left_alone(&w, 200 * GB_MSEC, says_store_out);
+	assert_left_alone(&w, 200 * GB_MSEC, says_store_unavailable);
 	assert_left_alone(&w, GB_SEC, says_all_is_well);
 }
 
@@ -352,7 +352,7 @@
 		assert_int_not_equal(action, WATCH_TAKE);
 		assert_int_not_equal(action, WATCH_READ);
 		if (action == WATCH_HELLO)
-			heard_store_out(&w, 12);
+			heard_store_unavailable(&w, 12);
 	}
 }
 
