--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -201,7 +201,7 @@
 }
 
 void
-pool_flow_turn_away(struct gb_pool *pool, struct pool_flow *flow, gb_time retry)
+pool_flow_reject(struct gb_pool *pool, struct pool_flow *flow, gb_time retry)
 {
 	gb_flow_answer answer = {0};
 
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -636,7 +636,7 @@
 /** A change of a flow has been stored. */
 void pool_flow_stored(struct gb_pool *, struct pool_flow *, uint64_t change);
 /** Turn away a flow that was never sent to the store. */
-void pool_flow_turn_away(struct gb_pool *, struct pool_flow *, gb_time retry);
+void pool_flow_reject(struct gb_pool *, struct pool_flow *, gb_time retry);
 void pool_flow_wait(struct gb_pool *, struct pool_flow *, uint64_t token,
     uint64_t change, gb_flow_status);
 /** Tell a caller the state; if its last change is being stored, then when it
--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -367,7 +367,7 @@
 	for (flow = TAILQ_FIRST(&part->dirty); flow != NULL; flow = next) {
 		next = TAILQ_NEXT(flow, dirty_next);
 		if (flow->stored == 0 && flow->sending == 0)
-			pool_flow_turn_away(pool, flow, WRITER_COME_BACK);
+			pool_flow_reject(pool, flow, WRITER_COME_BACK);
 	}
 }
 
--- a/libgooseberry/request/request.c
+++ b/libgooseberry/request/request.c
@@ -287,7 +287,7 @@
 /* Admission */
 
 static void
-request_turn_away(struct gb_core *core, uint64_t id, unsigned status,
+request_reject(struct gb_core *core, uint64_t id, unsigned status,
     unsigned retry_ms, const char *reason)
 {
 	core->stats.answers++;
@@ -302,12 +302,12 @@
 	struct doc *doc;
 
 	if (shard == NULL || shard->state != SHARD_ACTIVE || core->leaving) {
-		request_turn_away(core, id, 503, OWNER_RETRY_MS,
+		request_reject(core, id, 503, OWNER_RETRY_MS,
 		    "this instance does not own the shard");
 		return NULL;
 	}
 	if (!gb_core_fresh(core, core->now)) {
-		request_turn_away(core, id, 503, OWNER_RETRY_MS,
+		request_reject(core, id, 503, OWNER_RETRY_MS,
 		    "this instance cannot confirm its view");
 		return NULL;
 	}
@@ -315,7 +315,7 @@
 	if (doc == NULL || !doc->valid ||
 	    (doc->now.kind != GB_KIND_LOOKUP &&
 		doc->now.kind != GB_KIND_REQUEST)) {
-		request_turn_away(
+		request_reject(
 		    core, id, 404, 0, "no such service takes requests");
 		return NULL;
 	}
@@ -326,16 +326,16 @@
 		return NULL;
 	}
 	if (req->remaining_us < 0) {
-		request_turn_away(core, id, 504, 0, "the deadline has passed");
+		request_reject(core, id, 504, 0, "the deadline has passed");
 		return NULL;
 	}
 	if (shard->usable == 0) {
-		request_turn_away(core, id, 503, OWNER_RETRY_MS,
+		request_reject(core, id, 503, OWNER_RETRY_MS,
 		    "the shard has no worker to give");
 		return NULL;
 	}
 	if (shard->waiting_count >= doc->now.queue_limit) {
-		request_turn_away(
+		request_reject(
 		    core, id, 503, retry_after_ms(shard), "the queue is full");
 		return NULL;
 	}
