--- a/libgooseberry/gen/proto.c
+++ b/libgooseberry/gen/proto.c
@@ -963,7 +963,7 @@
 }
 
 bool_t
-xdr_gb_worker_away (XDR *xdrs, gb_worker_away *objp)
+xdr_gb_unreachable_worker (XDR *xdrs, gb_unreachable_worker *objp)
 {
 	register int32_t *buf;
 
@@ -1042,8 +1042,8 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->alone))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->away.away_val, (u_int *) &objp->away.away_len, GB_AWAY_MAX,
-		sizeof (gb_worker_away), (xdrproc_t) xdr_gb_worker_away))
+	 if (!xdr_array (xdrs, (char **)&objp->unreachable.unreachable_val, (u_int *) &objp->unreachable.unreachable_len, GB_UNREACHABLE_MAX,
+		sizeof (gb_unreachable_worker), (xdrproc_t) xdr_gb_unreachable_worker))
 		 return FALSE;
 	return TRUE;
 }
--- a/libgooseberry/gen/proto.h
+++ b/libgooseberry/gen/proto.h
@@ -559,16 +559,16 @@
 	gb_name checkpoint;
 };
 typedef struct gb_task_state gb_task_state;
-#define GB_AWAY_MAX 8
+#define GB_UNREACHABLE_MAX 8
 
-struct gb_worker_away {
+struct gb_unreachable_worker {
 	gb_name worker;
 	bool_t begun;
 	bool_t soon;
 	bool_t alone;
 	bool_t lapsed;
 };
-typedef struct gb_worker_away gb_worker_away;
+typedef struct gb_unreachable_worker gb_unreachable_worker;
 
 struct gb_task_crashes {
 	uint32_t step;
@@ -579,9 +579,9 @@
 	uint32_t blamed;
 	bool_t alone;
 	struct {
-		u_int away_len;
-		gb_worker_away *away_val;
-	} away;
+		u_int unreachable_len;
+		gb_unreachable_worker *unreachable_val;
+	} unreachable;
 };
 typedef struct gb_task_crashes gb_task_crashes;
 
@@ -831,7 +831,7 @@
 extern  bool_t xdr_gb_flow_row (XDR *, gb_flow_row*);
 extern  bool_t xdr_gb_flow_status (XDR *, gb_flow_status*);
 extern  bool_t xdr_gb_task_state (XDR *, gb_task_state*);
-extern  bool_t xdr_gb_worker_away (XDR *, gb_worker_away*);
+extern  bool_t xdr_gb_unreachable_worker (XDR *, gb_unreachable_worker*);
 extern  bool_t xdr_gb_task_crashes (XDR *, gb_task_crashes*);
 extern  bool_t xdr_gb_flow_state (XDR *, gb_flow_state*);
 extern  bool_t xdr_gb_owner_row (XDR *, gb_owner_row*);
@@ -907,7 +907,7 @@
 extern bool_t xdr_gb_flow_row ();
 extern bool_t xdr_gb_flow_status ();
 extern bool_t xdr_gb_task_state ();
-extern bool_t xdr_gb_worker_away ();
+extern bool_t xdr_gb_unreachable_worker ();
 extern bool_t xdr_gb_task_crashes ();
 extern bool_t xdr_gb_flow_state ();
 extern bool_t xdr_gb_owner_row ();
--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -469,10 +469,10 @@
 	gb_name checkpoint;
 };
 
-const GB_AWAY_MAX = 8;
+const GB_UNREACHABLE_MAX = 8;
 
 /* A worker that fell silent with a task. */
-struct gb_worker_away {
+struct gb_unreachable_worker {
 	gb_name worker;
 	bool begun;		/* it had said that it runs the task */
 	bool soon;		/* after that */
@@ -489,7 +489,7 @@
 	uint32_t soon;		/* soon after they had begun it */
 	uint32_t blamed;	/* of these, surely while they ran it */
 	bool alone;		/* once no other flow's start was as new */
-	gb_worker_away away<GB_AWAY_MAX>;
+	gb_unreachable_worker unreachable<GB_UNREACHABLE_MAX>;
 };
 
 /* What has become of a flow.  Rows of older programs end before `crashes`,
--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -55,7 +55,7 @@
 #define CRASH_HOLD (10 * GB_SEC)
 
 /** A worker that is away and may have crashed under a task. */
-struct pool_away {
+struct pool_unreachable {
 	char worker[GB_NAME_MAX + 1]; /**< its id */
 	int64_t incarnation;	      /**< that it had then, 0: unknown */
 	bool begun;		      /**< it had said that it runs the task */
@@ -72,8 +72,8 @@
 	uint32_t soon;	  /**< soon after they had begun it */
 	uint32_t blamed;  /**< of these, surely while they ran it */
 	bool alone;	  /**< once no other flow's start was as new */
-	uint32_t away_count;
-	struct pool_away away[GB_AWAY_MAX];
+	uint32_t unreachable_count;
+	struct pool_unreachable unreachable[GB_UNREACHABLE_MAX];
 	gb_time hold_until; /**< what is away by then counts as crashed */
 	uint64_t change;    /**< of the flow, with which this must be stored */
 };
@@ -117,43 +117,44 @@
 	struct pool_task *task = &flow->steps[step].tasks[index];
 
 	if (task->suspect == NULL || task->suspect->crashes > 0 ||
-	    task->suspect->away_count > 0)
+	    task->suspect->unreachable_count > 0)
 		return;
 	free(task->suspect);
 	task->suspect = NULL;
 	flow->steps[step].suspects--;
 }
 
-static struct pool_away *
-away_find(struct pool_suspect *suspect, const char *worker)
+static struct pool_unreachable *
+unreachable_find(struct pool_suspect *suspect, const char *worker)
 {
 	uint32_t i;
 
-	for (i = 0; suspect != NULL && i < suspect->away_count; i++) {
-		if (strcmp(suspect->away[i].worker, worker) == 0)
-			return &suspect->away[i];
+	for (i = 0; suspect != NULL && i < suspect->unreachable_count; i++) {
+		if (strcmp(suspect->unreachable[i].worker, worker) == 0)
+			return &suspect->unreachable[i];
 	}
 	return NULL;
 }
 
 /** Take a worker off; false when it does not stand there. */
 static bool
-away_remove(
-    struct pool_suspect *suspect, const char *worker, struct pool_away *out)
+unreachable_remove(struct pool_suspect *suspect, const char *worker,
+    struct pool_unreachable *out)
 {
-	struct pool_away *away = away_find(suspect, worker);
+	struct pool_unreachable *unreachable =
+	    unreachable_find(suspect, worker);
 
-	if (away == NULL)
+	if (unreachable == NULL)
 		return false;
-	*out = *away;
-	*away = suspect->away[--suspect->away_count];
+	*out = *unreachable;
+	*unreachable = suspect->unreachable[--suspect->unreachable_count];
 	return true;
 }
 
 /** The next answer of the worker tells what became of the task. */
 static void
-away_link(struct pool_flow *flow, uint32_t step, uint32_t index,
-    struct pool_away *away, struct pool_worker *worker)
+unreachable_link(struct pool_flow *flow, uint32_t step, uint32_t index,
+    struct pool_unreachable *unreachable, struct pool_worker *worker)
 {
 	struct pool_loss *loss = gb_calloc(1, sizeof(*loss));
 
@@ -161,38 +162,42 @@
 	loss->step = step;
 	loss->index = index;
 	STAILQ_INSERT_TAIL(&worker->losses, loss, next);
-	away->linked = true;
+	unreachable->linked = true;
 }
 
 /** A worker is away with a task; returns what is known of that, or null when
  * there are too many. */
-static struct pool_away *
-away_add(
+static struct pool_unreachable *
+unreachable_add(
     struct pool_flow *flow, uint32_t step, uint32_t index, const char *worker)
 {
 	struct pool_suspect *suspect = suspect_get(flow, step, index);
-	struct pool_away *away = away_find(suspect, worker);
-
-	if (away != NULL || suspect->away_count == GB_AWAY_MAX)
-		return away;
-	away = &suspect->away[suspect->away_count++];
-	memset(away, 0, sizeof(*away));
-	snprintf(away->worker, sizeof(away->worker), "%s", worker);
-	return away;
+	struct pool_unreachable *unreachable =
+	    unreachable_find(suspect, worker);
+
+	if (unreachable != NULL ||
+	    suspect->unreachable_count == GB_UNREACHABLE_MAX)
+		return unreachable;
+	unreachable = &suspect->unreachable[suspect->unreachable_count++];
+	memset(unreachable, 0, sizeof(*unreachable));
+	snprintf(
+	    unreachable->worker, sizeof(unreachable->worker), "%s", worker);
+	return unreachable;
 }
 
 /** The same of a run, whose worker is known. */
-static struct pool_away *
-away_add_run(const struct pool_run *run)
+static struct pool_unreachable *
+unreachable_add_run(const struct pool_run *run)
 {
-	struct pool_away *away =
-	    away_add(run->flow, run->step, run->index, run->worker->entry.id);
+	struct pool_unreachable *unreachable = unreachable_add(
+	    run->flow, run->step, run->index, run->worker->entry.id);
 
-	if (away != NULL)
-		away->incarnation = run->worker->incarnation;
-	if (away != NULL && !away->linked)
-		away_link(run->flow, run->step, run->index, away, run->worker);
-	return away;
+	if (unreachable != NULL)
+		unreachable->incarnation = run->worker->incarnation;
+	if (unreachable != NULL && !unreachable->linked)
+		unreachable_link(
+		    run->flow, run->step, run->index, unreachable, run->worker);
+	return unreachable;
 }
 
 /* Stored form ------------------------------------------------------------- */
@@ -203,7 +208,7 @@
 {
 	struct pool_suspect *suspect =
 	    suspect_get(flow, stored->step, stored->index);
-	struct pool_away *away;
+	struct pool_unreachable *unreachable;
 	u_int i;
 
 	suspect->crashes = stored->workers;
@@ -211,17 +216,19 @@
 	suspect->soon = stored->soon;
 	suspect->blamed = stored->blamed;
 	suspect->alone = stored->alone;
-	for (i = 0; i < stored->away.away_len; i++) {
-		const gb_worker_away *row = &stored->away.away_val[i];
+	for (i = 0; i < stored->unreachable.unreachable_len; i++) {
+		const gb_unreachable_worker *row =
+		    &stored->unreachable.unreachable_val[i];
 
-		away = away_add(flow, stored->step, stored->index, row->worker);
-		if (away == NULL)
+		unreachable = unreachable_add(
+		    flow, stored->step, stored->index, row->worker);
+		if (unreachable == NULL)
 			break;
-		away->incarnation = i < known ? incarnations[i] : 0;
-		away->begun = row->begun;
-		away->soon = row->soon;
-		away->alone = row->alone;
-		away->lapsed = row->lapsed;
+		unreachable->incarnation = i < known ? incarnations[i] : 0;
+		unreachable->begun = row->begun;
+		unreachable->soon = row->soon;
+		unreachable->alone = row->alone;
+		unreachable->lapsed = row->lapsed;
 	}
 	suspect->hold_until = pool->now + CRASH_HOLD;
 }
@@ -237,10 +244,11 @@
 static void
 plan_fill(const struct pool_plan *plan, gb_task_crashes *out)
 {
-	if (plan == NULL || out->away.away_len == GB_AWAY_MAX)
+	if (plan == NULL ||
+	    out->unreachable.unreachable_len == GB_UNREACHABLE_MAX)
 		return;
-	out->away.away_val[out->away.away_len++].worker =
-	    gb_strdup(plan->worker_id);
+	out->unreachable.unreachable_val[out->unreachable.unreachable_len++]
+	    .worker = gb_strdup(plan->worker_id);
 }
 
 void
@@ -256,17 +264,20 @@
 	out->soon = suspect->soon;
 	out->blamed = suspect->blamed;
 	out->alone = suspect->alone;
-	out->away.away_val =
-	    gb_calloc(suspect->away_count + 1, sizeof(gb_worker_away));
-	for (i = 0; i < suspect->away_count; i++) {
-		const struct pool_away *away = &suspect->away[i];
-		gb_worker_away *row = &out->away.away_val[out->away.away_len++];
-
-		row->worker = gb_strdup(away->worker);
-		row->begun = away->begun;
-		row->soon = away->soon;
-		row->alone = away->alone;
-		row->lapsed = away->lapsed;
+	out->unreachable.unreachable_val = gb_calloc(
+	    suspect->unreachable_count + 1, sizeof(gb_unreachable_worker));
+	for (i = 0; i < suspect->unreachable_count; i++) {
+		const struct pool_unreachable *unreachable =
+		    &suspect->unreachable[i];
+		gb_unreachable_worker *row =
+		    &out->unreachable
+			 .unreachable_val[out->unreachable.unreachable_len++];
+
+		row->worker = gb_strdup(unreachable->worker);
+		row->begun = unreachable->begun;
+		row->soon = unreachable->soon;
+		row->alone = unreachable->alone;
+		row->lapsed = unreachable->lapsed;
 	}
 	plan_fill(task->plan, out);
 }
@@ -276,7 +287,7 @@
 pool_crash_fill_incarnations(const struct pool_task *task, gb_flow_state *out)
 {
 	const struct pool_suspect *suspect = task->suspect;
-	uint32_t count = suspect == NULL ? 0 : suspect->away_count;
+	uint32_t count = suspect == NULL ? 0 : suspect->unreachable_count;
 	u_int at = out->worker_incarnations.worker_incarnations_len;
 	uint32_t i;
 
@@ -285,8 +296,8 @@
 		(at + count + 1) * sizeof(int64_t));
 	for (i = 0; i < count; i++)
 		out->worker_incarnations.worker_incarnations_val[at++] =
-		    suspect->away[i].incarnation;
-	if (task->plan != NULL && count < GB_AWAY_MAX)
+		    suspect->unreachable[i].incarnation;
+	if (task->plan != NULL && count < GB_UNREACHABLE_MAX)
 		out->worker_incarnations.worker_incarnations_val[at++] =
 		    task->plan->incarnation;
 	out->worker_incarnations.worker_incarnations_len = at;
@@ -472,7 +483,7 @@
 }
 
 static void
-suspect_count(struct pool_suspect *suspect, const struct pool_away *how)
+suspect_count(struct pool_suspect *suspect, const struct pool_unreachable *how)
 {
 	suspect->crashes++;
 	suspect->sure += how->begun && !how->lapsed;
@@ -488,8 +499,8 @@
 	struct pool_suspect worst = *suspect;
 	uint32_t i;
 
-	for (i = 0; i < suspect->away_count; i++)
-		suspect_count(&worst, &suspect->away[i]);
+	for (i = 0; i < suspect->unreachable_count; i++)
+		suspect_count(&worst, &suspect->unreachable[i]);
 	return suspect_over_limit(&worst);
 }
 
@@ -503,7 +514,7 @@
 /** A worker crashed under a task. */
 static void
 task_crashed(struct gb_pool *pool, struct pool_flow *flow, uint32_t step,
-    uint32_t index, const struct pool_away *how)
+    uint32_t index, const struct pool_unreachable *how)
 {
 	struct pool_suspect *suspect = suspect_get(flow, step, index);
 
@@ -536,18 +547,18 @@
 pool_crash_worker_missed(struct gb_pool *pool, struct pool_worker *worker)
 {
 	const struct pool_run *run;
-	struct pool_away *away;
+	struct pool_unreachable *unreachable;
 
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
 		if (!run_counts(run) || !run_is_new(run) || worker->leaving)
 			continue;
-		away = away_add_run(run);
-		if (away == NULL)
+		unreachable = unreachable_add_run(run);
+		if (unreachable == NULL)
 			continue;
-		away->begun = run_begun(run);
-		away->soon = run_begun(run);
-		away->alone = !pool_crash_has_new(worker, run->flow);
+		unreachable->begun = run_begun(run);
+		unreachable->soon = run_begun(run);
+		unreachable->alone = !pool_crash_has_new(worker, run->flow);
 		task_of(run)->suspect->hold_until = pool->now + CRASH_HOLD;
 		pool_flow_changed(pool, run->flow, true);
 		task_of(run)->suspect->change = run->flow->change;
@@ -570,11 +581,11 @@
 void
 pool_crash_run_over(struct gb_pool *pool, const struct pool_run *run)
 {
-	struct pool_away how = {0};
+	struct pool_unreachable how = {0};
 
 	if (!run_counts(run) || run->worker->leaving)
 		return;
-	away_remove(task_of(run)->suspect, run->worker->entry.id, &how);
+	unreachable_remove(task_of(run)->suspect, run->worker->entry.id, &how);
 	how.begun = run_begun(run);
 	how.soon = run->lost_soon;
 	how.alone = run->lost_alone;
@@ -584,14 +595,14 @@
 void
 pool_crash_run_lapsed(struct gb_pool *pool, const struct pool_run *run)
 {
-	struct pool_away *away;
+	struct pool_unreachable *unreachable;
 
 	if (!run_counts(run) || run->worker->leaving)
 		return;
-	away = away_add_run(run);
-	if (away != NULL) {
-		away->begun = run_begun(run);
-		away->lapsed = true;
+	unreachable = unreachable_add_run(run);
+	if (unreachable != NULL) {
+		unreachable->begun = run_begun(run);
+		unreachable->lapsed = true;
 	}
 	task_of(run)->suspect->hold_until = pool->now + CRASH_HOLD;
 	pool_flow_changed(pool, run->flow, false);
@@ -600,25 +611,26 @@
 /** A worker that was away with a task has answered, as itself or as another
  * lifetime. */
 static void
-away_resolve(struct gb_pool *pool, struct pool_flow *flow, uint32_t step,
+unreachable_resolve(struct gb_pool *pool, struct pool_flow *flow, uint32_t step,
     uint32_t index, const struct pool_worker *worker, bool crashed)
 {
 	struct pool_task *task = &flow->steps[step].tasks[index];
-	struct pool_away away;
+	struct pool_unreachable unreachable;
 
-	if (!away_remove(task->suspect, worker->entry.id, &away))
+	if (!unreachable_remove(task->suspect, worker->entry.id, &unreachable))
 		return;
 	pool->work_changed = true;
-	crashed =
-	    crashed || (away.incarnation != 0 && worker->incarnation != 0 &&
-			   away.incarnation != worker->incarnation);
+	crashed = crashed ||
+		  (unreachable.incarnation != 0 && worker->incarnation != 0 &&
+		      unreachable.incarnation != worker->incarnation);
 	if (!crashed || task->done) {
 		suspect_clear(flow, step, index);
 		pool_flow_changed(pool, flow, false);
 		return;
 	}
-	away.soon = away.soon && !worker_lost_with_others(pool, worker);
-	task_crashed(pool, flow, step, index, &away);
+	unreachable.soon =
+	    unreachable.soon && !worker_lost_with_others(pool, worker);
+	task_crashed(pool, flow, step, index, &unreachable);
 }
 
 static void
@@ -630,7 +642,7 @@
 	if (flow != NULL && flow->status < GB_FLOW_SUCCEEDED &&
 	    loss->step < flow->step_count &&
 	    loss->index < flow->steps[loss->step].spec->count)
-		away_resolve(
+		unreachable_resolve(
 		    pool, flow, loss->step, loss->index, worker, crashed);
 }
 
@@ -697,14 +709,15 @@
 task_waited(
     struct gb_pool *pool, struct pool_flow *flow, uint32_t step, uint32_t index)
 {
-	static const struct pool_away unknown;
+	static const struct pool_unreachable unknown;
 	const struct pool_task *task = &flow->steps[step].tasks[index];
 	struct pool_suspect *suspect = task->suspect;
 
-	while (suspect != NULL && !task->done && suspect->away_count > 0 &&
+	while (suspect != NULL && !task->done &&
+	       suspect->unreachable_count > 0 &&
 	       suspect->hold_until <= pool->now &&
 	       flow->status < GB_FLOW_SUCCEEDED) {
-		suspect->away_count--;
+		suspect->unreachable_count--;
 		task_crashed(pool, flow, step, index, &unknown);
 	}
 }
@@ -718,18 +731,21 @@
 	struct pool_worker *worker;
 	uint32_t i;
 
-	for (i = suspect == NULL ? 0 : suspect->away_count; i > 0; i--) {
-		struct pool_away *away = &suspect->away[i - 1];
+	for (i = suspect == NULL ? 0 : suspect->unreachable_count; i > 0; i--) {
+		struct pool_unreachable *unreachable =
+		    &suspect->unreachable[i - 1];
 
-		worker =
-		    away->linked ? NULL : pool_worker_find(pool, away->worker);
+		worker = unreachable->linked
+			     ? NULL
+			     : pool_worker_find(pool, unreachable->worker);
 		if (worker == NULL)
 			continue;
 		if (!worker->over) {
-			away_link(flow, step, index, away, worker);
+			unreachable_link(
+			    flow, step, index, unreachable, worker);
 			continue;
 		}
-		away_resolve(pool, flow, step, index, worker, true);
+		unreachable_resolve(pool, flow, step, index, worker, true);
 		return; /* the rest with the next sweep */
 	}
 }
--- a/libgooseberry/pool/flow_state.c
+++ b/libgooseberry/pool/flow_state.c
@@ -208,8 +208,9 @@
 
 	for (i = 0; i < state->crashes.crashes_len; i++) {
 		const gb_task_crashes *stored = &state->crashes.crashes_val[i];
-		u_int known =
-		    stored->away.away_len < left ? stored->away.away_len : left;
+		u_int known = stored->unreachable.unreachable_len < left
+				  ? stored->unreachable.unreachable_len
+				  : left;
 
 		if (stored->step >= flow->step_count ||
 		    stored->index >= flow->steps[stored->step].spec->count)
--- a/tests/test_crash.c
+++ b/tests/test_crash.c
@@ -257,8 +257,8 @@
 	assert_true(gb_flow_state_decode(&res.rows[0].value, &state));
 	assert_int_equal(state.crashes.crashes_len, 1);
 	crashes = state.crashes.crashes_val[0];
-	assert_int_equal(crashes.away.away_len, 0);
-	memset(&crashes.away, 0, sizeof(crashes.away));
+	assert_int_equal(crashes.unreachable.unreachable_len, 0);
+	memset(&crashes.unreachable, 0, sizeof(crashes.unreachable));
 	xdr_free((xdrproc_t)xdr_gb_flow_state, (char *)&state);
 	world_read_free(&res);
 	return crashes;
