--- a/libgooseberry/gooseberry.h
+++ b/libgooseberry/gooseberry.h
@@ -324,7 +324,7 @@
 	uint64_t starts, ends, requests, answers, refused, retries;
 	uint64_t log_writes, log_records, log_bytes, snapshots;
 	uint64_t takeovers, lost_shards, syncs, beats, changes;
-	uint64_t store_ops, store_failures, sidelined, preempted, lent;
+	uint64_t store_ops, store_failures, quarantined, preempted, lent;
 	uint64_t pending, running, workers, jobs, active_shards;
 };
 
--- a/libgooseberry/node/metrics.c
+++ b/libgooseberry/node/metrics.c
@@ -113,7 +113,7 @@
 	    {"gooseberry_advice_lost", "Of these, without an answer.",
 		s->advice_lost},
 	    {"gooseberry_workers_set_aside", "Workers set aside.",
-		s->sidelined},
+		s->quarantined},
 	    {"gooseberry_store_writes", "Transactions.", s->txns},
 	    {"gooseberry_store_rows", "Rows written.", s->rows},
 	    {"gooseberry_store_reads", "Reads.", s->reads},
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -507,7 +507,7 @@
 	uint64_t entry_faults[GB_POOL_ENTRY_FAULTS]; /**< entries refused */
 	uint64_t txns, txn_conflicts, txn_lost, rows, reads, takeovers, losses;
 	uint64_t takeovers_failed; /**< claims that came to nothing */
-	uint64_t flows, waiting, running, workers, sidelined;
+	uint64_t flows, waiting, running, workers, quarantined;
 	struct gb_histogram accept_us, first_start_us, finish_us, advice_us;
 	struct gb_histogram txn_us, start_us, takeover_us;
 };
--- a/libgooseberry/pool/fit.c
+++ b/libgooseberry/pool/fit.c
@@ -48,7 +48,7 @@
 	       (worker->recorded & (UINT32_C(1) << part)) != 0 &&
 	       !worker->over && !worker->foreign && !worker->entry.draining &&
 	       pool_incarnation_listed(worker) && !worker->maybe_restarted &&
-	       worker->silent == 0 && worker->aside_until <= pool->now &&
+	       worker->silent == 0 && worker->quarantined_until <= pool->now &&
 	       !pool_crash_on_probation(worker);
 }
 
--- a/libgooseberry/pool/health.c
+++ b/libgooseberry/pool/health.c
@@ -21,8 +21,8 @@
  * once in 400 runs. */
 #define HEALTH_FAILURES 2
 /** First and longest time aside. */
-#define HEALTH_ASIDE (3 * GB_SEC)
-#define HEALTH_ASIDE_MOST (20 * GB_SEC)
+#define HEALTH_QUARANTINE (3 * GB_SEC)
+#define HEALTH_QUARANTINE_MOST (20 * GB_SEC)
 /** A run that makes no progress for this long stands still: the percent of the
  * longest tasks (12 s) moves each 0.12 s, seen each 0.9 s. */
 #define HEALTH_STANDSTILL (2200 * GB_MSEC)
@@ -34,19 +34,22 @@
 #define HEALTH_WEIGHT 0.05
 
 static void
-worker_aside(struct gb_pool *pool, struct pool_worker *worker, const char *why)
+worker_quarantine(
+    struct gb_pool *pool, struct pool_worker *worker, const char *why)
 {
-	worker->aside_for =
-	    worker->aside_for == 0 ? HEALTH_ASIDE : worker->aside_for * 2;
-	if (worker->aside_for > HEALTH_ASIDE_MOST)
-		worker->aside_for = HEALTH_ASIDE_MOST;
+	worker->quarantine_length = worker->quarantine_length == 0
+					? HEALTH_QUARANTINE
+					: worker->quarantine_length * 2;
+	if (worker->quarantine_length > HEALTH_QUARANTINE_MOST)
+		worker->quarantine_length = HEALTH_QUARANTINE_MOST;
 	if (POOL_USES(pool, GB_MECH_ASIDE))
-		worker->aside_until = pool->now + worker->aside_for;
+		worker->quarantined_until =
+		    pool->now + worker->quarantine_length;
 	worker->failures = HEALTH_FAILURES - 1;
-	pool->stats.sidelined++;
+	pool->stats.quarantined++;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "worker_set_aside",
 	    "{s:s, s:s, s:I}", "worker", worker->entry.id, "why", why, "for_ms",
-	    (json_int_t)(worker->aside_for / GB_MSEC));
+	    (json_int_t)(worker->quarantine_length / GB_MSEC));
 }
 
 /** How long a run took against the runs of the same step before it: tasks of a
@@ -108,7 +111,7 @@
 	if (how == GB_POOL_DONE) {
 		queue_learn(pool, run);
 		worker->failures = 0;
-		worker->aside_for = 0;
+		worker->quarantine_length = 0;
 		worker->failed_flow = 0;
 		return;
 	}
@@ -118,7 +121,8 @@
 		return;
 	worker->failed_flow = flow;
 	if (++worker->failures >= HEALTH_FAILURES)
-		worker_aside(pool, worker, "its runs fail one after the other");
+		worker_quarantine(
+		    pool, worker, "its runs fail one after the other");
 }
 
 /** A run that has come to its end waits for the others of its gang. */
@@ -159,8 +163,8 @@
 
 		if (!run_still(pool, run) || (gang && !gang_still(pool, step)))
 			continue;
-		if (worker->aside_until <= pool->now && !gang)
-			worker_aside(pool, worker, "a run stands still");
+		if (worker->quarantined_until <= pool->now && !gang)
+			worker_quarantine(pool, worker, "a run stands still");
 		pool_run_stop(pool, run, "it makes no progress");
 		if (gang)
 			pool_flow_stop_step(pool, run->flow, run->step, run,
--- a/libgooseberry/pool/incarnation.c
+++ b/libgooseberry/pool/incarnation.c
@@ -210,8 +210,8 @@
 	worker->lease_uncertain = false;
 	worker->failures = 0;
 	worker->failed_flow = 0;
-	worker->aside_until = 0;
-	worker->aside_for = 0;
+	worker->quarantined_until = 0;
+	worker->quarantine_length = 0;
 	worker->slowness = 1.0;
 }
 
--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -20,7 +20,7 @@
 /** A stop without answer is sent again after this. */
 #define STOP_RETRY (500 * GB_MSEC)
 /** A worker that refuses orders is given none for this long. */
-#define REFUSED_ASIDE (700 * GB_MSEC)
+#define REFUSED_QUARANTINE (700 * GB_MSEC)
 
 struct pool_run *
 pool_run_new(struct gb_pool *pool, struct pool_flow *flow, uint32_t step,
@@ -201,7 +201,7 @@
 	    (json_int_t)run->number, "worker", worker->entry.id, "status",
 	    (int)res->status);
 	if (res->status == GB_POOL_ORDER_REFUSED)
-		worker->aside_until = pool->now + REFUSED_ASIDE;
+		worker->quarantined_until = pool->now + REFUSED_QUARANTINE;
 	if (res->status == GB_POOL_ORDER_NO_TICKET) {
 		/* This owner may never have known the queue. */
 		flow->advice.needed = true;
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -288,9 +288,9 @@
 	/* Health, by what it does with its work */
 	unsigned int failures; /**< in a row, of different flows */
 	uint64_t failed_flow;
-	gb_time aside_until;
-	gb_time aside_for; /**< length of the last time set aside */
-	double slowness;   /**< of its runs against their like, 1: as long */
+	gb_time quarantined_until;
+	gb_time quarantine_length; /**< length of the last time set aside */
+	double slowness; /**< of its runs against their like, 1: as long */
 };
 
 /* Writer ------------------------------------------------------------------ */
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -451,7 +451,7 @@
 		worker->acked = 0;
 		worker->clock_ms = 0;
 		worker->lapse_at = 0;
-		worker->aside_until = 0;
+		worker->quarantined_until = 0;
 		worker->failures = 0;
 	}
 }
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -244,10 +244,10 @@
 	gb_res foreign; /**< by what earlier owners left */
 	gb_instance_state platform;
 	enum evidence evidence;
-	bool durable;	/**< named in the shard's log */
-	bool adding;	/**< the record that names it is being written */
-	bool draining;	/**< by an operator */
-	bool sidelined; /**< it fails what it is given */
+	bool durable;	  /**< named in the shard's log */
+	bool adding;	  /**< the record that names it is being written */
+	bool draining;	  /**< by an operator */
+	bool quarantined; /**< it fails what it is given */
 	bool indexed;
 	bool syncing;
 	uint64_t incarnation;
--- a/libgooseberry/process/report.c
+++ b/libgooseberry/process/report.c
@@ -45,8 +45,8 @@
 		    first ? "" : ", ", w->name, w->dc, w->rack,
 		    platform_name(w), evidence_name(w),
 		    w->draining ? "true" : "false",
-		    w->sidelined ? "true" : "false", w->task_count, w->requests,
-		    w->used.cpu + w->foreign.cpu, w->capacity.cpu,
+		    w->quarantined ? "true" : "false", w->task_count,
+		    w->requests, w->used.cpu + w->foreign.cpu, w->capacity.cpu,
 		    w->used.mem + w->foreign.mem, w->capacity.mem);
 		first = false;
 	}
--- a/libgooseberry/process/sched.c
+++ b/libgooseberry/process/sched.c
@@ -343,7 +343,7 @@
 		    {"gooseberry_store_failures_total",
 			"Store operations that failed.", s.store_failures},
 		    {"gooseberry_workers_set_aside_total", "Workers set aside.",
-			s.sidelined},
+			s.quarantined},
 		    {"gooseberry_preempted_total",
 			"Tasks stopped for urgent work.", s.preempted},
 		    {"gooseberry_lent_total", "Tasks lent to other shards.",
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -16,7 +16,7 @@
 #define BLAME_LIMIT 3
 #define PROBE_AFTER (30 * GB_SEC)
 /** At most one worker in this many is set aside. */
-#define SIDELINE_PART 5
+#define QUARANTINE_SHARE 5
 
 struct worker *
 worker_get(struct gb_core *core, uint32_t handle)
@@ -46,7 +46,8 @@
 worker_usable(const struct worker *w)
 {
 	return w->evidence == EVIDENCE_FENCED && w->durable &&
-	       w->platform == GB_INSTANCE_LIVE && !w->draining && !w->sidelined;
+	       w->platform == GB_INSTANCE_LIVE && !w->draining &&
+	       !w->quarantined;
 }
 
 void
@@ -405,7 +406,7 @@
 		w->anchor = 0;
 		w->durable = false;
 		w->adding = false;
-		w->sidelined = false;
+		w->quarantined = false;
 		w->failures = 0;
 		if (w->evidence != EVIDENCE_GONE)
 			w->evidence = EVIDENCE_UNKNOWN;
@@ -419,7 +420,7 @@
 worker_may_sideline(struct gb_core *core, const struct worker *w)
 {
 	uint32_t all = 0;
-	uint32_t aside = 0;
+	uint32_t quarantined = 0;
 	uint32_t i;
 
 	for (i = 0; i < w->shard->worker_count; i++) {
@@ -428,10 +429,11 @@
 		if (o->evidence == EVIDENCE_GONE)
 			continue;
 		all++;
-		if (o->sidelined)
-			aside++;
+		if (o->quarantined)
+			quarantined++;
 	}
-	return aside < all / SIDELINE_PART || (aside == 0 && all > 1);
+	return quarantined < all / QUARANTINE_SHARE ||
+	       (quarantined == 0 && all > 1);
 }
 
 void
@@ -446,12 +448,12 @@
 		return;
 	w->failed_job = job;
 	w->failures++;
-	if (w->failures < BLAME_LIMIT || w->sidelined ||
+	if (w->failures < BLAME_LIMIT || w->quarantined ||
 	    !worker_may_sideline(core, w))
 		return;
-	w->sidelined = true;
+	w->quarantined = true;
 	w->probe_at = core->now + PROBE_AFTER;
-	core->stats.sidelined++;
+	core->stats.quarantined++;
 	gb_env_log(&core->cfg.env, GB_LOG_WARNING, "worker",
 	    "Set worker %s aside after %" PRIu32 " failures of unlike work.",
 	    w->name, w->failures);
@@ -662,8 +664,8 @@
 		return;
 	if (w->evidence == EVIDENCE_GONE)
 		return;
-	if (w->sidelined && core->now >= w->probe_at) {
-		w->sidelined = false;
+	if (w->quarantined && core->now >= w->probe_at) {
+		w->quarantined = false;
 		w->failures = BLAME_LIMIT - 1;
 		w->failed_job = 0;
 		worker_index(core, w);
