--- a/libgooseberry/gen/proto.c
+++ b/libgooseberry/gen/proto.c
@@ -975,16 +975,16 @@
 		if (buf == NULL) {
 			 if (!xdr_bool (xdrs, &objp->begun))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->soon))
+			 if (!xdr_bool (xdrs, &objp->early))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->alone))
+			 if (!xdr_bool (xdrs, &objp->sole_suspect))
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->lapsed))
 				 return FALSE;
 		} else {
 			IXDR_PUT_BOOL(buf, objp->begun);
-			IXDR_PUT_BOOL(buf, objp->soon);
-			IXDR_PUT_BOOL(buf, objp->alone);
+			IXDR_PUT_BOOL(buf, objp->early);
+			IXDR_PUT_BOOL(buf, objp->sole_suspect);
 			IXDR_PUT_BOOL(buf, objp->lapsed);
 		}
 		return TRUE;
@@ -995,16 +995,16 @@
 		if (buf == NULL) {
 			 if (!xdr_bool (xdrs, &objp->begun))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->soon))
+			 if (!xdr_bool (xdrs, &objp->early))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->alone))
+			 if (!xdr_bool (xdrs, &objp->sole_suspect))
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->lapsed))
 				 return FALSE;
 		} else {
 			objp->begun = IXDR_GET_BOOL(buf);
-			objp->soon = IXDR_GET_BOOL(buf);
-			objp->alone = IXDR_GET_BOOL(buf);
+			objp->early = IXDR_GET_BOOL(buf);
+			objp->sole_suspect = IXDR_GET_BOOL(buf);
 			objp->lapsed = IXDR_GET_BOOL(buf);
 		}
 	 return TRUE;
@@ -1014,9 +1014,9 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->begun))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->soon))
+	 if (!xdr_bool (xdrs, &objp->early))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->alone))
+	 if (!xdr_bool (xdrs, &objp->sole_suspect))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->lapsed))
 		 return FALSE;
@@ -1034,13 +1034,13 @@
 		 return FALSE;
 	 if (!xdr_uint32_t (xdrs, &objp->workers))
 		 return FALSE;
-	 if (!xdr_uint32_t (xdrs, &objp->sure))
+	 if (!xdr_uint32_t (xdrs, &objp->confirmed))
 		 return FALSE;
-	 if (!xdr_uint32_t (xdrs, &objp->soon))
+	 if (!xdr_uint32_t (xdrs, &objp->early))
 		 return FALSE;
-	 if (!xdr_uint32_t (xdrs, &objp->blamed))
+	 if (!xdr_uint32_t (xdrs, &objp->attributed))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->alone))
+	 if (!xdr_bool (xdrs, &objp->sole_suspect))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->unreachable.unreachable_val, (u_int *) &objp->unreachable.unreachable_len, GB_UNREACHABLE_MAX,
 		sizeof (gb_unreachable_worker), (xdrproc_t) xdr_gb_unreachable_worker))
--- a/libgooseberry/gen/proto.h
+++ b/libgooseberry/gen/proto.h
@@ -564,8 +564,8 @@
 struct gb_unreachable_worker {
 	gb_name worker;
 	bool_t begun;
-	bool_t soon;
-	bool_t alone;
+	bool_t early;
+	bool_t sole_suspect;
 	bool_t lapsed;
 };
 typedef struct gb_unreachable_worker gb_unreachable_worker;
@@ -574,10 +574,10 @@
 	uint32_t step;
 	uint32_t index;
 	uint32_t workers;
-	uint32_t sure;
-	uint32_t soon;
-	uint32_t blamed;
-	bool_t alone;
+	uint32_t confirmed;
+	uint32_t early;
+	uint32_t attributed;
+	bool_t sole_suspect;
 	struct {
 		u_int unreachable_len;
 		gb_unreachable_worker *unreachable_val;
--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -475,8 +475,8 @@
 struct gb_unreachable_worker {
 	gb_name worker;
 	bool begun;		/* it had said that it runs the task */
-	bool soon;		/* after that */
-	bool alone;		/* and no other flow's start was as new */
+	bool early;		/* after that */
+	bool sole_suspect;		/* and no other flow's start was as new */
 	bool lapsed;		/* the lease was over before it was heard of */
 };
 
@@ -485,10 +485,10 @@
 	uint32_t step;
 	uint32_t index;
 	uint32_t workers;	/* that crashed under it */
-	uint32_t sure;		/* of these, surely while they ran it */
-	uint32_t soon;		/* soon after they had begun it */
-	uint32_t blamed;	/* of these, surely while they ran it */
-	bool alone;		/* once no other flow's start was as new */
+	uint32_t confirmed;		/* of these, surely while they ran it */
+	uint32_t early;		/* soon after they had begun it */
+	uint32_t attributed;	/* of these, surely while they ran it */
+	bool sole_suspect;		/* once no other flow's start was as new */
 	gb_unreachable_worker unreachable<GB_UNREACHABLE_MAX>;
 };
 
--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -52,29 +52,29 @@
 #define CRASH_SURE_LEAST 2
 /** How long it is waited for a word of a worker that is away with a task:
  * workers come back after some seconds. */
-#define CRASH_HOLD (10 * GB_SEC)
+#define CRASH_EVIDENCE_KEEP (10 * GB_SEC)
 
 /** A worker that is away and may have crashed under a task. */
 struct pool_unreachable {
 	char worker[GB_NAME_MAX + 1]; /**< its id */
 	int64_t incarnation;	      /**< that it had then, 0: unknown */
 	bool begun;		      /**< it had said that it runs the task */
-	bool soon;		      /**< fell silent soon after that */
-	bool alone;  /**< and no other flow's start was as new */
-	bool lapsed; /**< the lease was over before it was heard of */
+	bool early;		      /**< fell silent soon after that */
+	bool sole_suspect; /**< and no other flow's start was as new */
+	bool lapsed;	   /**< the lease was over before it was heard of */
 	bool linked; /**< the worker is known, and has the task in its losses */
 };
 
 /** What is known of a task that was lost with workers. */
-struct pool_suspect {
-	uint32_t crashes; /**< workers that crashed under it */
-	uint32_t sure;	  /**< of these, surely while they ran it */
-	uint32_t soon;	  /**< soon after they had begun it */
-	uint32_t blamed;  /**< of these, surely while they ran it */
-	bool alone;	  /**< once no other flow's start was as new */
+struct pool_crash_suspect {
+	uint32_t crashes;    /**< workers that crashed under it */
+	uint32_t confirmed;  /**< of these, surely while they ran it */
+	uint32_t early;	     /**< soon after they had begun it */
+	uint32_t attributed; /**< of these, surely while they ran it */
+	bool sole_suspect;   /**< once no other flow's start was as new */
 	uint32_t unreachable_count;
 	struct pool_unreachable unreachable[GB_UNREACHABLE_MAX];
-	gb_time hold_until; /**< what is away by then counts as crashed */
+	gb_time keep_until; /**< what is away by then counts as crashed */
 	uint64_t change;    /**< of the flow, with which this must be stored */
 };
 
@@ -98,7 +98,7 @@
 
 /* Suspects ---------------------------------------------------------------- */
 
-static struct pool_suspect *
+static struct pool_crash_suspect *
 suspect_get(struct pool_flow *flow, uint32_t step, uint32_t index)
 {
 	struct pool_task *task = &flow->steps[step].tasks[index];
@@ -125,7 +125,7 @@
 }
 
 static struct pool_unreachable *
-unreachable_find(struct pool_suspect *suspect, const char *worker)
+unreachable_find(struct pool_crash_suspect *suspect, const char *worker)
 {
 	uint32_t i;
 
@@ -138,7 +138,7 @@
 
 /** Take a worker off; false when it does not stand there. */
 static bool
-unreachable_remove(struct pool_suspect *suspect, const char *worker,
+unreachable_remove(struct pool_crash_suspect *suspect, const char *worker,
     struct pool_unreachable *out)
 {
 	struct pool_unreachable *unreachable =
@@ -171,7 +171,7 @@
 unreachable_add(
     struct pool_flow *flow, uint32_t step, uint32_t index, const char *worker)
 {
-	struct pool_suspect *suspect = suspect_get(flow, step, index);
+	struct pool_crash_suspect *suspect = suspect_get(flow, step, index);
 	struct pool_unreachable *unreachable =
 	    unreachable_find(suspect, worker);
 
@@ -206,16 +206,16 @@
 pool_crash_load(struct gb_pool *pool, struct pool_flow *flow,
     const gb_task_crashes *stored, const int64_t *incarnations, u_int known)
 {
-	struct pool_suspect *suspect =
+	struct pool_crash_suspect *suspect =
 	    suspect_get(flow, stored->step, stored->index);
 	struct pool_unreachable *unreachable;
 	u_int i;
 
 	suspect->crashes = stored->workers;
-	suspect->sure = stored->sure;
-	suspect->soon = stored->soon;
-	suspect->blamed = stored->blamed;
-	suspect->alone = stored->alone;
+	suspect->confirmed = stored->confirmed;
+	suspect->early = stored->early;
+	suspect->attributed = stored->attributed;
+	suspect->sole_suspect = stored->sole_suspect;
 	for (i = 0; i < stored->unreachable.unreachable_len; i++) {
 		const gb_unreachable_worker *row =
 		    &stored->unreachable.unreachable_val[i];
@@ -226,11 +226,11 @@
 			break;
 		unreachable->incarnation = i < known ? incarnations[i] : 0;
 		unreachable->begun = row->begun;
-		unreachable->soon = row->soon;
-		unreachable->alone = row->alone;
+		unreachable->early = row->early;
+		unreachable->sole_suspect = row->sole_suspect;
 		unreachable->lapsed = row->lapsed;
 	}
-	suspect->hold_until = pool->now + CRASH_HOLD;
+	suspect->keep_until = pool->now + CRASH_EVIDENCE_KEEP;
 }
 
 bool
@@ -254,16 +254,16 @@
 void
 pool_crash_fill(const struct pool_task *task, gb_task_crashes *out)
 {
-	static const struct pool_suspect none;
-	const struct pool_suspect *suspect =
+	static const struct pool_crash_suspect none;
+	const struct pool_crash_suspect *suspect =
 	    task->suspect == NULL ? &none : task->suspect;
 	uint32_t i;
 
 	out->workers = suspect->crashes;
-	out->sure = suspect->sure;
-	out->soon = suspect->soon;
-	out->blamed = suspect->blamed;
-	out->alone = suspect->alone;
+	out->confirmed = suspect->confirmed;
+	out->early = suspect->early;
+	out->attributed = suspect->attributed;
+	out->sole_suspect = suspect->sole_suspect;
 	out->unreachable.unreachable_val = gb_calloc(
 	    suspect->unreachable_count + 1, sizeof(gb_unreachable_worker));
 	for (i = 0; i < suspect->unreachable_count; i++) {
@@ -275,8 +275,8 @@
 
 		row->worker = gb_strdup(unreachable->worker);
 		row->begun = unreachable->begun;
-		row->soon = unreachable->soon;
-		row->alone = unreachable->alone;
+		row->early = unreachable->early;
+		row->sole_suspect = unreachable->sole_suspect;
 		row->lapsed = unreachable->lapsed;
 	}
 	plan_fill(task->plan, out);
@@ -286,7 +286,7 @@
 void
 pool_crash_fill_incarnations(const struct pool_task *task, gb_flow_state *out)
 {
-	const struct pool_suspect *suspect = task->suspect;
+	const struct pool_crash_suspect *suspect = task->suspect;
 	uint32_t count = suspect == NULL ? 0 : suspect->unreachable_count;
 	u_int at = out->worker_incarnations.worker_incarnations_len;
 	uint32_t i;
@@ -472,31 +472,35 @@
 /* Counting ---------------------------------------------------------------- */
 
 static bool
-suspect_over_limit(const struct pool_suspect *suspect)
+suspect_over_limit(const struct pool_crash_suspect *suspect)
 {
-	bool sure = suspect->sure >= CRASH_SURE_LEAST && suspect->soon > 0;
+	bool confirmed =
+	    suspect->confirmed >= CRASH_SURE_LEAST && suspect->early > 0;
 
-	if (suspect->alone && (suspect->blamed >= CRASH_BLAMED_MOST ||
-				  suspect->soon >= CRASH_SOON_MOST))
+	if (suspect->sole_suspect &&
+	    (suspect->attributed >= CRASH_BLAMED_MOST ||
+		suspect->early >= CRASH_SOON_MOST))
 		return true;
-	return suspect->crashes >= (sure ? CRASH_MOST - 1 : CRASH_MOST);
+	return suspect->crashes >= (confirmed ? CRASH_MOST - 1 : CRASH_MOST);
 }
 
 static void
-suspect_count(struct pool_suspect *suspect, const struct pool_unreachable *how)
+suspect_count(
+    struct pool_crash_suspect *suspect, const struct pool_unreachable *how)
 {
 	suspect->crashes++;
-	suspect->sure += how->begun && !how->lapsed;
-	suspect->soon += how->soon;
-	suspect->blamed += how->soon && !how->lapsed;
-	suspect->alone = suspect->alone || (how->soon && how->alone);
+	suspect->confirmed += how->begun && !how->lapsed;
+	suspect->early += how->early;
+	suspect->attributed += how->early && !how->lapsed;
+	suspect->sole_suspect =
+	    suspect->sole_suspect || (how->early && how->sole_suspect);
 }
 
 /** Whether it is over the limit if all workers that are away have crashed. */
 static bool
-suspect_may_be_over_limit(const struct pool_suspect *suspect)
+suspect_may_be_over_limit(const struct pool_crash_suspect *suspect)
 {
-	struct pool_suspect worst = *suspect;
+	struct pool_crash_suspect worst = *suspect;
 	uint32_t i;
 
 	for (i = 0; i < suspect->unreachable_count; i++)
@@ -516,14 +520,15 @@
 task_crashed(struct gb_pool *pool, struct pool_flow *flow, uint32_t step,
     uint32_t index, const struct pool_unreachable *how)
 {
-	struct pool_suspect *suspect = suspect_get(flow, step, index);
+	struct pool_crash_suspect *suspect = suspect_get(flow, step, index);
 
 	suspect_count(suspect, how);
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "task_crashed_worker",
 	    "{s:s, s:I, s:I, s:I, s:I, s:b, s:b, s:b}", "flow", flow->spec.id,
 	    "step", (json_int_t)step, "index", (json_int_t)index, "workers",
-	    (json_int_t)suspect->crashes, "blamed", (json_int_t)suspect->blamed,
-	    "soon", how->soon, "alone", how->alone, "lapsed", how->lapsed);
+	    (json_int_t)suspect->crashes, "blamed",
+	    (json_int_t)suspect->attributed, "soon", how->early, "alone",
+	    how->sole_suspect, "lapsed", how->lapsed);
 	pool_flow_changed(pool, flow, true);
 	suspect->change = flow->change;
 	if (suspect_over_limit(suspect))
@@ -557,9 +562,11 @@
 		if (unreachable == NULL)
 			continue;
 		unreachable->begun = run_begun(run);
-		unreachable->soon = run_begun(run);
-		unreachable->alone = !pool_crash_has_new(worker, run->flow);
-		task_of(run)->suspect->hold_until = pool->now + CRASH_HOLD;
+		unreachable->early = run_begun(run);
+		unreachable->sole_suspect =
+		    !pool_crash_has_new(worker, run->flow);
+		task_of(run)->suspect->keep_until =
+		    pool->now + CRASH_EVIDENCE_KEEP;
 		pool_flow_changed(pool, run->flow, true);
 		task_of(run)->suspect->change = run->flow->change;
 	}
@@ -573,13 +580,14 @@
 
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		run->lost_soon = !together && run_begun(run) && run_is_new(run);
-		run->lost_alone = !pool_crash_has_new(worker, run->flow);
+		run->lost_early =
+		    !together && run_begun(run) && run_is_new(run);
+		run->lost_sole_suspect = !pool_crash_has_new(worker, run->flow);
 	}
 }
 
 void
-pool_crash_run_over(struct gb_pool *pool, const struct pool_run *run)
+pool_crash_run_ended(struct gb_pool *pool, const struct pool_run *run)
 {
 	struct pool_unreachable how = {0};
 
@@ -587,8 +595,8 @@
 		return;
 	unreachable_remove(task_of(run)->suspect, run->worker->entry.id, &how);
 	how.begun = run_begun(run);
-	how.soon = run->lost_soon;
-	how.alone = run->lost_alone;
+	how.early = run->lost_early;
+	how.sole_suspect = run->lost_sole_suspect;
 	task_crashed(pool, run->flow, run->step, run->index, &how);
 }
 
@@ -604,7 +612,7 @@
 		unreachable->begun = run_begun(run);
 		unreachable->lapsed = true;
 	}
-	task_of(run)->suspect->hold_until = pool->now + CRASH_HOLD;
+	task_of(run)->suspect->keep_until = pool->now + CRASH_EVIDENCE_KEEP;
 	pool_flow_changed(pool, run->flow, false);
 }
 
@@ -628,8 +636,8 @@
 		pool_flow_changed(pool, flow, false);
 		return;
 	}
-	unreachable.soon =
-	    unreachable.soon && !worker_lost_with_others(pool, worker);
+	unreachable.early =
+	    unreachable.early && !worker_lost_with_others(pool, worker);
 	task_crashed(pool, flow, step, index, &unreachable);
 }
 
@@ -675,7 +683,7 @@
 bool
 pool_crash_held(const struct pool_flow *flow, const struct pool_task *task)
 {
-	const struct pool_suspect *suspect = task->suspect;
+	const struct pool_crash_suspect *suspect = task->suspect;
 
 	if (task->plan != NULL && flow->stored < task->plan->change)
 		return true;
@@ -711,11 +719,11 @@
 {
 	static const struct pool_unreachable unknown;
 	const struct pool_task *task = &flow->steps[step].tasks[index];
-	struct pool_suspect *suspect = task->suspect;
+	struct pool_crash_suspect *suspect = task->suspect;
 
 	while (suspect != NULL && !task->done &&
 	       suspect->unreachable_count > 0 &&
-	       suspect->hold_until <= pool->now &&
+	       suspect->keep_until <= pool->now &&
 	       flow->status < GB_FLOW_SUCCEEDED) {
 		suspect->unreachable_count--;
 		task_crashed(pool, flow, step, index, &unknown);
@@ -727,7 +735,8 @@
 task_link(
     struct gb_pool *pool, struct pool_flow *flow, uint32_t step, uint32_t index)
 {
-	struct pool_suspect *suspect = flow->steps[step].tasks[index].suspect;
+	struct pool_crash_suspect *suspect =
+	    flow->steps[step].tasks[index].suspect;
 	struct pool_worker *worker;
 	uint32_t i;
 
--- a/libgooseberry/pool/crash.h
+++ b/libgooseberry/pool/crash.h
@@ -14,7 +14,7 @@
 /** A worker is lost: classify its runs, before the first of them is freed. */
 void pool_crash_classify(const struct gb_pool *, struct pool_worker *);
 /** A run is lost: another lifetime answered in its worker's place. */
-void pool_crash_run_over(struct gb_pool *, const struct pool_run *);
+void pool_crash_run_ended(struct gb_pool *, const struct pool_run *);
 /** A run is lost: its worker is away and its lease was waited out. */
 void pool_crash_run_lapsed(struct gb_pool *, const struct pool_run *);
 /** A worker that was away has answered, or another lifetime in its place. */
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -80,8 +80,8 @@
 	bool adopted;  /**< was started by an earlier owner */
 	bool suspect;  /**< its task was lost with a worker before */
 	/* Of a run whose worker is lost */
-	bool lost_soon;	 /**< after the worker had begun it */
-	bool lost_alone; /**< and no other flow's start was as new */
+	bool lost_early;	/**< after the worker had begun it */
+	bool lost_sole_suspect; /**< and no other flow's start was as new */
 	char checkpoint[GB_NAME_MAX + 1];
 };
 
@@ -89,13 +89,14 @@
 
 /* Flows ------------------------------------------------------------------- */
 
-struct pool_suspect;
+struct pool_crash_suspect;
 struct pool_plan;
 
 struct pool_task {
-	struct pool_suspect *suspect; /**< null: never lost with a worker */
-	struct pool_plan *plan;	      /**< null: its start need not be stored */
-	struct pool_runs runs;	      /**< one, or two of a speculative step */
+	struct pool_crash_suspect
+	    *suspect;		/**< null: never lost with a worker */
+	struct pool_plan *plan; /**< null: its start need not be stored */
+	struct pool_runs runs;	/**< one, or two of a speculative step */
 	bool done;
 	bool preempted; /**< has been stopped to make room for others */
 	uint32_t failures;
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -124,7 +124,7 @@
 	run_lost_event(pool, run, crashed);
 	if (crashed) {
 		pool->stats.crashed++;
-		pool_crash_run_over(pool, run);
+		pool_crash_run_ended(pool, run);
 	} else {
 		pool->stats.lapsed++;
 		pool_crash_run_lapsed(pool, run);
--- a/tests/test_crash.c
+++ b/tests/test_crash.c
@@ -284,8 +284,8 @@
 		gb_task_crashes crashes = stored_crashes(cell, i);
 
 		assert_int_equal(crashes.workers, 1);
-		assert_int_equal(crashes.blamed, 1);
-		assert_false(crashes.alone);
+		assert_int_equal(crashes.attributed, 1);
+		assert_false(crashes.sole_suspect);
 	}
 	pool_cell_run(cell, 30 * GB_SEC);
 	assert_only_crashers_fail(cell);
