--- a/libgooseberry/connection/rpc_client.c
+++ b/libgooseberry/connection/rpc_client.c
@@ -47,7 +47,7 @@
 	struct rpc_reader reader;
 	bool up;
 	gb_time made;
-	gb_time heard; /**< when something last came, 0: never */
+	gb_time last_heard; /**< when something last came, 0: never */
 };
 
 LIST_HEAD(rpc_links, rpc_link);
@@ -172,7 +172,7 @@
 	if (link->client != NULL && n > 0) {
 		link->client->bytes += (size_t)n;
 		link->client->unheard = 0;
-		link->heard = gb_clock_boot();
+		link->last_heard = gb_clock_boot();
 		ok = rpc_reader_feed(
 		    &link->reader, buf->base, (size_t)n, link_record, link);
 	}
@@ -273,8 +273,8 @@
 {
 	unsigned int doublings = link->client->unheard;
 
-	if (link->heard != 0)
-		return link->heard < call->written;
+	if (link->last_heard != 0)
+		return link->last_heard < call->written;
 	if (doublings > LINK_UNHEARD_DOUBLINGS)
 		doublings = LINK_UNHEARD_DOUBLINGS;
 	return gb_clock_boot() - link->made >= LINK_UNHEARD_LEAST << doublings;
@@ -288,7 +288,7 @@
 
 	if (link == NULL || link != client->link || !link_silent(link, call))
 		return;
-	if (link->heard == 0)
+	if (link->last_heard == 0)
 		client->unheard++;
 	client->link = NULL;
 	LIST_INSERT_HEAD(&client->old, link, next);
--- a/libgooseberry/gen/proto.c
+++ b/libgooseberry/gen/proto.c
@@ -1235,14 +1235,14 @@
 		if (buf == NULL) {
 			 if (!xdr_bool (xdrs, &objp->owner))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->taking))
+			 if (!xdr_bool (xdrs, &objp->acquiring))
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->vacating))
 				 return FALSE;
 
 		} else {
 		IXDR_PUT_BOOL(buf, objp->owner);
-		IXDR_PUT_BOOL(buf, objp->taking);
+		IXDR_PUT_BOOL(buf, objp->acquiring);
 		IXDR_PUT_BOOL(buf, objp->vacating);
 		}
 		 if (!xdr_uint64_t (xdrs, &objp->epoch))
@@ -1278,14 +1278,14 @@
 		if (buf == NULL) {
 			 if (!xdr_bool (xdrs, &objp->owner))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->taking))
+			 if (!xdr_bool (xdrs, &objp->acquiring))
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->vacating))
 				 return FALSE;
 
 		} else {
 		objp->owner = IXDR_GET_BOOL(buf);
-		objp->taking = IXDR_GET_BOOL(buf);
+		objp->acquiring = IXDR_GET_BOOL(buf);
 		objp->vacating = IXDR_GET_BOOL(buf);
 		}
 		 if (!xdr_uint64_t (xdrs, &objp->epoch))
@@ -1320,7 +1320,7 @@
 
 	 if (!xdr_bool (xdrs, &objp->owner))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->taking))
+	 if (!xdr_bool (xdrs, &objp->acquiring))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->vacating))
 		 return FALSE;
--- a/libgooseberry/gen/proto.h
+++ b/libgooseberry/gen/proto.h
@@ -702,7 +702,7 @@
 
 struct gb_hello_res {
 	bool_t owner;
-	bool_t taking;
+	bool_t acquiring;
 	bool_t vacating;
 	uint64_t epoch;
 	gb_name owner_addr;
--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -588,7 +588,7 @@
 
 struct gb_hello_res {
 	bool owner;		/* answers as the owner */
-	bool taking;		/* has claimed the pool and is loading it */
+	bool acquiring;		/* has claimed the pool and is loading it */
 	bool vacating;		/* the owner stops: take over at once */
 	uint64_t epoch;
 	gb_name owner_addr;	/* as far as known */
--- a/libgooseberry/node/caller.c
+++ b/libgooseberry/node/caller.c
@@ -30,7 +30,7 @@
 		return queue->anonymous ? GB_CALLER_ANONYMOUS
 					: GB_CALLER_UNKNOWN;
 	if (!current)
-		return GB_CALLER_UNSURE;
+		return GB_CALLER_NOT_VERIFIED;
 	gb_pool_key_digest(key, &out->digest);
 	out->org = gb_pool_config_key_org(config, &out->digest);
 	return out->org == NULL ? GB_CALLER_UNKNOWN : GB_CALLER_KNOWN;
--- a/libgooseberry/node/caller.h
+++ b/libgooseberry/node/caller.h
@@ -12,7 +12,7 @@
 	GB_CALLER_KNOWN,
 	GB_CALLER_UNKNOWN, /**< nobody has the key, or none came */
 	/** A key came, and the configuration may be too old to judge it. */
-	GB_CALLER_UNSURE
+	GB_CALLER_NOT_VERIFIED
 };
 
 /** A caller of a queue. */
--- a/libgooseberry/node/handover.c
+++ b/libgooseberry/node/handover.c
@@ -153,7 +153,8 @@
 	gb_succeed_res res = {0};
 
 	res.begun = node->config != NULL && !node->leaving &&
-		    !gb_pool_owns(node->pool) && !gb_pool_taking(node->pool) &&
+		    !gb_pool_owns(node->pool) &&
+		    !gb_pool_acquiring(node->pool) &&
 		    !node_store_unavailable(node) &&
 		    ask->epoch >= gb_pool_epoch(node->pool);
 	gb_rpc_call_reply(call, &res);
--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -394,7 +394,8 @@
 	gb_time passed = now - node->budget_at;
 	uint64_t bytes = flow_bytes(&in->submit->flow);
 
-	if (rate == 0 || watch_unserved(&node->watch, now) <= BUDGET_AFTER)
+	if (rate == 0 ||
+	    watch_time_without_owner(&node->watch, now) <= BUDGET_AFTER)
 		return true;
 	if (passed > BUDGET_MOST)
 		passed = BUDGET_MOST;
--- a/libgooseberry/node/members.c
+++ b/libgooseberry/node/members.c
@@ -43,7 +43,7 @@
 }
 
 struct node_member *
-node_member_heard(struct gb_node *node, const gb_hello *hello)
+node_member_hello_received(struct gb_node *node, const gb_hello *hello)
 {
 	struct node_member *member;
 	gb_time now = node_now();
@@ -51,7 +51,7 @@
 	HASH_FIND_STR(node->members, hello->addr, member);
 	if (member == NULL)
 		member = member_new(node, hello);
-	member->heard = now;
+	member->last_heard = now;
 	member->config = hello->config;
 	if (node->config != NULL && hello->config >= node->config->version)
 		member->behind = 0;
@@ -78,7 +78,7 @@
 	node->known_count = 0;
 	node->known_vers = 0;
 	for (member = node->members; member != NULL; member = member->hh.next) {
-		if (now - member->heard <= MEMBER_KEEP)
+		if (now - member->last_heard <= MEMBER_KEEP)
 			snprintf(node->known[node->known_count++],
 			    GB_NAME_MAX + 1, "%s", member->addr);
 	}
@@ -97,7 +97,7 @@
 		m->addr = member->addr;
 		m->cpu_milli = member->cpu_milli;
 		m->up = node_now() - member->started;
-		m->silent = node_now() - member->heard;
+		m->silent = node_now() - member->last_heard;
 		m->leaving = member->leaving;
 		m->current = node->config != NULL &&
 			     member->config >= node->config->version;
@@ -141,7 +141,7 @@
 	node->largest_milli = 0;
 	HASH_ITER(hh, node->members, member, next)
 	{
-		if (now - member->heard > MEMBER_KEEP)
+		if (now - member->last_heard > MEMBER_KEEP)
 			member_drop(node, member);
 		else if (member->cpu_milli > node->largest_milli)
 			node->largest_milli = member->cpu_milli;
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -344,27 +344,27 @@
 }
 
 void
-node_config_heard(struct gb_node *node, uint64_t version)
+node_config_announced(struct gb_node *node, uint64_t version)
 {
-	if (version <= node->config_heard)
+	if (version <= node->config_newest_known)
 		return;
-	node->config_heard = version;
-	node->config_heard_at = node_now();
+	node->config_newest_known = version;
+	node->config_newest_known_at = node_now();
 }
 
 bool
 gb_node_config_behind(const struct gb_node *node)
 {
 	return node->config == NULL ||
-	       node->config_heard > node->config->version;
+	       node->config_newest_known > node->config->version;
 }
 
 /** How long others have been known to have a newer version. */
 static gb_time
 config_behind_for(const struct gb_node *node)
 {
-	return gb_node_config_behind(node) && node->config_heard > 0
-		   ? node_now() - node->config_heard_at
+	return gb_node_config_behind(node) && node->config_newest_known > 0
+		   ? node_now() - node->config_newest_known_at
 		   : 0;
 }
 
@@ -471,8 +471,8 @@
 	uint64_t epoch;
 
 	if (gb_pool_owns(node->pool))
-		watch_served(&node->watch, node_now());
-	if (gb_pool_owns(node->pool) || gb_pool_taking(node->pool)) {
+		watch_owns_pool(&node->watch, node_now());
+	if (gb_pool_owns(node->pool) || gb_pool_acquiring(node->pool)) {
 		if (!gb_pool_owns(node->pool))
 			return;
 		gb_pool_member(node->pool, node_now(), node->settings.addr,
@@ -491,7 +491,7 @@
 	case WATCH_POLL:
 		node_poll_members(node);
 		break;
-	case WATCH_TAKE:
+	case WATCH_TAKE_OVER:
 		if (node->leaving || node->config == NULL) {
 			watch_lost(&node->watch, node_now(), 0);
 			break;
@@ -576,7 +576,7 @@
 	intake_tick(node);
 	link_look(node);
 	link_shed(node);
-	busy = gb_pool_owns(node->pool) || gb_pool_taking(node->pool) ||
+	busy = gb_pool_owns(node->pool) || gb_pool_acquiring(node->pool) ||
 	       !TAILQ_EMPTY(&node->intakes) || node->leaving;
 	if (busy == node->busy_tick)
 		return;
@@ -663,14 +663,14 @@
 bool
 gb_node_left(const struct gb_node *node)
 {
-	return !gb_pool_owns(node->pool) && !gb_pool_taking(node->pool);
+	return !gb_pool_owns(node->pool) && !gb_pool_acquiring(node->pool);
 }
 
 bool
 gb_node_ready(const struct gb_node *node)
 {
 	bool owner = gb_pool_owns(node->pool) ||
-		     node_now() - node->watch.heard < READY_SILENCE;
+		     node_now() - node->watch.last_heard < READY_SILENCE;
 
 	/* A node that reaches neither an owner nor the store serves nobody. */
 	return node->config != NULL && !node->leaving &&
--- a/libgooseberry/node/node_state.h
+++ b/libgooseberry/node/node_state.h
@@ -25,7 +25,7 @@
 struct node_member {
 	UT_hash_handle hh;
 	char addr[GB_NAME_MAX + 1];
-	gb_time heard;
+	gb_time last_heard;
 	uint64_t incarnation; /**< of its process */
 	/** When that process started, by its first hello: ages that come later
 	 * differ by the way they took, and ranks must not change by that. */
@@ -114,8 +114,9 @@
 	struct gb_pool_config *config;
 	char *config_text;
 	size_t config_len;
-	uint64_t config_heard;	 /**< newest version that another node has */
-	gb_time config_heard_at; /**< when it was first heard of */
+	uint64_t
+	    config_newest_known; /**< newest version that another node has */
+	gb_time config_newest_known_at; /**< when it was first heard of */
 	uint64_t configs_unreadable;
 	uint64_t orgs_bad; /**< organisations and keys that were left out */
 	gb_time push_at;   /**< no configuration is sent to a member before */
@@ -154,7 +155,7 @@
     void (*read_done)(struct node_call *, const struct gb_pool_read_res *));
 
 /** Another node has this version of the configuration. */
-void node_config_heard(struct gb_node *, uint64_t version);
+void node_config_announced(struct gb_node *, uint64_t version);
 
 /** Whether the store does not answer this node for now. */
 bool node_store_unavailable(const struct gb_node *);
@@ -182,7 +183,8 @@
 
 /* members.c */
 /** A member said hello to this owner. */
-struct node_member *node_member_heard(struct gb_node *, const gb_hello *);
+struct node_member *node_member_hello_received(
+    struct gb_node *, const gb_hello *);
 /** Tell a member its rank, and of the others, unless it has this version of the
  * list.  The names that are pointed to last until the next call. */
 void node_members_fill(struct gb_node *, const struct node_member *,
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -68,7 +68,7 @@
 static void
 config_learn(struct gb_node *node, const gb_hello_res *res)
 {
-	node_config_heard(node, res->config);
+	node_config_announced(node, res->config);
 	if (res->config_text.gb_body_len > 0)
 		gb_node_config_seen(node, res->config_text.gb_body_val,
 		    res->config_text.gb_body_len);
@@ -150,22 +150,22 @@
 owner_answered(struct gb_node *node, const struct hello_call *call,
     gb_verdict verdict, const gb_hello_res *res)
 {
-	struct watch_news news = {0};
+	struct watch_owner_status news = {0};
 	gb_time now = node_now();
 
 	if (verdict != GB_RUN) {
 		/* A connection that does not come about in time was not
 		 * refused: its packets may be lost. */
-		watch_unheard(&node->watch, now,
+		watch_hello_failed(&node->watch, now,
 		    verdict == GB_NOT_RUN && now - call->sent < HELLO_TIMEOUT);
 		sight_hello_lost(node);
 		return;
 	}
 	sight_hello_answered(node);
 	config_learn(node, res);
-	if (res->taking) {
+	if (res->acquiring) {
 		node->shed_told = 0;
-		watch_taking(&node->watch, now);
+		watch_owner_acquiring(&node->watch, now);
 		return;
 	}
 	if (!res->owner) {
@@ -182,7 +182,7 @@
 	news.place = place_learn(node, res);
 	node->shed_told = res->shed;
 	config_tell(node, res, res->rank);
-	watch_heard(&node->watch, now, &news);
+	watch_hello_answered(&node->watch, now, &news);
 }
 
 static void
@@ -223,15 +223,15 @@
 	const gb_hello_res *res = arg;
 
 	if (verdict != GB_RUN) {
-		watch_polled(&node->watch, WATCH_NO_WORD);
+		watch_polled(&node->watch, WATCH_VOTE_NONE);
 		return;
 	}
 	config_learn(node, res);
-	if (res->owner || res->taking ||
+	if (res->owner || res->acquiring ||
 	    res->owner_heard_us < NODE_OWNER_SILENCE)
-		watch_polled(&node->watch, WATCH_HEARS);
+		watch_polled(&node->watch, WATCH_VOTE_REACHABLE);
 	else
-		watch_polled(&node->watch, WATCH_HEARS_NOT);
+		watch_polled(&node->watch, WATCH_VOTE_UNREACHABLE);
 }
 
 void
@@ -300,10 +300,10 @@
 	gb_time now = node_now();
 
 	res.rank = SUCCESSION_UNRANKED;
-	node_config_heard(node, hello->config);
+	node_config_announced(node, hello->config);
 	gb_pool_epoch_seen(node->pool, now, hello->epoch);
 	res.owner = gb_pool_owns(node->pool) || node->released;
-	res.taking = gb_pool_loading(node->pool);
+	res.acquiring = gb_pool_loading(node->pool);
 	res.vacating =
 	    node->released || (node->leaving && !node->handover.under_way);
 	res.epoch = gb_pool_epoch(node->pool);
@@ -313,7 +313,7 @@
 	res.owner_addr = node->watch.owner;
 	res.owner_heard_us = watch_silence(&node->watch, now);
 	if (gb_pool_owns(node->pool)) {
-		node_members_fill(node, node_member_heard(node, hello),
+		node_members_fill(node, node_member_hello_received(node, hello),
 		    hello->members_known, &res);
 		res.owner_addr = node->settings.addr;
 		res.owner_heard_us = 0;
--- a/libgooseberry/node/sight.c
+++ b/libgooseberry/node/sight.c
@@ -77,7 +77,7 @@
 	node->sight.suspicions++;
 	gb_event(node->events, GB_EVENT_ALWAYS, "owner_suspected",
 	    "{s:s, s:I, s:I, s:I}", "owner", node->watch.owner, "silent_ms",
-	    sight_ms(node_now() - node->watch.heard), "members",
+	    sight_ms(node_now() - node->watch.last_heard), "members",
 	    (json_int_t)node->known_count, "asked", (json_int_t)asked);
 }
 
@@ -122,16 +122,17 @@
 	gb_event(node->events, GB_EVENT_ALWAYS, "takeover_decided",
 	    "{s:s, s:I, s:I, s:b, s:s, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I, "
 	    "s:I, s:s, s:I, s:I}",
-	    "owner", watch->owner, "silent_ms", sight_ms(now - watch->heard),
-	    "refused", (json_int_t)watch->refused, "vacant", watch->vacant,
-	    "cause", watch_cause_name(watch->cause), "epoch",
-	    (json_int_t)watch->epoch, "known_ms", sight_ms(known), "rank",
-	    sight_rank(watch), "members", (json_int_t)node->known_count,
-	    "asked", (json_int_t)watch->asked, "words",
-	    (json_int_t)watch->words, "deaf", (json_int_t)watch->deaf,
-	    "hearing", (json_int_t)watch->hearing, "poll_ms_ago",
+	    "owner", watch->owner, "silent_ms",
+	    sight_ms(now - watch->last_heard), "refused",
+	    (json_int_t)watch->refused, "vacant", watch->vacant, "cause",
+	    watch_cause_name(watch->cause), "epoch", (json_int_t)watch->epoch,
+	    "known_ms", sight_ms(known), "rank", sight_rank(watch), "members",
+	    (json_int_t)node->known_count, "asked", (json_int_t)watch->asked,
+	    "words", (json_int_t)watch->votes, "deaf",
+	    (json_int_t)watch->votes_unreachable, "hearing",
+	    (json_int_t)watch->votes_reachable, "poll_ms_ago",
 	    sight_poll_age(watch, now), "row", sight_row(watch), "contested",
-	    (json_int_t)watch->contested, "stood_ms", sight_ms(watch->stood));
+	    (json_int_t)watch->contested, "stood_ms", sight_ms(watch->paused));
 }
 
 /* The owner itself -------------------------------------------------------- */
@@ -144,7 +145,7 @@
 	unsigned int count = 0;
 
 	for (member = node->members; member != NULL; member = member->hh.next)
-		count += now - member->heard < SIGHT_MEMBER_HEARD;
+		count += now - member->last_heard < SIGHT_MEMBER_HEARD;
 	return count;
 }
 
@@ -156,8 +157,8 @@
 	gb_time last = 0;
 
 	for (member = node->members; member != NULL; member = member->hh.next) {
-		if (member->heard > last)
-			last = member->heard;
+		if (member->last_heard > last)
+			last = member->last_heard;
 	}
 	return last == 0 ? SIGHT_NONE : sight_ms(now - last);
 }
--- a/libgooseberry/node/watch.c
+++ b/libgooseberry/node/watch.c
@@ -100,8 +100,8 @@
 	memset(w, 0, sizeof(*w));
 	snprintf(w->self, sizeof(w->self), "%s", self);
 	w->own_milli = own_milli;
-	w->heard = now;
-	w->served = now;
+	w->last_heard = now;
+	w->owner_confirmed_at = now;
 	w->owner_since = now;
 	w->seed = seed;
 	w->place.rank = SUCCESSION_UNRANKED;
@@ -111,9 +111,9 @@
 static void
 watch_trust(struct watch *w, gb_time now)
 {
-	w->heard = now;
-	w->stood = 0;
-	w->looked = now;
+	w->last_heard = now;
+	w->paused = 0;
+	w->last_checked = now;
 	w->missed = 0;
 	w->refused = 0;
 	w->polled = 0;
@@ -123,26 +123,27 @@
 gb_time
 watch_silence(const struct watch *w, gb_time now)
 {
-	return now - w->heard - w->stood;
+	return now - w->last_heard - w->paused;
 }
 
 bool
 watch_owner_reads(const struct watch *w, gb_time now)
 {
-	return w->taking_since != 0 && now - w->taking_since > WATCH_READS;
+	return w->acquiring_since != 0 &&
+	       now - w->acquiring_since > WATCH_READS;
 }
 
 void
-watch_served(struct watch *w, gb_time now)
+watch_owns_pool(struct watch *w, gb_time now)
 {
-	w->served = now;
-	w->taking_since = 0;
+	w->owner_confirmed_at = now;
+	w->acquiring_since = 0;
 }
 
 gb_time
-watch_unserved(const struct watch *w, gb_time now)
+watch_time_without_owner(const struct watch *w, gb_time now)
 {
-	return now - w->served;
+	return now - w->owner_confirmed_at;
 }
 
 /** Whether the owner has not answered when it should have. */
@@ -157,9 +158,9 @@
 static void
 watch_look(struct watch *w, gb_time now)
 {
-	if (w->looked != 0 && now - w->looked > WATCH_STOOD)
-		w->stood += now - w->looked - WATCH_STOOD;
-	w->looked = now;
+	if (w->last_checked != 0 && now - w->last_checked > WATCH_STOOD)
+		w->paused += now - w->last_checked - WATCH_STOOD;
+	w->last_checked = now;
 }
 
 static unsigned int
@@ -225,7 +226,7 @@
 {
 	bool works = w->renewal.state == RENEWAL_GOES_ON;
 
-	if (w->hearing > 0) {
+	if (w->votes_reachable > 0) {
 		/* It is this node that can't reach the owner.  What it tells
 		 * others of the owner must not change by that. */
 		w->polled = 0;
@@ -233,9 +234,10 @@
 		return false;
 	}
 	if (works)
-		return w->deaf * 2 > w->polled;
-	return w->deaf > 0 || (watch_silence(w, now) > WATCH_ALONE &&
-				  w->renewal.stopped >= WATCH_STOPPED_ALONE);
+		return w->votes_unreachable * 2 > w->polled;
+	return w->votes_unreachable > 0 ||
+	       (watch_silence(w, now) > WATCH_ALONE &&
+		   w->renewal.stopped >= WATCH_STOPPED_ALONE);
 }
 
 /** Whether nobody listens at the owner's address, and that means that it is
@@ -278,11 +280,12 @@
 	}
 	if (w->polled == 0)
 		return WATCH_POLL;
-	if (w->words < w->polled && now - w->polled_at < WATCH_POLL_WAIT)
+	if (w->votes < w->polled && now - w->polled_at < WATCH_POLL_WAIT)
 		return WATCH_NOTHING;
 	if (watch_agreed(w, now)) {
 		watch_vacate(w, now,
-		    w->deaf > 0 ? WATCH_CAUSE_SILENT : WATCH_CAUSE_ALONE);
+		    w->votes_unreachable > 0 ? WATCH_CAUSE_SILENT
+					     : WATCH_CAUSE_NO_ANSWER);
 		return WATCH_NOTHING;
 	}
 	if (now - w->polled_at > WATCH_SUSPECT)
@@ -303,7 +306,7 @@
 watch_decide(struct watch *w, gb_time now)
 {
 	if (w->vacant && w->take_at <= now)
-		return WATCH_TAKE;
+		return WATCH_TAKE_OVER;
 	if (w->vacant || w->owner[0] == '\0')
 		return w->next_read <= now ? WATCH_READ : WATCH_NOTHING;
 	if ((w->store_doubted && w->next_read <= now) || watch_reads(w, now))
@@ -362,14 +365,14 @@
 		return;
 	if (w->store_took >= WATCH_STORE_QUICK) {
 		w->store_doubted = false;
-		w->served_since = 0;
-	} else if (w->served_since != 0 &&
-		   now - w->served_since >= WATCH_SERVED &&
+		w->store_ok_since = 0;
+	} else if (w->store_ok_since != 0 &&
+		   now - w->store_ok_since >= WATCH_SERVED &&
 		   watch_store_matters(w, now)) {
 		w->store_doubted = false;
 		watch_vacate(w, now, WATCH_CAUSE_STORE);
-	} else if (w->served_since == 0) {
-		w->served_since = now;
+	} else if (w->store_ok_since == 0) {
+		w->store_ok_since = now;
 		w->next_read = now + WATCH_SERVED;
 	}
 }
@@ -423,14 +426,15 @@
 {
 	w->read_in_flight = false;
 	w->store_doubted = false;
-	w->served_since = 0;
+	w->store_ok_since = 0;
 	/* The next read is of another part. */
 	renewal_reset(&w->renewal);
 	w->next_read = now + WATCH_READ_EVERY + watch_spread(w);
 }
 
 void
-watch_heard(struct watch *w, gb_time now, const struct watch_news *news)
+watch_hello_answered(
+    struct watch *w, gb_time now, const struct watch_owner_status *news)
 {
 	if (w->hello_in_flight)
 		w->hello_took = now - w->hello_at;
@@ -439,7 +443,7 @@
 	    now + (news->place.rank < WATCH_DOUBTERS ? WATCH_HELLO_FIRST
 						     : WATCH_HELLO_EVERY);
 	watch_trust(w, now);
-	watch_served(w, now);
+	watch_owns_pool(w, now);
 	if (news->epoch > w->epoch) {
 		w->epoch = news->epoch;
 		w->owner_since = now;
@@ -451,7 +455,7 @@
 	    (news->store_silent > WATCH_STORE_SILENT ||
 		(news->store_unavailable && news->place.rank < WATCH_DOUBTERS));
 	if (!w->store_doubted)
-		w->served_since = 0;
+		w->store_ok_since = 0;
 	if (news->vacating)
 		watch_vacate(w, now, WATCH_CAUSE_VACATING);
 	else if (!w->store_doubted)
@@ -465,7 +469,7 @@
 	w->epoch = epoch;
 	w->vacant = false;
 	w->store_doubted = false;
-	w->taking_since = 0;
+	w->acquiring_since = 0;
 	watch_trust(w, now);
 	w->hello_in_flight = false;
 	w->owner_since = now;
@@ -503,17 +507,17 @@
 }
 
 void
-watch_taking(struct watch *w, gb_time now)
+watch_owner_acquiring(struct watch *w, gb_time now)
 {
 	w->hello_in_flight = false;
 	w->next_hello = now + WATCH_HELLO_EVERY / 4;
-	if (w->taking_since == 0)
-		w->taking_since = now;
+	if (w->acquiring_since == 0)
+		w->acquiring_since = now;
 	watch_trust(w, now);
 }
 
 void
-watch_unheard(struct watch *w, gb_time now, bool refused)
+watch_hello_failed(struct watch *w, gb_time now, bool refused)
 {
 	w->hello_in_flight = false;
 	/* The first is followed at once by another, over a new connection if
@@ -531,21 +535,21 @@
 	w->polled = members;
 	w->asked = members;
 	w->polled_at = now;
-	w->words = 0;
-	w->deaf = 0;
-	w->hearing = 0;
+	w->votes = 0;
+	w->votes_unreachable = 0;
+	w->votes_reachable = 0;
 	if (members == 0)
 		w->polled = 1;
 }
 
 void
-watch_polled(struct watch *w, enum watch_word word)
+watch_polled(struct watch *w, enum watch_vote word)
 {
-	w->words++;
-	if (word == WATCH_HEARS)
-		w->hearing++;
-	if (word == WATCH_HEARS_NOT)
-		w->deaf++;
+	w->votes++;
+	if (word == WATCH_VOTE_REACHABLE)
+		w->votes_reachable++;
+	if (word == WATCH_VOTE_UNREACHABLE)
+		w->votes_unreachable++;
 }
 
 bool
--- a/libgooseberry/node/watch.h
+++ b/libgooseberry/node/watch.h
@@ -13,21 +13,25 @@
 /** What to do next. */
 enum watch_action {
 	WATCH_NOTHING,
-	WATCH_READ,  /**< the owner's row */
-	WATCH_HELLO, /**< to the owner */
-	WATCH_POLL,  /**< other members: do they hear the owner? */
-	WATCH_TAKE   /**< the pool */
+	WATCH_READ,	/**< the owner's row */
+	WATCH_HELLO,	/**< to the owner */
+	WATCH_POLL,	/**< other members: do they hear the owner? */
+	WATCH_TAKE_OVER /**< the pool */
 };
 
 /** Answer of a member that was asked about the owner. */
-enum watch_word { WATCH_HEARS, WATCH_HEARS_NOT, WATCH_NO_WORD };
+enum watch_vote {
+	WATCH_VOTE_REACHABLE,
+	WATCH_VOTE_UNREACHABLE,
+	WATCH_VOTE_NONE
+};
 
 /** Why the pool counts as vacant. */
 enum watch_cause {
 	WATCH_CAUSE_NONE,
 	WATCH_CAUSE_REFUSED,	/**< nobody listens at the owner's address */
 	WATCH_CAUSE_SILENT,	/**< other members do not hear it either */
-	WATCH_CAUSE_ALONE,	/**< no member that was asked has answered */
+	WATCH_CAUSE_NO_ANSWER,	/**< no member that was asked has answered */
 	WATCH_CAUSE_NO_MEMBERS, /**< it is silent, no other member is known */
 	WATCH_CAUSE_VACATING,	/**< it said that it stops */
 	WATCH_CAUSE_STORE,	/**< it misses the store, this node has it */
@@ -51,15 +55,17 @@
 	gb_time next_read;
 	gb_time read_sent;
 	bool store_doubted; /**< the owner misses the store: does this node? */
-	gb_time served_since; /**< this node has the store, the owner not, 0 */
+	gb_time
+	    store_ok_since; /**< this node has the store, the owner not, 0 */
 	gb_time next_hello;
-	gb_time hello_at;     /**< when the last one was to be sent */
-	gb_time hello_took;   /**< until the last that was answered was */
-	gb_time heard;	      /**< the owner's last answer */
-	gb_time served;	      /**< the last that it gave as the owner */
-	gb_time taking_since; /**< it reads what is stored since, 0: it owns */
-	gb_time stood;	      /**< this process stood still since, in all */
-	gb_time looked;	      /**< last call of watch_next, 0: none */
+	gb_time hello_at;	    /**< when the last one was to be sent */
+	gb_time hello_took;	    /**< until the last that was answered was */
+	gb_time last_heard;	    /**< the owner's last answer */
+	gb_time owner_confirmed_at; /**< the last that it gave as the owner */
+	gb_time
+	    acquiring_since;  /**< it reads what is stored since, 0: it owns */
+	gb_time paused;	      /**< this process stood still since, in all */
+	gb_time last_checked; /**< last call of watch_next, 0: none */
 	unsigned int missed;  /**< hellos in a row without answer */
 	unsigned int refused; /**< hellos in a row that reached nobody */
 	uint32_t contested;   /**< as the owner's row says */
@@ -67,9 +73,9 @@
 	gb_time take_at;	/**< not before */
 	unsigned int polled;	/**< members asked */
 	unsigned int asked;	/**< the same, kept after the poll's end */
-	unsigned int words;	/**< answers and failures of these */
-	unsigned int deaf;	/**< do not hear the owner either */
-	unsigned int hearing;
+	unsigned int votes;	/**< answers and failures of these */
+	unsigned int votes_unreachable; /**< do not hear the owner either */
+	unsigned int votes_reachable;
 	gb_time polled_at;
 	gb_time cleared_until;	 /**< others hear the owner: no suspicion */
 	struct succession place; /**< as the owner told it last */
@@ -101,7 +107,7 @@
 bool watch_compares(const struct watch *, gb_time now);
 void watch_row_failed(struct watch *, gb_time now);
 /** What an owner says of itself when it answers a hello. */
-struct watch_news {
+struct watch_owner_status {
 	uint64_t epoch;		/**< of its ownership */
 	bool vacating;		/**< it stops: whoever is next may claim */
 	bool store_unavailable; /**< the store does not take its writes */
@@ -111,7 +117,8 @@
 };
 
 /** The owner answered a hello. */
-void watch_heard(struct watch *, gb_time now, const struct watch_news *);
+void watch_hello_answered(
+    struct watch *, gb_time now, const struct watch_owner_status *);
 /** The owner has handed the pool to a member. */
 void watch_handed(
     struct watch *, gb_time now, const char *addr, uint64_t epoch);
@@ -123,18 +130,18 @@
 void watch_denied(
     struct watch *, gb_time now, const char *owner, uint64_t epoch);
 /** The node that the row names is taking the pool over: wait for it. */
-void watch_taking(struct watch *, gb_time now);
+void watch_owner_acquiring(struct watch *, gb_time now);
 /** A hello got no answer; refused when nobody was reached at all. */
-void watch_unheard(struct watch *, gb_time now, bool refused);
+void watch_hello_failed(struct watch *, gb_time now, bool refused);
 void watch_poll_begun(struct watch *, gb_time now, unsigned int members);
-void watch_polled(struct watch *, enum watch_word);
+void watch_polled(struct watch *, enum watch_vote);
 /** Whether the owner is still reading what is stored, for longer than that
  * takes where the link is no matter: it can't take anything in yet. */
 bool watch_owner_reads(const struct watch *, gb_time now);
 /** This node owns the pool. */
-void watch_served(struct watch *, gb_time now);
+void watch_owns_pool(struct watch *, gb_time now);
 /** How long nobody has answered as the owner. */
-gb_time watch_unserved(const struct watch *, gb_time now);
+gb_time watch_time_without_owner(const struct watch *, gb_time now);
 /** How long the owner was not heard while this process could have heard it. */
 gb_time watch_silence(const struct watch *, gb_time now);
 /** Whether the store has answered a moment ago, and as quickly as usual.  If it
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -441,7 +441,7 @@
 void gb_pool_epoch_seen(struct gb_pool *, gb_time now, uint64_t epoch);
 bool gb_pool_owns(const struct gb_pool *);
 /** Whether the ownership is being gained. */
-bool gb_pool_taking(const struct gb_pool *);
+bool gb_pool_acquiring(const struct gb_pool *);
 /** Whether it is as good as gained: others should wait for this node. */
 bool gb_pool_loading(const struct gb_pool *);
 uint64_t gb_pool_epoch(const struct gb_pool *);
--- a/libgooseberry/pool/advice.c
+++ b/libgooseberry/pool/advice.c
@@ -57,7 +57,7 @@
 		snprintf(lane->addr, sizeof(lane->addr), "%s", addr);
 	}
 	lane->usable = usable;
-	lane->heard = pool->now;
+	lane->last_heard = pool->now;
 }
 
 static bool
@@ -65,7 +65,7 @@
 {
 	return lane->usable && lane->call == 0 &&
 	       lane->back_off_until <= pool->now &&
-	       pool->now - lane->heard < LANE_SILENCE;
+	       pool->now - lane->last_heard < LANE_SILENCE;
 }
 
 static struct pool_lane *
--- a/libgooseberry/pool/pool.c
+++ b/libgooseberry/pool/pool.c
@@ -169,7 +169,7 @@
 }
 
 bool
-gb_pool_taking(const struct gb_pool *pool)
+gb_pool_acquiring(const struct gb_pool *pool)
 {
 	return pool->phase != POOL_OWNER_NONE && !pool_active(pool);
 }
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -364,7 +364,7 @@
 	char addr[GB_NAME_MAX + 1];
 	bool usable;
 	uint64_t call;
-	gb_time heard;
+	gb_time last_heard;
 	gb_time back_off_until;
 };
 
--- a/libgooseberry/process/core.c
+++ b/libgooseberry/process/core.c
@@ -159,7 +159,7 @@
 
 	core->list_awaited = core->now + LIST_PATIENCE;
 	for (m = core->members; m != NULL; m = m->hh.next)
-		m->heard = core->now;
+		m->last_heard = core->now;
 }
 
 void
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -69,9 +69,9 @@
 	uint64_t config;
 	uint64_t wait_vers; /**< of the row in which it waits, 0: none */
 	uint64_t wait_incarnation;
-	gb_time heard;	/**< last sign of life */
-	gb_time echoed; /**< when the last beat it answered was sent */
-	gb_time sent;	/**< last beat sent to it */
+	gb_time last_heard; /**< last sign of life */
+	gb_time echoed;	    /**< when the last beat it answered was sent */
+	gb_time sent;	    /**< last beat sent to it */
 	gb_claim *claims;
 	u_int claim_count;
 };
@@ -315,7 +315,7 @@
 
 enum shard_state {
 	SHARD_NONE,
-	SHARD_TAKING,
+	SHARD_ACQUIRING,
 	SHARD_LOADING,
 	SHARD_ACTIVE,
 	SHARD_HANDING
--- a/libgooseberry/process/shard.c
+++ b/libgooseberry/process/shard.c
@@ -165,7 +165,7 @@
 
 	(void)member;
 	if (shard == NULL || shard->state == SHARD_NONE ||
-	    shard->state == SHARD_TAKING)
+	    shard->state == SHARD_ACQUIRING)
 		return;
 	if (claim->epoch > shard->epoch)
 		shard_lose(core, shard, "a peer owns a newer epoch");
@@ -185,7 +185,7 @@
 	m = member_find(core, shard->member);
 	if (m == NULL || m->gone || m->incarnation != shard->row.owner)
 		return true;
-	return core->now - m->heard > core->cfg.suspect_us;
+	return core->now - m->last_heard > core->cfg.suspect_us;
 }
 
 static const char *
@@ -320,7 +320,7 @@
 	if (!shard_row_encode(
 		shard->epoch, core->cfg.incarnation, core->cfg.member, &body))
 		return;
-	shard->state = SHARD_TAKING;
+	shard->state = SHARD_ACQUIRING;
 	memset(&txn, 0, sizeof(txn));
 	shard_key(key, sizeof(key), shard->id);
 	store_txn_cond(&txn, key, shard->row_vers);
@@ -468,7 +468,7 @@
 	case SHARD_NONE:
 		shard_consider(core, shard);
 		break;
-	case SHARD_TAKING:
+	case SHARD_ACQUIRING:
 		break;
 	case SHARD_LOADING:
 		recover_tick(core, shard);
--- a/libgooseberry/version/member.c
+++ b/libgooseberry/version/member.c
@@ -38,7 +38,7 @@
 		return m;
 	m = gb_calloc(1, sizeof(*m));
 	snprintf(m->name, sizeof(m->name), "%s", name);
-	m->heard = core->now;
+	m->last_heard = core->now;
 	HASH_ADD_STR(core->members, name, m);
 	return m;
 }
@@ -73,7 +73,7 @@
 member_live(const struct gb_core *core, const struct member *m)
 {
 	return !m->gone && !m->leaving &&
-	       core->now - m->heard <= core->cfg.suspect_us;
+	       core->now - m->last_heard <= core->cfg.suspect_us;
 }
 
 void
@@ -242,7 +242,7 @@
 	m->informed = beat->informed;
 	m->seen = beat->seen;
 	m->config = beat->config;
-	m->heard = core->now;
+	m->last_heard = core->now;
 	m->claim_count = beat->claims.claims_len;
 	m->claims = gb_realloc(m->claims, m->claim_count * sizeof(gb_claim));
 	if (m->claim_count > 0)
--- a/libgooseberry/version/view.c
+++ b/libgooseberry/version/view.c
@@ -128,8 +128,8 @@
 
 	HASH_ITER(hh, core->members, m, next)
 	{
-		bool silent =
-		    core->now - m->heard > SILENCE_FACTOR * core->cfg.fresh_us;
+		bool silent = core->now - m->last_heard >
+			      SILENCE_FACTOR * core->cfg.fresh_us;
 
 		if (!m->listed && !m->previous && m->wait_vers == 0 &&
 		    (silent || m->gone || m->leaving))
@@ -370,7 +370,7 @@
 static bool
 member_spent(const struct gb_core *core, const struct member *m)
 {
-	gb_time silence = core->now - m->heard;
+	gb_time silence = core->now - m->last_heard;
 
 	if (m->gone)
 		return true;
@@ -436,13 +436,14 @@
 static void
 next_member(struct gb_core *core, struct next_view *next, struct member *m)
 {
-	bool taking = next->reason == VIEW_CHANGE || next->reason == VIEW_ANEW;
+	bool acquiring =
+	    next->reason == VIEW_CHANGE || next->reason == VIEW_ANEW;
 
 	next_previous(next, m->name, m->listed, m->previous);
-	if (taking && m->wait_vers != 0) {
+	if (acquiring && m->wait_vers != 0) {
 		next_wait_remove(next, m->name, m->wait_vers);
 		next_add(next, m->name, m->wait_incarnation, m->addr, m->dc);
-	} else if (m->listed && (!taking || !member_spent(core, m))) {
+	} else if (m->listed && (!acquiring || !member_spent(core, m))) {
 		next_add(next, m->name, m->listed_incarnation, m->addr, m->dc);
 	}
 }
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -532,8 +532,8 @@
 {
 	gb_time now = gb_clock_boot();
 
-	node->watch.served = now - unserved;
-	node->watch.taking_since = now - GB_SEC;
+	node->watch.owner_confirmed_at = now - unserved;
+	node->watch.acquiring_since = now - GB_SEC;
 	node->watch.store_read_at = now;
 	node->watch.store_took = GB_MSEC;
 }
@@ -600,9 +600,10 @@
 	(void)state;
 	cell_settle(cell);
 	owner = cell->nodes[cell_owner(cell)];
-	owner->watch.served = 0;
+	owner->watch.owner_confirmed_at = 0;
 	cell_run(cell, 100 * GB_MSEC);
-	assert_true(watch_unserved(&owner->watch, gb_clock_boot()) < GB_SEC);
+	assert_true(
+	    watch_time_without_owner(&owner->watch, gb_clock_boot()) < GB_SEC);
 }
 
 /** What the owner's link has no room for is refused by the members, at once,
@@ -830,7 +831,7 @@
 	assert_in_range(res.rank, 0, NODES - 2);
 	assert_int_equal(res.ranked, NODES - 1);
 	late.name = late.addr = late.dc = (char *)"127.0.0.1:1";
-	member = node_member_heard(owner, &late);
+	member = node_member_hello_received(owner, &late);
 	node_members_fill(owner, member, other->known_vers, &res);
 	assert_int_equal(res.members.members_len, NODES);
 	assert_int_equal(res.rank, SUCCESSION_UNRANKED);
@@ -849,7 +850,7 @@
 	hello.cpu_milli = 4000;
 	hello.config = 1;
 	hello.up_us = up;
-	node_member_heard(owner, &hello);
+	node_member_hello_received(owner, &hello);
 }
 
 static const char *
@@ -1035,7 +1036,7 @@
 	failed = gb_pool_stats(other->pool)->takeovers_failed;
 	before = cell_lines(cell, "takeover_failed", line);
 	gb_pool_take(other->pool, node_now(), 0, CONTEST_SILENT);
-	for (i = 0; i < ROUNDS_MOST && gb_pool_taking(other->pool); i++)
+	for (i = 0; i < ROUNDS_MOST && gb_pool_acquiring(other->pool); i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
 	assert_int_equal(cell_lines(cell, "takeover_failed", line), before + 1);
 	assert_line(cell, "takeover_failed", "another node was first");
--- a/tests/test_org.c
+++ b/tests/test_org.c
@@ -104,11 +104,11 @@
 	assert_false(current);
 	assert_int_equal(
 	    gb_caller_identify(config, keyed, "k2", current, &caller),
-	    GB_CALLER_UNSURE);
+	    GB_CALLER_NOT_VERIFIED);
 	assert_null(caller.org);
 	assert_int_equal(
 	    gb_caller_identify(config, keyed, "k4", current, &caller),
-	    GB_CALLER_UNSURE);
+	    GB_CALLER_NOT_VERIFIED);
 	assert_int_equal(
 	    gb_caller_identify(config, keyed, NULL, current, &caller),
 	    GB_CALLER_UNKNOWN);
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -676,7 +676,7 @@
 	pool_cell_run(cell, GB_SEC);
 	gb_pool_release(cell->nodes[0], cell->now);
 	pool_cell_run(cell, 200 * GB_MSEC);
-	assert_false(gb_pool_taking(cell->nodes[0]));
+	assert_false(gb_pool_acquiring(cell->nodes[0]));
 	pool_cell_take(cell, 1);
 	cell->faults.parts_down = 0;
 	pool_cell_run(cell, 10 * GB_SEC);
--- a/tests/test_takeovers.c
+++ b/tests/test_takeovers.c
@@ -157,10 +157,10 @@
 static void
 hello_answer(struct node *node, struct node *to)
 {
-	struct watch_news news = {0};
+	struct watch_owner_status news = {0};
 
 	if (to->role == LOADING) {
-		watch_taking(&node->watch, cell.now);
+		watch_owner_acquiring(&node->watch, cell.now);
 		return;
 	}
 	if (to->role != OWNER) {
@@ -176,7 +176,7 @@
 	news.place.rank = rank_of(to, node_index(node));
 	news.place.ranked = members_of(to);
 	news.place.members = members_of(to) - 1;
-	watch_heard(&node->watch, cell.now, &news);
+	watch_hello_answered(&node->watch, cell.now, &news);
 }
 
 static void
@@ -188,13 +188,13 @@
 		return;
 	if (call_refused(node, call)) {
 		call->out = false;
-		watch_unheard(&node->watch, cell.now, true);
+		watch_hello_failed(&node->watch, cell.now, true);
 	} else if (call_answered(node, call)) {
 		call->out = false;
 		hello_answer(node, &cell.nodes[call->to]);
 	} else if (cell.now - call->sent >= CALL_TIMEOUT) {
 		call->out = false;
-		watch_unheard(&node->watch, cell.now, false);
+		watch_hello_failed(&node->watch, cell.now, false);
 	}
 }
 
@@ -251,12 +251,13 @@
 			call->out = false;
 			watch_polled(&node->watch,
 			    to->role == OWNER || to->role == LOADING ||
-				    cell.now - to->watch.heard < CALL_TIMEOUT
-				? WATCH_HEARS
-				: WATCH_HEARS_NOT);
+				    cell.now - to->watch.last_heard <
+					CALL_TIMEOUT
+				? WATCH_VOTE_REACHABLE
+				: WATCH_VOTE_UNREACHABLE);
 		} else if (cell.now - call->sent >= CALL_TIMEOUT) {
 			call->out = false;
-			watch_polled(&node->watch, WATCH_NO_WORD);
+			watch_polled(&node->watch, WATCH_VOTE_NONE);
 		}
 	}
 }
@@ -362,7 +363,7 @@
 	case WATCH_POLL:
 		ask_send(node);
 		break;
-	case WATCH_TAKE:
+	case WATCH_TAKE_OVER:
 		claim_begin(node);
 		break;
 	default:
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -26,25 +26,25 @@
 static void
 heard(struct watch *w, bool vacating, gb_time store_silent)
 {
-	struct watch_news news = {0};
+	struct watch_owner_status news = {0};
 
 	news.vacating = vacating;
 	news.store_silent = store_silent;
 	news.largest_milli = w->largest_milli;
 	news.place = (struct succession){0, 5, 5};
-	watch_heard(w, now, &news);
+	watch_hello_answered(w, now, &news);
 }
 
 /** The owner says that the store does not take its writes. */
 static void
 heard_store_unavailable(struct watch *w, uint32_t rank)
 {
-	struct watch_news news = {0};
+	struct watch_owner_status news = {0};
 
 	news.store_unavailable = true;
 	news.largest_milli = w->largest_milli;
 	news.place = (struct succession){rank, 5, 5};
-	watch_heard(w, now, &news);
+	watch_hello_answered(w, now, &news);
 }
 
 /** A row that nobody renews. */
@@ -88,7 +88,7 @@
 	for (; now < until; now += STEP) {
 		action = watch_next(w, now);
 		if (action == WATCH_HELLO)
-			watch_unheard(w, now, false);
+			watch_hello_failed(w, now, false);
 		else if (action == WATCH_READ)
 			read_row(w);
 		else if (action != WATCH_NOTHING)
@@ -107,7 +107,7 @@
 	begin(&w);
 	for (i = 0; i < 400; i++) {
 		now += STEP;
-		assert_int_not_equal(watch_next(&w, now), WATCH_TAKE);
+		assert_int_not_equal(watch_next(&w, now), WATCH_TAKE_OVER);
 		if (watch_next(&w, now) == WATCH_HELLO)
 			heard(&w, false, 0);
 	}
@@ -124,10 +124,10 @@
 	begin(&w);
 	assert_int_equal(wanted(&w, 2 * GB_SEC), WATCH_POLL);
 	watch_poll_begun(&w, now, 2);
-	watch_polled(&w, WATCH_HEARS_NOT);
-	watch_polled(&w, WATCH_HEARS_NOT);
-	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE);
-	assert_true(now - w.heard < 2 * GB_SEC);
+	watch_polled(&w, WATCH_VOTE_UNREACHABLE);
+	watch_polled(&w, WATCH_VOTE_UNREACHABLE);
+	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE_OVER);
+	assert_true(now - w.last_heard < 2 * GB_SEC);
 }
 
 /** A member that does not hear the owner must not tell others that it did:
@@ -140,13 +140,13 @@
 
 	(void)state;
 	begin(&w);
-	heard = w.heard;
+	heard = w.last_heard;
 	assert_int_equal(wanted(&w, 2 * GB_SEC), WATCH_POLL);
 	watch_poll_begun(&w, now, 2);
-	watch_polled(&w, WATCH_HEARS);
-	watch_polled(&w, WATCH_HEARS_NOT);
+	watch_polled(&w, WATCH_VOTE_REACHABLE);
+	watch_polled(&w, WATCH_VOTE_UNREACHABLE);
 	assert_int_equal(wanted(&w, 300 * GB_MSEC), WATCH_NOTHING);
-	assert_int_equal(w.heard, heard);
+	assert_int_equal(w.last_heard, heard);
 	assert_int_equal(wanted(&w, 2 * GB_SEC), WATCH_POLL);
 }
 
@@ -162,8 +162,8 @@
 	began = now;
 	while (wanted(&w, 10 * GB_SEC) == WATCH_POLL) {
 		watch_poll_begun(&w, now, 2);
-		watch_polled(&w, WATCH_NO_WORD);
-		watch_polled(&w, WATCH_NO_WORD);
+		watch_polled(&w, WATCH_VOTE_NONE);
+		watch_polled(&w, WATCH_VOTE_NONE);
 	}
 	assert_true(now - began > 3 * GB_SEC);
 	assert_true(now - began < 6 * GB_SEC);
@@ -179,7 +179,7 @@
 	begin(&w);
 	heard(&w, true, 0);
 	began = now;
-	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE);
+	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE_OVER);
 	assert_true(now - began < 200 * GB_MSEC);
 }
 
@@ -195,7 +195,7 @@
 	w.largest_milli = 500;
 	heard(&w, true, 0);
 	began = now;
-	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE);
+	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE_OVER);
 	assert_true(now - began >= 300 * GB_MSEC);
 }
 
@@ -207,7 +207,7 @@
 	(void)state;
 	begin(&w);
 	heard(&w, false, 3 * GB_SEC);
-	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE);
+	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE_OVER);
 }
 
 /** The doubt was of an owner that has been succeeded meanwhile: each node took
@@ -257,7 +257,7 @@
 	(void)state;
 	begin(&w);
 	began = now;
-	while (action != WATCH_TAKE && now - began < 3 * GB_SEC) {
+	while (action != WATCH_TAKE_OVER && now - began < 3 * GB_SEC) {
 		action = watch_next(&w, now);
 		if (action == WATCH_HELLO)
 			heard_store_unavailable(&w, 0);
@@ -265,7 +265,7 @@
 			read_row(&w);
 		now += STEP;
 	}
-	assert_int_equal(action, WATCH_TAKE);
+	assert_int_equal(action, WATCH_TAKE_OVER);
 	assert_true(now - began < 500 * GB_MSEC);
 }
 
@@ -300,7 +300,7 @@
 	for (began = now; now - began < how_long; now += STEP) {
 		enum watch_action action = watch_next(w, now);
 
-		assert_int_not_equal(action, WATCH_TAKE);
+		assert_int_not_equal(action, WATCH_TAKE_OVER);
 		if (action == WATCH_HELLO)
 			says(w);
 		else if (action == WATCH_READ)
@@ -349,7 +349,7 @@
 	for (began = now; now - began < GB_SEC; now += STEP) {
 		enum watch_action action = watch_next(&w, now);
 
-		assert_int_not_equal(action, WATCH_TAKE);
+		assert_int_not_equal(action, WATCH_TAKE_OVER);
 		assert_int_not_equal(action, WATCH_READ);
 		if (action == WATCH_HELLO)
 			heard_store_unavailable(&w, 12);
@@ -362,14 +362,14 @@
 test_waiting_successor_learns_of_the_owner(void **state)
 {
 	struct watch w;
-	struct watch_news news = {0};
+	struct watch_owner_status news = {0};
 
 	(void)state;
 	begin(&w);
 	news.vacating = true;
 	news.largest_milli = 250;
 	news.place = (struct succession){15, 16, 34};
-	watch_heard(&w, now, &news);
+	watch_hello_answered(&w, now, &news);
 	now += 200 * GB_MSEC;
 	assert_int_equal(watch_next(&w, now), WATCH_READ);
 	watch_reading(&w, now);
@@ -410,7 +410,7 @@
 	row_epoch = 4;
 	watch_init(&w, SELF, 250, now, 1);
 	told_row(&w, row_addr, row_epoch);
-	assert_int_equal(watch_next(&w, now), WATCH_TAKE);
+	assert_int_equal(watch_next(&w, now), WATCH_TAKE_OVER);
 	assert_int_equal(w.epoch, 4);
 }
 
@@ -427,7 +427,7 @@
 	assert_int_equal(w.cause, WATCH_CAUSE_VACATING);
 	begin(&w);
 	heard(&w, false, 3 * GB_SEC);
-	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE);
+	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE_OVER);
 	assert_int_equal(w.cause, WATCH_CAUSE_STORE);
 	begin(&w);
 	told_row(&w, SELF, 2);
@@ -449,25 +449,25 @@
 	(void)state;
 	begin(&w);
 	w.place.members = 1;
-	assert_int_equal(wanted(&w, 2 * GB_SEC), WATCH_TAKE);
+	assert_int_equal(wanted(&w, 2 * GB_SEC), WATCH_TAKE_OVER);
 	assert_int_equal(w.cause, WATCH_CAUSE_NO_MEMBERS);
 	begin(&w);
-	watch_unheard(&w, now, true);
-	watch_unheard(&w, now, true);
-	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE);
+	watch_hello_failed(&w, now, true);
+	watch_hello_failed(&w, now, true);
+	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE_OVER);
 	assert_int_equal(w.cause, WATCH_CAUSE_REFUSED);
 	begin(&w);
 	assert_int_equal(wanted(&w, 2 * GB_SEC), WATCH_POLL);
 	watch_poll_begun(&w, now, 2);
-	watch_polled(&w, WATCH_HEARS_NOT);
-	watch_polled(&w, WATCH_NO_WORD);
-	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE);
+	watch_polled(&w, WATCH_VOTE_UNREACHABLE);
+	watch_polled(&w, WATCH_VOTE_NONE);
+	assert_int_equal(wanted(&w, GB_SEC), WATCH_TAKE_OVER);
 	assert_int_equal(w.cause, WATCH_CAUSE_SILENT);
 	assert_int_equal(w.asked, 2);
 	begin(&w);
 	while (wanted(&w, 10 * GB_SEC) == WATCH_POLL)
 		watch_poll_begun(&w, now, 0);
-	assert_int_equal(w.cause, WATCH_CAUSE_ALONE);
+	assert_int_equal(w.cause, WATCH_CAUSE_NO_ANSWER);
 	assert_int_equal(w.asked, 0);
 }
 
