--- a/bench/pool.c
+++ b/bench/pool.c
@@ -52,7 +52,7 @@
 };
 
 struct fake_run {
-	struct gb_pool_seen seen;
+	struct gb_pool_run_report seen;
 	gb_time ends;
 };
 
@@ -253,8 +253,8 @@
 heartbeat_answer(struct play *play, const struct event *event)
 {
 	struct fake_worker *worker = &play->workers[event->worker];
-	struct gb_pool_seen running[RUNS_MOST];
-	struct gb_pool_seen ended[RUNS_MOST];
+	struct gb_pool_run_report running[RUNS_MOST];
+	struct gb_pool_run_report ended[RUNS_MOST];
 	struct gb_pool_report report = {0};
 	gb_time began = quick_ns();
 	uint32_t i = 0;
@@ -270,7 +270,7 @@
 			i++;
 			continue;
 		}
-		run->seen.how = GB_POOL_DONE;
+		run->seen.outcome = GB_POOL_DONE;
 		run->seen.number = ++worker->ends;
 		ended[report.ended_count++] = run->seen;
 		*run = worker->runs[--worker->count];
--- a/libgooseberry/node/metrics.c
+++ b/libgooseberry/node/metrics.c
@@ -102,7 +102,7 @@
 		s->gone},
 	    {"gooseberry_workers_over",
 		"Lifetimes of workers that were seen to have ended.",
-		s->workers_over},
+		s->workers_ended},
 	    {"gooseberry_flows_given_up",
 		"Flows that failed since a task crashes its workers.",
 		s->given_up},
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -194,12 +194,12 @@
 enum gb_pool_order_status {
 	GB_POOL_ORDER_DONE,
 	GB_POOL_ORDER_FENCED, /**< the worker knows a newer fencing token */
-	GB_POOL_ORDER_OLD,    /**< such a run has ended or been stopped */
-	GB_POOL_ORDER_LATE,   /**< its lease would have lapsed already */
-	GB_POOL_ORDER_NO_ROOM,
+	GB_POOL_ORDER_STALE,  /**< such a run has ended or been stopped */
+	GB_POOL_ORDER_LEASE_EXPIRED, /**< its lease would have lapsed already */
+	GB_POOL_ORDER_NO_CAPACITY,
 	GB_POOL_ORDER_NO_TICKET,
-	GB_POOL_ORDER_REFUSED, /**< unhealthy worker; nothing was done */
-	GB_POOL_ORDER_REBORN,  /**< a worker with another id answered */
+	GB_POOL_ORDER_REFUSED,	    /**< unhealthy worker; nothing was done */
+	GB_POOL_ORDER_WRONG_WORKER, /**< a worker with another id answered */
 	GB_POOL_ORDER_MALFORMED,
 	GB_POOL_ORDER_LOST /**< no answer; may be done, also later */
 };
@@ -225,26 +225,26 @@
 	gb_time wait_us;      /**< the answer may wait for an end this long */
 };
 
-enum gb_pool_how {
+enum gb_pool_outcome {
 	GB_POOL_DONE,
 	GB_POOL_FAILED,
 	GB_POOL_STOPPED,
 	GB_POOL_LAPSED,
-	GB_POOL_BROKEN, /**< another member of the gang ended */
-	GB_POOL_ALONE	/**< the other members did not come in time */
+	GB_POOL_GANG_BROKEN,	/**< another member of the gang ended */
+	GB_POOL_GANG_INCOMPLETE /**< the other members did not come in time */
 };
 
 /** A run that a worker lists, or its end. */
-struct gb_pool_seen {
+struct gb_pool_run_report {
 	char flow[GB_NAME_MAX + 1];
 	uint32_t occurrence;
 	uint32_t step;
 	uint32_t index;
 	uint64_t run;
 	char checkpoint[GB_NAME_MAX + 1];
-	uint32_t percent;     /**< of a run: how far it has come */
-	uint64_t number;      /**< of an end: position in the worker's list */
-	enum gb_pool_how how; /**< of an end */
+	uint32_t percent; /**< of a run: how far it has come */
+	uint64_t number;  /**< of an end: position in the worker's list */
+	enum gb_pool_outcome outcome; /**< of an end */
 };
 
 struct gb_pool_report {
@@ -252,9 +252,9 @@
 	int64_t clock_ms;
 	int64_t incarnation; /**< of the worker that answered, 0: not told */
 	bool question;	     /**< it was only asked: no lease, no cursor */
-	struct gb_pool_seen *running;
+	struct gb_pool_run_report *running;
 	size_t running_count;
-	struct gb_pool_seen *ended;
+	struct gb_pool_run_report *ended;
 	size_t ended_count;
 };
 
@@ -499,10 +499,10 @@
 	uint64_t starts, starts_refused, starts_lost, stops, preempted,
 	    heartbeats;
 	uint64_t done, failed, stopped, lapsed, broken, alone;
-	uint64_t crashed;      /**< runs lost with a worker that is over */
-	uint64_t gone;	       /**< runs that a worker no longer lists */
-	uint64_t workers_over; /**< lifetimes of workers that ended */
-	uint64_t given_up;     /**< flows that crash their workers */
+	uint64_t crashed;	/**< runs lost with a worker that is over */
+	uint64_t gone;		/**< runs that a worker no longer lists */
+	uint64_t workers_ended; /**< lifetimes of workers that ended */
+	uint64_t given_up;	/**< flows that crash their workers */
 	uint64_t advice_calls, advice_busy, advice_lost;
 	uint64_t entry_faults[GB_POOL_ENTRY_FAULTS]; /**< entries refused */
 	uint64_t txns, txn_conflicts, txn_lost, rows, reads, takeovers, losses;
--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -505,7 +505,7 @@
 
 void
 pool_flow_ended(struct gb_pool *pool, struct pool_flow *flow,
-    const struct gb_pool_seen *seen, struct pool_worker *worker)
+    const struct gb_pool_run_report *seen, struct pool_worker *worker)
 {
 	struct pool_step *step = &flow->steps[seen->step];
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
@@ -517,7 +517,7 @@
 
 	if (run != NULL) {
 		ran = pool->now - run->started;
-		pool_health_ended(pool, worker, run, seen->how);
+		pool_health_ended(pool, worker, run, seen->outcome);
 		pool_run_free(pool, run);
 	}
 	pool->work_changed = true;
@@ -525,17 +525,17 @@
 		return;
 	if (seen->checkpoint[0] != '\0' &&
 	    (step->spec->flags & GB_STEP_CHECKPOINT) != 0 &&
-	    seen->how != GB_POOL_DONE) {
+	    seen->outcome != GB_POOL_DONE) {
 		pool_task_checkpoint(carrier, seen->checkpoint);
 		pool_flow_changed(pool, flow, false);
 	}
-	if (seen->how == GB_POOL_DONE) {
+	if (seen->outcome == GB_POOL_DONE) {
 		step_task_done(pool, flow, seen->step, seen->index);
 		return;
 	}
-	if (seen->how == GB_POOL_FAILED && ran > step->failed_took)
+	if (seen->outcome == GB_POOL_FAILED && ran > step->failed_took)
 		step->failed_took = ran;
-	if (seen->how == GB_POOL_FAILED)
+	if (seen->outcome == GB_POOL_FAILED)
 		step_task_failed(pool, flow, carrier, seen->run);
 	pool_flow_gang_broken(
 	    pool, flow, seen->step, "a member of the gang ended");
--- a/libgooseberry/pool/health.c
+++ b/libgooseberry/pool/health.c
@@ -104,18 +104,18 @@
 
 void
 pool_health_ended(struct gb_pool *pool, struct pool_worker *worker,
-    const struct pool_run *run, enum gb_pool_how how)
+    const struct pool_run *run, enum gb_pool_outcome outcome)
 {
 	uint64_t flow = gb_hash(run->flow->spec.id, strlen(run->flow->spec.id));
 
-	if (how == GB_POOL_DONE) {
+	if (outcome == GB_POOL_DONE) {
 		queue_learn(pool, run);
 		worker->failures = 0;
 		worker->quarantine_length = 0;
 		worker->failed_flow = 0;
 		return;
 	}
-	if (how != GB_POOL_FAILED || flow == worker->failed_flow)
+	if (outcome != GB_POOL_FAILED || flow == worker->failed_flow)
 		return;
 	if (task_failed_before(run))
 		return;
--- a/libgooseberry/pool/incarnation.c
+++ b/libgooseberry/pool/incarnation.c
@@ -269,7 +269,7 @@
 		incarnation_first(pool, worker, report->incarnation);
 	} else if (report_is_anothers(worker, report)) {
 		incarnation_event(pool, worker, report->incarnation, report);
-		pool->stats.workers_over++;
+		pool->stats.workers_ended++;
 		incarnation_runs_lost(pool, worker, call->sent, report);
 		incarnation_lease_begin(pool, worker, call, report);
 		incarnation_begin(pool, worker, report->incarnation);
@@ -291,7 +291,7 @@
 	    entry->incarnation == worker->entry.incarnation)
 		return;
 	incarnation_event(pool, worker, entry->incarnation, NULL);
-	pool->stats.workers_over++;
+	pool->stats.workers_ended++;
 	incarnation_runs_lost(pool, worker, pool->now, NULL);
 	pool_crash_worker_known(pool, worker, true);
 	incarnation_begin(pool, worker, 0);
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -62,7 +62,7 @@
 
 /** Whether a listed run or end names a task that there is. */
 static bool
-seen_known(const struct pool_flow *flow, const struct gb_pool_seen *seen)
+seen_known(const struct pool_flow *flow, const struct gb_pool_run_report *seen)
 {
 	return flow != NULL && !flow->closed && seen->occurrence == 0 &&
 	       seen->step < flow->step_count &&
@@ -70,29 +70,29 @@
 }
 
 static void
-stats_end(struct gb_pool *pool, enum gb_pool_how how)
+stats_end(struct gb_pool *pool, enum gb_pool_outcome outcome)
 {
 	uint64_t *counts[] = {&pool->stats.done, &pool->stats.failed,
 	    &pool->stats.stopped, &pool->stats.lapsed, &pool->stats.broken,
 	    &pool->stats.alone};
 
-	(*counts[how])++;
+	(*counts[outcome])++;
 }
 
 static const char *
-how_name(enum gb_pool_how how)
+outcome_name(enum gb_pool_outcome outcome)
 {
 	static const char *const names[] = {
 	    "done", "failed", "stopped", "lapsed", "broken", "alone"};
 
-	return names[how];
+	return names[outcome];
 }
 
 /** Take an end in; one of a flow whose part is not attached is kept, so that it
  * is not acknowledged before the flow is known. */
 static void
 end_take(struct gb_pool *pool, struct pool_worker *worker, struct pool_end *end,
-    const struct gb_pool_seen *seen)
+    const struct gb_pool_run_report *seen)
 {
 	struct pool_flow *flow;
 
@@ -102,12 +102,12 @@
 		return;
 	}
 	flow = pool_flow_find(pool, seen->flow);
-	stats_end(pool, seen->how);
+	stats_end(pool, seen->outcome);
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "run_end",
 	    "{s:s, s:I, s:I, s:I, s:s, s:s, s:b}", "flow", seen->flow, "step",
 	    (json_int_t)seen->step, "index", (json_int_t)seen->index, "run",
 	    (json_int_t)seen->run, "worker", worker->entry.id, "how",
-	    how_name(seen->how), "known", flow != NULL);
+	    outcome_name(seen->outcome), "known", flow != NULL);
 	if (seen_known(flow, seen))
 		pool_flow_ended(pool, flow, seen, worker);
 	end_of_flow(end, flow);
@@ -121,7 +121,7 @@
 	size_t i;
 
 	for (i = 0; i < report->ended_count; i++) {
-		const struct gb_pool_seen *seen = &report->ended[i];
+		const struct gb_pool_run_report *seen = &report->ended[i];
 
 		if (seen->number <= worker->seen)
 			continue;
@@ -133,7 +133,7 @@
 void
 pool_report_part_attached(struct gb_pool *pool, uint32_t part)
 {
-	struct gb_pool_seen *seen;
+	struct gb_pool_run_report *seen;
 	struct pool_end *end;
 	uint32_t i;
 
@@ -153,7 +153,7 @@
 /** Stop a run that this owner has no use for. */
 static void
 stray_stop(struct gb_pool *pool, const struct pool_worker *worker,
-    const struct gb_pool_seen *seen)
+    const struct gb_pool_run_report *seen)
 {
 	struct pool_call *call = pool_call_new(pool, POOL_CALL_RUN_STOP);
 	struct gb_pool_order order = {0};
@@ -176,7 +176,7 @@
 
 static struct pool_run *
 worker_run(const struct pool_worker *worker, const struct pool_flow *flow,
-    const struct gb_pool_seen *seen)
+    const struct gb_pool_run_report *seen)
 {
 	struct pool_run *run;
 
@@ -192,7 +192,7 @@
 /** A run of an earlier owner goes on under this one. */
 static struct pool_run *
 run_adopt(struct gb_pool *pool, struct pool_worker *worker,
-    struct pool_flow *flow, const struct gb_pool_seen *seen)
+    struct pool_flow *flow, const struct gb_pool_run_report *seen)
 {
 	struct pool_step *step = &flow->steps[seen->step];
 	struct pool_task *task = &step->tasks[seen->index];
@@ -212,12 +212,12 @@
 }
 
 static void
-run_seen(
-    struct gb_pool *pool, struct pool_run *run, const struct gb_pool_seen *seen)
+run_seen(struct gb_pool *pool, struct pool_run *run,
+    const struct gb_pool_run_report *seen)
 {
 	if (run->confirmed == 0)
 		run->confirmed = pool->now;
-	if (run->state == POOL_RUN_UNSURE && run->stop_call == 0 &&
+	if (run->state == POOL_RUN_START_UNKNOWN && run->stop_call == 0 &&
 	    run->stopped == 0)
 		run->state = POOL_RUN_RUNNING;
 	if (seen->percent != run->percent) {
@@ -229,8 +229,8 @@
 }
 
 static bool
-list_names(
-    const struct gb_pool_seen *list, size_t count, const struct pool_run *run)
+list_names(const struct gb_pool_run_report *list, size_t count,
+    const struct pool_run *run)
 {
 	size_t i;
 
@@ -296,7 +296,7 @@
 
 	worker->foreign = false;
 	for (i = 0; i < report->running_count; i++) {
-		const struct gb_pool_seen *seen = &report->running[i];
+		const struct gb_pool_run_report *seen = &report->running[i];
 
 		bool here = pool_part_attached(pool, gb_pool_part(seen->flow));
 
--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -225,7 +225,7 @@
 	    "run", (json_int_t)run->number, "worker", run->worker->entry.id,
 	    "tries", (json_int_t)run->tries);
 	if (run->state == POOL_RUN_STARTING)
-		run->state = POOL_RUN_UNSURE;
+		run->state = POOL_RUN_START_UNKNOWN;
 	pool_run_stop_send(pool, run);
 }
 
@@ -306,9 +306,9 @@
 {
 	struct pool_worker *worker = pool_worker_get(pool, call->worker);
 
-	if (res->status == GB_POOL_ORDER_REBORN && worker != NULL &&
+	if (res->status == GB_POOL_ORDER_WRONG_WORKER && worker != NULL &&
 	    call->sent > worker->incarnation_since) {
-		pool_worker_over(pool, worker, "another lifetime answered");
+		pool_worker_ended(pool, worker, "another lifetime answered");
 		return NULL;
 	}
 	pool_incarnation_order_answered(pool, call, res);
@@ -324,7 +324,7 @@
 	struct pool_run *run = call->run;
 	bool closed =
 	    run != NULL && pool_run_start_open(run) &&
-	    (run->worker->over || res->status == GB_POOL_ORDER_REBORN);
+	    (run->worker->over || res->status == GB_POOL_ORDER_WRONG_WORKER);
 
 	gb_histogram_add(&pool->stats.start_us, pool->now - call->sent);
 	/* Before its worker is over, with which it would be lost. */
@@ -359,7 +359,7 @@
 		return;
 	run->stop_call = 0;
 	if (res->status == GB_POOL_ORDER_DONE ||
-	    res->status == GB_POOL_ORDER_OLD) {
+	    res->status == GB_POOL_ORDER_STALE) {
 		run->stopped = pool->now;
 		run->state = POOL_RUN_STOPPING;
 		if (run->worker->heartbeat_call == 0)
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -52,7 +52,8 @@
 enum pool_run_state {
 	POOL_RUN_STARTING, /**< the order is out */
 	POOL_RUN_RUNNING,
-	POOL_RUN_UNSURE, /**< no answer to the order; may run, now or later */
+	POOL_RUN_START_UNKNOWN, /**< no answer to the order; may run, now or
+				   later */
 	POOL_RUN_STOPPING
 };
 
@@ -233,7 +234,7 @@
 	char flow[GB_NAME_MAX + 1];
 	uint64_t change;
 	/** An end of a flow whose part is not attached yet, else null. */
-	struct gb_pool_seen *held;
+	struct gb_pool_run_report *held;
 };
 
 STAILQ_HEAD(pool_ends, pool_end);
@@ -655,7 +656,7 @@
 void pool_flow_fail(struct gb_pool *, struct pool_flow *, const char *why);
 /** A run has ended; the change is to be stored before it is acknowledged. */
 void pool_flow_ended(struct gb_pool *, struct pool_flow *,
-    const struct gb_pool_seen *, struct pool_worker *);
+    const struct gb_pool_run_report *, struct pool_worker *);
 /** Stop what runs of a step, but for one run. */
 void pool_flow_stop_step(struct gb_pool *, struct pool_flow *, uint32_t step,
     const struct pool_run *but, const char *why);
@@ -739,7 +740,7 @@
 /** A run is lost with its worker, which has crashed or was waited out. */
 void pool_worker_run_lost(struct gb_pool *, struct pool_run *, bool crashed);
 /** The worker's lifetime has ended. */
-void pool_worker_over(struct gb_pool *, struct pool_worker *, const char *why);
+void pool_worker_ended(struct gb_pool *, struct pool_worker *, const char *why);
 struct pool_worker *pool_worker_get(const struct gb_pool *, uint32_t handle);
 struct pool_worker *pool_worker_find(struct gb_pool *, const char *id);
 /** Longest lease that owners give. */
@@ -794,7 +795,7 @@
 /* health.c */
 /** Count an end of a run for or against its worker. */
 void pool_health_ended(struct gb_pool *, struct pool_worker *,
-    const struct pool_run *, enum gb_pool_how);
+    const struct pool_run *, enum gb_pool_outcome);
 /** Look for runs that have come to a standstill. */
 void pool_health_check(struct gb_pool *, struct pool_worker *);
 
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -157,7 +157,7 @@
 }
 
 void
-pool_worker_over(
+pool_worker_ended(
     struct gb_pool *pool, struct pool_worker *worker, const char *why)
 {
 	if (worker->over)
@@ -169,7 +169,7 @@
 	pool_crash_unseen(pool, worker);
 	if (worker->silent == 0)
 		worker->missed = pool->now;
-	pool->stats.workers_over++;
+	pool->stats.workers_ended++;
 	pool_worker_set_mark(pool, worker);
 	worker_runs_drop(pool, worker, why);
 	pool_crash_worker_known(pool, worker, true);
@@ -237,13 +237,13 @@
 	}
 	if (pool_incarnation_fenced_off(pool, call, report->status))
 		return;
-	if (report->status == GB_POOL_ORDER_REBORN &&
+	if (report->status == GB_POOL_ORDER_WRONG_WORKER &&
 	    call->sent <= worker->incarnation_since) {
 		worker->heartbeat_at = pool->now;
 		return;
 	}
-	if (report->status == GB_POOL_ORDER_REBORN) {
-		pool_worker_over(pool, worker, "another lifetime answered");
+	if (report->status == GB_POOL_ORDER_WRONG_WORKER) {
+		pool_worker_ended(pool, worker, "another lifetime answered");
 		return;
 	}
 	if (report->status != GB_POOL_ORDER_DONE) {
@@ -337,7 +337,7 @@
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
 		if ((run->state == POOL_RUN_STOPPING ||
-			run->state == POOL_RUN_UNSURE) &&
+			run->state == POOL_RUN_START_UNKNOWN) &&
 		    run->stop_at <= pool->now)
 			pool_run_stop_send(pool, run);
 		if (run->again && run->state == POOL_RUN_STARTING &&
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -663,7 +663,7 @@
 /** A report came: free the room of requests that it no longer lists. */
 void request_reported(struct gb_core *, struct worker *, const gb_sync_res *);
 /** The worker process that held the requests has ended. */
-void request_worker_over(struct gb_core *, struct worker *);
+void request_worker_ended(struct gb_core *, struct worker *);
 void requests_free(struct gb_core *);
 
 /* report.c */
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -219,7 +219,7 @@
 	w->incarnation = 0;
 	w->foreign = (gb_res){0};
 	worker_out_clear(w);
-	request_worker_over(core, w);
+	request_worker_ended(core, w);
 	worker_tasks_over(core, w, unsent, crashed);
 }
 
--- a/libgooseberry/request/request.c
+++ b/libgooseberry/request/request.c
@@ -643,7 +643,7 @@
 }
 
 void
-request_worker_over(struct gb_core *core, struct worker *w)
+request_worker_ended(struct gb_core *core, struct worker *w)
 {
 	struct exec *e;
 	struct exec *next;
--- a/standin/emulator_worker.c
+++ b/standin/emulator_worker.c
@@ -41,7 +41,7 @@
 	switch (status) {
 	case GB_POOL_ORDER_DONE:
 		return 200;
-	case GB_POOL_ORDER_REBORN:
+	case GB_POOL_ORDER_WRONG_WORKER:
 		return 421;
 	case GB_POOL_ORDER_REFUSED:
 		return 503;
@@ -70,7 +70,7 @@
 /** An order with the message that its texts stand in. */
 struct emu_order {
 	struct gb_pool_order order;
-	struct gb_pool_seen seen;
+	struct gb_pool_run_report seen;
 	json_t *root;
 	char lifetime[GB_NAME_MAX + 1];
 	char addr[GB_NAME_MAX + 1];
@@ -172,7 +172,7 @@
 /* Holds ------------------------------------------------------------------- */
 
 static void
-seen_name(const struct gb_pool_seen *seen, char *out, size_t size)
+seen_name(const struct gb_pool_run_report *seen, char *out, size_t size)
 {
 	const struct gb_pool_run_id id = {
 	    seen->flow, seen->step, seen->index, seen->run};
@@ -196,7 +196,7 @@
 	running = json_array();
 	ended = json_array();
 	for (i = 0; i < report->running_count; i++) {
-		const struct gb_pool_seen *seen = &report->running[i];
+		const struct gb_pool_run_report *seen = &report->running[i];
 		char name[GB_NAME_MAX + 1];
 
 		seen_name(seen, name, sizeof(name));
@@ -205,13 +205,13 @@
 			seen->checkpoint, (int)seen->percent, 0));
 	}
 	for (i = 0; i < report->ended_count; i++) {
-		const struct gb_pool_seen *seen = &report->ended[i];
+		const struct gb_pool_run_report *seen = &report->ended[i];
 		char name[GB_NAME_MAX + 1];
 
 		seen_name(seen, name, sizeof(name));
 		json_array_append_new(ended,
 		    json_pack("[I, s, I, s, s]", (json_int_t)seen->number, name,
-			(json_int_t)seen->run, plat_how_name(seen->how),
+			(json_int_t)seen->run, plat_outcome_name(seen->outcome),
 			seen->checkpoint));
 	}
 	emu_answer(call, 200,
--- a/standin/world.c
+++ b/standin/world.c
@@ -88,7 +88,7 @@
 }
 
 static void gang_end(struct world *, const char *flow, uint32_t step,
-    uint64_t number, enum gb_pool_how);
+    uint64_t number, enum gb_pool_outcome);
 static unsigned long spec_number(
     const char *spec, const char *name, unsigned long fallback);
 
@@ -210,7 +210,7 @@
 		free(run);
 		if (gone.gang > 0)
 			gang_end(world, gone.flow, gone.step, gone.number,
-			    GB_POOL_BROKEN);
+			    GB_POOL_GANG_BROKEN);
 	}
 	TAILQ_FOREACH(end, &worker->ends, next)
 	{
@@ -364,18 +364,18 @@
 
 static void
 run_end(struct world *world, struct world_worker *worker, struct world_run *run,
-    enum gb_pool_how how)
+    enum gb_pool_outcome outcome)
 {
 	struct world_mark *mark =
 	    mark_get(worker, run->flow, run->step, run->index);
 	struct world_end *end = gb_calloc(1, sizeof(*end));
 
-	world_oracle_end(world, run, false, how);
+	world_oracle_end(world, run, false, outcome);
 	end->seen.number = ++worker->ended;
 	end->seen.step = run->step;
 	end->seen.index = run->index;
 	end->seen.run = run->number;
-	end->seen.how = how;
+	end->seen.outcome = outcome;
 	snprintf(end->seen.flow, sizeof(end->seen.flow), "%s", run->flow);
 	snprintf(end->seen.checkpoint, sizeof(end->seen.checkpoint), "%s",
 	    run->checkpoint);
@@ -410,7 +410,7 @@
 /** End all members of a gang together. */
 static void
 gang_end(struct world *world, const char *flow, uint32_t step, uint64_t number,
-    enum gb_pool_how how)
+    enum gb_pool_outcome outcome)
 {
 	struct world_run *run;
 	struct world_run *next;
@@ -424,7 +424,7 @@
 			next = TAILQ_NEXT(run, next);
 			if (run->number == number && run->step == step &&
 			    strcmp(run->flow, flow) == 0)
-				run_end(world, worker, run, how);
+				run_end(world, worker, run, outcome);
 		}
 	}
 }
@@ -432,14 +432,14 @@
 /** A run ends before its work is done, and with it its gang. */
 static void
 run_break(struct world *world, struct world_worker *worker,
-    struct world_run *run, enum gb_pool_how how)
+    struct world_run *run, enum gb_pool_outcome outcome)
 {
 	struct world_run gone = *run;
 
-	run_end(world, worker, run, how);
+	run_end(world, worker, run, outcome);
 	if (gone.gang > 0)
-		gang_end(
-		    world, gone.flow, gone.step, gone.number, GB_POOL_BROKEN);
+		gang_end(world, gone.flow, gone.step, gone.number,
+		    GB_POOL_GANG_BROKEN);
 }
 
 /** A run takes its worker down with it. */
@@ -477,7 +477,7 @@
 	if (run->gang > 0 && !run->together) {
 		if (world->now - run->began < GANG_WAIT)
 			return false;
-		run_end(world, worker, run, GB_POOL_ALONE);
+		run_end(world, worker, run, GB_POOL_GANG_INCOMPLETE);
 		return true;
 	}
 	if (worker->still)
@@ -491,8 +491,8 @@
 		return false;
 	snprintf(flow, sizeof(flow), "%s", run->flow);
 	run_end(world, worker, run, fails ? GB_POOL_FAILED : GB_POOL_DONE);
-	gang_end(
-	    world, flow, step, number, fails ? GB_POOL_BROKEN : GB_POOL_DONE);
+	gang_end(world, flow, step, number,
+	    fails ? GB_POOL_GANG_BROKEN : GB_POOL_DONE);
 	return true;
 }
 
@@ -545,7 +545,7 @@
 		return false;
 	}
 	if (strcmp(lifetime, worker->id) != 0) {
-		*status = GB_POOL_ORDER_REBORN;
+		*status = GB_POOL_ORDER_WRONG_WORKER;
 		return false;
 	}
 	*clock_ms = worker_clock(world, worker);
@@ -647,14 +647,14 @@
 		return;
 	}
 	if (order->lease_end_ms <= res->clock_ms) {
-		res->status = GB_POOL_ORDER_LATE;
+		res->status = GB_POOL_ORDER_LEASE_EXPIRED;
 		return;
 	}
 	lease_renew(world, worker, order->lease_end_ms);
 	if (order->id.run <=
 	    mark_get(worker, order->id.flow, order->id.step, order->id.index)
 		->run) {
-		res->status = GB_POOL_ORDER_OLD;
+		res->status = GB_POOL_ORDER_STALE;
 		return;
 	}
 	if (world->tickets && !ticket_holds(world, worker, order)) {
@@ -732,7 +732,7 @@
 	report->running_count = 0;
 	TAILQ_FOREACH(run, &worker->runs, next)
 	{
-		struct gb_pool_seen *seen =
+		struct gb_pool_run_report *seen =
 		    &report->running[report->running_count++];
 
 		seen->step = run->step;
--- a/standin/world_oracle.c
+++ b/standin/world_oracle.c
@@ -237,7 +237,7 @@
 
 void
 world_oracle_end(struct world *world, const struct world_run *run, bool lost,
-    enum gb_pool_how how)
+    enum gb_pool_outcome outcome)
 {
 	struct world_flow *flow;
 	struct world_task *task =
@@ -250,15 +250,15 @@
 	    world, flow->spec.org, &flow->spec.steps.steps_val[run->step].res);
 	if (lost)
 		return;
-	if (how == GB_POOL_DONE) {
+	if (outcome == GB_POOL_DONE) {
 		task->done = true;
 		task->ever_done = true;
 	}
-	if (how == GB_POOL_FAILED) {
+	if (outcome == GB_POOL_FAILED) {
 		task->failures++;
 		task->ever_failures++;
 	}
-	if (how == GB_POOL_ALONE)
+	if (outcome == GB_POOL_GANG_INCOMPLETE)
 		world_fault(
 		    world, &world->faults.alone, "waited alone", run->flow);
 }
@@ -273,9 +273,9 @@
 
 	if (task == NULL)
 		return;
-	if (end->seen.how == GB_POOL_DONE && !task->noted)
+	if (end->seen.outcome == GB_POOL_DONE && !task->noted)
 		task->done = false;
-	if (end->seen.how == GB_POOL_FAILED && task->failures > 0)
+	if (end->seen.outcome == GB_POOL_FAILED && task->failures > 0)
 		task->failures--;
 }
 
@@ -302,7 +302,7 @@
 	const gb_step *step;
 	uint32_t i;
 
-	if (task == NULL || end->seen.how != GB_POOL_DONE)
+	if (task == NULL || end->seen.outcome != GB_POOL_DONE)
 		return;
 	task->noted = true;
 	step = &flow->spec.steps.steps_val[end->seen.step];
--- a/standin/world_state.h
+++ b/standin/world_state.h
@@ -32,7 +32,7 @@
 
 struct world_end {
 	TAILQ_ENTRY(world_end) next;
-	struct gb_pool_seen seen;
+	struct gb_pool_run_report seen;
 };
 
 TAILQ_HEAD(world_ends, world_end);
@@ -154,7 +154,7 @@
 void world_oracle_start(
     struct world *, struct world_worker *, const struct world_run *);
 void world_oracle_end(
-    struct world *, const struct world_run *, bool lost, enum gb_pool_how);
+    struct world *, const struct world_run *, bool lost, enum gb_pool_outcome);
 /** A worker goes down under a run. */
 void world_oracle_crash(
     struct world *, const struct world_worker *, const struct world_run *);
