--- a/libgooseberry/node/metrics.c
+++ b/libgooseberry/node/metrics.c
@@ -148,16 +148,16 @@
 		node->orgs_bad},
 	    {"gooseberry_entries_unreadable",
 		"Entries of workers that are no object.",
-		s->entry_faults[GB_POOL_ENTRY_UNREADABLE]},
+		s->entry_errors[GB_POOL_ENTRY_UNREADABLE]},
 	    {"gooseberry_entries_incomplete",
 		"Entries that lack a field, or have one of another type.",
-		s->entry_faults[GB_POOL_ENTRY_INCOMPLETE]},
+		s->entry_errors[GB_POOL_ENTRY_INCOMPLETE]},
 	    {"gooseberry_entries_out_of_range",
 		"Entries with a value that cannot be.",
-		s->entry_faults[GB_POOL_ENTRY_RANGE]},
+		s->entry_errors[GB_POOL_ENTRY_RANGE]},
 	    {"gooseberry_entries_unknown_state",
 		"Entries with a state that nobody knows.",
-		s->entry_faults[GB_POOL_ENTRY_STATE]},
+		s->entry_errors[GB_POOL_ENTRY_STATE]},
 	};
 
 	gb_counter_print(out, counters, sizeof(counters) / sizeof(counters[0]));
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -328,18 +328,18 @@
 
 /** Organisations and keys that can't be used, by reason. */
 static void
-org_faults_tell(struct gb_node *node, const struct gb_pool_config *config)
+org_errors_log(struct gb_node *node, const struct gb_pool_config *config)
 {
 	unsigned int i;
 
-	for (i = GB_POOL_ORG_SOUND + 1; i < GB_POOL_ORG_FAULTS; i++) {
-		if (config->org_faults[i] == 0)
+	for (i = GB_POOL_ORG_VALID + 1; i < GB_POOL_ORG_ERRORS; i++) {
+		if (config->org_errors[i] == 0)
 			continue;
-		node->orgs_bad += config->org_faults[i];
+		node->orgs_bad += config->org_errors[i];
 		gb_event(node->events, GB_EVENT_ALWAYS, "config_org_bad",
 		    "{s:I, s:s, s:I}", "version", (json_int_t)config->version,
-		    "why", gb_pool_org_fault_name(i), "count",
-		    (json_int_t)config->org_faults[i]);
+		    "why", gb_pool_org_error_name(i), "count",
+		    (json_int_t)config->org_errors[i]);
 	}
 }
 
@@ -394,7 +394,7 @@
 	    "queues", (json_int_t)config->queue_count, "keyed", config->keyed,
 	    "orgs", (json_int_t)config->org_count, "keys",
 	    (json_int_t)gb_pool_config_keys(config));
-	org_faults_tell(node, config);
+	org_errors_log(node, config);
 	gb_pool_config_unref(node->config);
 	node->config = config;
 	free(node->config_text);
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -48,18 +48,18 @@
 
 /** Why an organisation of a configuration can't be used.  What holds for the
  * others stands. */
-enum gb_pool_org_fault {
-	GB_POOL_ORG_SOUND,
+enum gb_pool_org_error {
+	GB_POOL_ORG_VALID,
 	GB_POOL_ORG_UNNAMED,	/**< no name, or one that is too long */
 	GB_POOL_ORG_TWICE,	/**< another one has its name */
 	GB_POOL_ORG_RANGE,	/**< a weight or quota that cannot be */
 	GB_POOL_ORG_KEY,	/**< a key that is no text, or empty */
 	GB_POOL_ORG_KEY_SHARED, /**< a key that another one has */
-	GB_POOL_ORG_FAULTS
+	GB_POOL_ORG_ERRORS
 };
 
 /** Text for logs and metrics. */
-const char *gb_pool_org_fault_name(enum gb_pool_org_fault);
+const char *gb_pool_org_error_name(enum gb_pool_org_error);
 
 /** An organisation: whose callers share keys, a quota and a weight. */
 struct gb_pool_org {
@@ -92,7 +92,7 @@
 	struct gb_pool_org *orgs; /**< in the order in which they were added */
 	size_t org_count;
 	struct gb_pool_key *keys; /**< by digest */
-	unsigned int org_faults[GB_POOL_ORG_FAULTS];
+	unsigned int org_errors[GB_POOL_ORG_ERRORS];
 };
 
 struct gb_pool_config *gb_pool_config_new(size_t queues, size_t services);
@@ -101,13 +101,13 @@
 /** Add an organisation; one that can't be is left out.  There is room for as
  * many as were announced. */
 void gb_pool_config_orgs(struct gb_pool_config *, size_t most);
-enum gb_pool_org_fault gb_pool_config_org_add(
+enum gb_pool_org_error gb_pool_config_org_add(
     struct gb_pool_config *, const struct gb_pool_org *);
 /** Give the organisation that was added last a key. */
-enum gb_pool_org_fault gb_pool_config_key_add(
+enum gb_pool_org_error gb_pool_config_key_add(
     struct gb_pool_config *, const char *key);
 /** The same by its digest. */
-enum gb_pool_org_fault gb_pool_config_digest_add(
+enum gb_pool_org_error gb_pool_config_digest_add(
     struct gb_pool_config *, const struct gb_pool_key_digest *);
 void gb_pool_key_digest(const char *key, struct gb_pool_key_digest *);
 /** A digest as text, and back; false when it is none. */
@@ -140,17 +140,17 @@
 
 /** Why an entry of the list names no worker to use.  Others than the workers
  * themselves may write there. */
-enum gb_pool_entry_fault {
-	GB_POOL_ENTRY_SOUND,
+enum gb_pool_entry_error {
+	GB_POOL_ENTRY_VALID,
 	GB_POOL_ENTRY_UNREADABLE, /**< its bytes are no object */
 	GB_POOL_ENTRY_INCOMPLETE, /**< a field is missing, or of another type */
 	GB_POOL_ENTRY_RANGE,	  /**< a value that cannot be */
 	GB_POOL_ENTRY_STATE,	  /**< a state that nobody knows */
-	GB_POOL_ENTRY_FAULTS
+	GB_POOL_ENTRY_ERRORS
 };
 
 /** Text for logs and metrics. */
-const char *gb_pool_entry_fault_name(enum gb_pool_entry_fault);
+const char *gb_pool_entry_error_name(enum gb_pool_entry_error);
 
 /** An entry of the platform's list of workers.  Of one with a fault the id
  * alone is told. */
@@ -159,7 +159,7 @@
 	/** Tells the lifetimes under one id apart, 0: not told.  A start's time
 	 * of day, which jumps: it says nothing of which one came first. */
 	int64_t incarnation;
-	enum gb_pool_entry_fault fault;
+	enum gb_pool_entry_error fault;
 	char addr[GB_NAME_MAX + 1];
 	char dc[GB_NAME_MAX + 1];
 	char service[GB_NAME_MAX + 1];
@@ -504,7 +504,7 @@
 	uint64_t workers_ended; /**< lifetimes of workers that ended */
 	uint64_t given_up;	/**< flows that crash their workers */
 	uint64_t advice_calls, advice_busy, advice_lost;
-	uint64_t entry_faults[GB_POOL_ENTRY_FAULTS]; /**< entries refused */
+	uint64_t entry_errors[GB_POOL_ENTRY_ERRORS]; /**< entries refused */
 	uint64_t txns, txn_conflicts, txn_lost, rows, reads, takeovers, losses;
 	uint64_t takeovers_failed; /**< claims that came to nothing */
 	uint64_t flows, waiting, running, workers, quarantined;
--- a/libgooseberry/pool/listing.c
+++ b/libgooseberry/pool/listing.c
@@ -24,10 +24,10 @@
 }
 
 const char *
-gb_pool_entry_fault_name(enum gb_pool_entry_fault fault)
+gb_pool_entry_error_name(enum gb_pool_entry_error fault)
 {
-	static const char *const names[GB_POOL_ENTRY_FAULTS] = {
-	    [GB_POOL_ENTRY_SOUND] = "sound",
+	static const char *const names[GB_POOL_ENTRY_ERRORS] = {
+	    [GB_POOL_ENTRY_VALID] = "sound",
 	    [GB_POOL_ENTRY_UNREADABLE] = "unreadable",
 	    [GB_POOL_ENTRY_INCOMPLETE] = "incomplete",
 	    [GB_POOL_ENTRY_RANGE] = "out_of_range",
@@ -40,7 +40,7 @@
 pool_worker_offered(const struct pool_worker *worker)
 {
 	return worker->listed && worker->served &&
-	       worker->entry.fault == GB_POOL_ENTRY_SOUND;
+	       worker->entry.fault == GB_POOL_ENTRY_VALID;
 }
 
 static bool
@@ -68,11 +68,11 @@
 {
 	bool news = worker == NULL || worker->entry.fault != entry->fault;
 
-	pool->stats.entry_faults[entry->fault]++;
+	pool->stats.entry_errors[entry->fault]++;
 	if (news)
 		gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_entry_bad",
 		    "{s:s, s:s, s:b, s:I}", "worker", entry->id, "why",
-		    gb_pool_entry_fault_name(entry->fault), "known",
+		    gb_pool_entry_error_name(entry->fault), "known",
 		    worker != NULL, "runs",
 		    (json_int_t)(worker == NULL ? 0 : worker->run_count));
 	if (worker == NULL)
@@ -151,7 +151,7 @@
 	struct gb_pool_entry copy = *listed;
 	struct gb_pool_entry *entry = &copy;
 
-	if (entry->fault != GB_POOL_ENTRY_SOUND) {
+	if (entry->fault != GB_POOL_ENTRY_VALID) {
 		entry_refused(pool, worker, entry);
 		return;
 	}
--- a/libgooseberry/pool/org_config.c
+++ b/libgooseberry/pool/org_config.c
@@ -56,10 +56,10 @@
 }
 
 const char *
-gb_pool_org_fault_name(enum gb_pool_org_fault fault)
+gb_pool_org_error_name(enum gb_pool_org_error fault)
 {
-	static const char *const names[GB_POOL_ORG_FAULTS] = {
-	    [GB_POOL_ORG_SOUND] = "sound",
+	static const char *const names[GB_POOL_ORG_ERRORS] = {
+	    [GB_POOL_ORG_VALID] = "sound",
 	    [GB_POOL_ORG_UNNAMED] = "unnamed",
 	    [GB_POOL_ORG_TWICE] = "named_twice",
 	    [GB_POOL_ORG_RANGE] = "out_of_range",
@@ -88,7 +88,7 @@
 	return NULL;
 }
 
-static enum gb_pool_org_fault
+static enum gb_pool_org_error
 org_check(const struct gb_pool_config *config, const struct gb_pool_org *org)
 {
 	if (org->name[0] == '\0')
@@ -97,17 +97,17 @@
 		return GB_POOL_ORG_RANGE;
 	if (gb_pool_config_org(config, org->name) != NULL)
 		return GB_POOL_ORG_TWICE;
-	return GB_POOL_ORG_SOUND;
+	return GB_POOL_ORG_VALID;
 }
 
-enum gb_pool_org_fault
+enum gb_pool_org_error
 gb_pool_config_org_add(
     struct gb_pool_config *config, const struct gb_pool_org *org)
 {
-	enum gb_pool_org_fault fault = org_check(config, org);
+	enum gb_pool_org_error fault = org_check(config, org);
 
-	config->org_faults[fault]++;
-	if (fault == GB_POOL_ORG_SOUND)
+	config->org_errors[fault]++;
+	if (fault == GB_POOL_ORG_VALID)
 		config->orgs[config->org_count++] = *org;
 	return fault;
 }
@@ -122,31 +122,31 @@
 	return key;
 }
 
-enum gb_pool_org_fault
+enum gb_pool_org_error
 gb_pool_config_key_add(struct gb_pool_config *config, const char *text)
 {
 	struct gb_pool_key_digest digest;
 
 	if (text == NULL || text[0] == '\0') {
-		config->org_faults[GB_POOL_ORG_KEY]++;
+		config->org_errors[GB_POOL_ORG_KEY]++;
 		return GB_POOL_ORG_KEY;
 	}
 	gb_pool_key_digest(text, &digest);
 	return gb_pool_config_digest_add(config, &digest);
 }
 
-enum gb_pool_org_fault
+enum gb_pool_org_error
 gb_pool_config_digest_add(
     struct gb_pool_config *config, const struct gb_pool_key_digest *digest)
 {
-	enum gb_pool_org_fault fault = GB_POOL_ORG_SOUND;
+	enum gb_pool_org_error fault = GB_POOL_ORG_VALID;
 	const struct gb_pool_key *other = key_find(config, digest);
 	struct gb_pool_key *key;
 
 	if (other != NULL) {
 		if (other->org + 1 != config->org_count)
 			fault = GB_POOL_ORG_KEY_SHARED;
-		config->org_faults[fault]++;
+		config->org_errors[fault]++;
 		return fault;
 	}
 	key = gb_calloc(1, sizeof(*key));
--- a/libgooseberry/version/document.c
+++ b/libgooseberry/version/document.c
@@ -110,7 +110,7 @@
 };
 
 static void
-doc_fault(const struct doc_check *check, const char *path, const char *what)
+doc_error(const struct doc_check *check, const char *path, const char *what)
 {
 	const char *dot = strrchr(path, '.');
 	int line;
@@ -138,7 +138,7 @@
 		snprintf(what + strlen(what), sizeof(what) - strlen(what),
 		    " %s", field->choices[i]);
 	}
-	doc_fault(check, field->path, what);
+	doc_error(check, field->path, what);
 	return false;
 }
 
@@ -154,7 +154,7 @@
 		snprintf(what, sizeof(what),
 		    "must be a whole number from %lld to %lld",
 		    (long long)field->least, (long long)field->most);
-		doc_fault(check, field->path, what);
+		doc_error(check, field->path, what);
 		return false;
 	}
 	if (field->type == FIELD_MS)
@@ -173,7 +173,7 @@
 	unsigned int j;
 
 	if (!json_is_array(value)) {
-		doc_fault(check, field->path, "must be a list of data centres");
+		doc_error(check, field->path, "must be a list of data centres");
 		return false;
 	}
 	json_array_foreach(value, i, item)
@@ -185,7 +185,7 @@
 				break;
 		}
 		if (name == NULL || j == dcs->count) {
-			doc_fault(check, field->path,
+			doc_error(check, field->path,
 			    "names a data centre that is not in the settings");
 			return false;
 		}
@@ -204,7 +204,7 @@
 	case FIELD_NAME:
 		if (!json_is_string(value) ||
 		    !name_valid(json_string_value(value))) {
-			doc_fault(check, field->path,
+			doc_error(check, field->path,
 			    "must be a name of 1 to 63 letters, digits, "
 			    "'-', '_' or '.'");
 			return false;
@@ -213,7 +213,7 @@
 		return true;
 	case FIELD_BOOL:
 		if (!json_is_boolean(value)) {
-			doc_fault(check, field->path, "must be true or false");
+			doc_error(check, field->path, "must be true or false");
 			return false;
 		}
 		*(bool *)out = json_is_true(value);
@@ -264,7 +264,7 @@
 			if (!object_take(check, path, value, dcs, doc, given))
 				return false;
 		} else {
-			doc_fault(check, path, "is not a field of a document");
+			doc_error(check, path, "is not a field of a document");
 			return false;
 		}
 	}
@@ -289,7 +289,7 @@
 
 	for (i = 0; i < FIELD_COUNT; i++) {
 		if (fields[i].required && !given[i]) {
-			doc_fault(check, fields[i].path, "is missing");
+			doc_error(check, fields[i].path, "is missing");
 			return false;
 		}
 	}
@@ -297,12 +297,12 @@
 		doc->idempotent =
 		    doc->kind != GB_KIND_REQUEST && doc->kind != GB_KIND_BATCH;
 	if (doc->kind == GB_KIND_SERVICE && !doc->idempotent) {
-		doc_fault(check, "policy.idempotent",
+		doc_error(check, "policy.idempotent",
 		    "must be true for a service, whose tasks are restarted");
 		return false;
 	}
 	if (doc->kind == GB_KIND_GANG && !doc->idempotent) {
-		doc_fault(check, "policy.idempotent",
+		doc_error(check, "policy.idempotent",
 		    "must be true for a gang, which is restarted whole");
 		return false;
 	}
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -20,7 +20,7 @@
     "\"Gpus\":0},\"Labels\":[\"a\",\"r1-3\"],\"ClockMs\":482113,\"Seq\":4,"
     "\"born\":1778839491459}";
 
-static enum gb_pool_entry_fault
+static enum gb_pool_entry_error
 fault_of(const char *text)
 {
 	struct gb_pool_entry entry;
@@ -30,11 +30,11 @@
 }
 
 /** Fault of the sound entry with one field changed; null takes it away. */
-static enum gb_pool_entry_fault
+static enum gb_pool_entry_error
 fault_with(const char *field, const char *value)
 {
 	json_t *root = json_loads(sound, 0, NULL);
-	enum gb_pool_entry_fault fault;
+	enum gb_pool_entry_error fault;
 	char *text;
 
 	assert_int_equal(json_object_del(root, field), 0);
@@ -55,7 +55,7 @@
 
 	(void)state;
 	assert_true(plat_entry_decode("i-1", sound, strlen(sound), &entry));
-	assert_int_equal(entry.fault, GB_POOL_ENTRY_SOUND);
+	assert_int_equal(entry.fault, GB_POOL_ENTRY_VALID);
 	assert_string_equal(entry.id, "i-1");
 	assert_string_equal(entry.addr, "10.1.0.9:8080");
 	assert_string_equal(entry.service, "svc");
@@ -64,8 +64,8 @@
 	assert_int_equal(entry.incarnation, 1778839491459);
 	assert_false(entry.draining);
 	assert_int_equal(
-	    fault_with("State", "\"draining\""), GB_POOL_ENTRY_SOUND);
-	assert_int_equal(fault_with("born", NULL), GB_POOL_ENTRY_SOUND);
+	    fault_with("State", "\"draining\""), GB_POOL_ENTRY_VALID);
+	assert_int_equal(fault_with("born", NULL), GB_POOL_ENTRY_VALID);
 }
 
 static void
@@ -152,7 +152,7 @@
 		text[gb_random_next(&seed) % (sizeof(sound) - 1)] =
 		    (char)gb_random_next(&seed);
 		plat_entry_decode("i-1", text, sizeof(sound) - 1, &entry);
-		assert_true(entry.fault < GB_POOL_ENTRY_FAULTS);
+		assert_true(entry.fault < GB_POOL_ENTRY_ERRORS);
 		assert_true(entry.capacity.cpu >= 0);
 		assert_true(entry.label_count <= GB_POOL_LABELS);
 	}
--- a/tests/test_org.c
+++ b/tests/test_org.c
@@ -160,7 +160,7 @@
 {
 	static const struct {
 		const char *entry;
-		enum gb_pool_org_fault fault;
+		enum gb_pool_org_error fault;
 	} cases[] = {
 	    {"{\"ApiKeys\":[\"b\"]}", GB_POOL_ORG_UNNAMED},
 	    {"{\"Name\":7,\"ApiKeys\":[\"b\"]}", GB_POOL_ORG_UNNAMED},
@@ -190,7 +190,7 @@
 		    cases[i].entry);
 		config = decode(text);
 		assert_non_null(config);
-		assert_int_equal(config->org_faults[cases[i].fault], 1);
+		assert_int_equal(config->org_errors[cases[i].fault], 1);
 		assert_int_equal(
 		    identify(config, "q", "g", &caller), GB_CALLER_KNOWN);
 		assert_string_equal(caller.org->name, "good");
@@ -250,8 +250,8 @@
 	    GB_CALLER_UNKNOWN);
 	assert_int_equal(
 	    gb_pool_config_keys(config), gb_pool_config_keys(plain));
-	for (i = 0; i < GB_POOL_ORG_FAULTS; i++)
-		assert_int_equal(config->org_faults[i], plain->org_faults[i]);
+	for (i = 0; i < GB_POOL_ORG_ERRORS; i++)
+		assert_int_equal(config->org_errors[i], plain->org_errors[i]);
 	free(concealed);
 	gb_pool_config_unref(config);
 	gb_pool_config_unref(plain);
@@ -273,11 +273,11 @@
 		if (i % (KEYS_MANY / 140 + 1) == 0) {
 			snprintf(org.name, sizeof(org.name), "org%d", i);
 			assert_int_equal(gb_pool_config_org_add(config, &org),
-			    GB_POOL_ORG_SOUND);
+			    GB_POOL_ORG_VALID);
 		}
 		snprintf(text, sizeof(text), "key%d", i);
 		assert_int_equal(
-		    gb_pool_config_key_add(config, text), GB_POOL_ORG_SOUND);
+		    gb_pool_config_key_add(config, text), GB_POOL_ORG_VALID);
 	}
 	assert_int_equal(gb_pool_config_keys(config), KEYS_MANY);
 	for (i = 0; i < KEYS_MANY; i++) {
