--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -356,7 +356,7 @@
 }
 
 void
-pool_crash_plan_room(
+pool_crash_plans_left(
     struct gb_pool *pool, struct pool_step *step, uint32_t index)
 {
 	struct pool_task *task = &step->tasks[index];
@@ -374,7 +374,7 @@
 {
 	if (step->tasks[index].plan == NULL)
 		return;
-	pool_crash_plan_room(pool, step, index);
+	pool_crash_plans_left(pool, step, index);
 	free(step->tasks[index].plan);
 	step->tasks[index].plan = NULL;
 	step->plans--;
--- a/libgooseberry/pool/crash.h
+++ b/libgooseberry/pool/crash.h
@@ -47,7 +47,8 @@
 struct pool_worker *pool_crash_plan_worker(
     const struct gb_pool *, const struct pool_task *);
 /** Give back the room of a start that was planned, before it is sent. */
-void pool_crash_plan_room(struct gb_pool *, struct pool_step *, uint32_t index);
+void pool_crash_plans_left(
+    struct gb_pool *, struct pool_step *, uint32_t index);
 /** Forget the start: it was not sent, or its run is over. */
 void pool_crash_plan_drop(struct gb_pool *, struct pool_step *, uint32_t index);
 /** Starts of a step that are planned on a worker and not sent. */
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -72,7 +72,7 @@
 	struct pool_worker *worker =
 	    pool_crash_plan_worker(pool, &step->tasks[index]);
 
-	pool_crash_plan_room(pool, step, index);
+	pool_crash_plans_left(pool, step, index);
 	pool_run_start(pool, flow, number, index, run, worker,
 	    ticket_of(pool, step, worker->handle));
 }
@@ -296,7 +296,7 @@
 	pool->bookings++;
 	workers = gb_calloc(step->spec->count, sizeof(*workers));
 	switch (pool_preempt(pool, flow, step, workers)) {
-	case POOL_ROOM_MADE:
+	case POOL_PREEMPT_STOPPED:
 		qsort(workers, step->spec->count, sizeof(*workers),
 		    worker_compare);
 		step_claim(pool, step, workers, step->spec->count);
@@ -304,11 +304,11 @@
 		    pool->now + pool->cfg.limits.stop_us + DISPATCH_STOPS;
 		free(workers);
 		return;
-	case POOL_ROOM_TICKETS:
+	case POOL_PREEMPT_TICKETS:
 		step_renew(
 		    pool, flow, number, workers, step->spec->count, false);
 		break;
-	case POOL_ROOM_NONE:
+	case POOL_PREEMPT_NONE:
 		break;
 	}
 	if (!POOL_USES(pool, GB_MECH_BOOK) ||
--- a/libgooseberry/pool/preempt.c
+++ b/libgooseberry/pool/preempt.c
@@ -103,7 +103,7 @@
 /** Room for `most` tasks of a step on a worker; fills in what each takes, and
  * stops what has to be stopped if that is asked for. */
 static uint32_t
-worker_room(struct gb_pool *pool, struct pool_flow *flow,
+worker_free_capacity(struct gb_pool *pool, struct pool_flow *flow,
     const struct pool_step *step, struct pool_worker *worker, uint32_t most,
     struct preempt_slot *slots, bool stop)
 {
@@ -196,8 +196,8 @@
 		    pool, advice ? step->approved[i].worker : i);
 
 		if (worker_fits(pool, flow, step, worker, tickets))
-			count += worker_room(pool, flow, step, worker, most,
-			    &slots[count], false);
+			count += worker_free_capacity(pool, flow, step, worker,
+			    most, &slots[count], false);
 	}
 	qsort(slots, count, sizeof(*slots), slot_compare);
 	*out = slots;
@@ -217,7 +217,7 @@
 		tasks[slots[i].worker]++;
 	for (i = 0; i < pool->worker_count; i++) {
 		if (tasks[i] > 0)
-			worker_room(pool, flow, step, pool->workers[i],
+			worker_free_capacity(pool, flow, step, pool->workers[i],
 			    tasks[i], NULL, true);
 	}
 	free(tasks);
@@ -233,22 +233,22 @@
 		workers[i] = slots[i].worker;
 }
 
-enum pool_room
+enum pool_preempt_result
 pool_preempt(struct gb_pool *pool, struct pool_flow *flow,
     struct pool_step *step, uint32_t *workers)
 {
 	gb_time spare = flow->due - flow->chain - pool->now;
 	uint32_t wanted = step->spec->count;
-	enum pool_room room = POOL_ROOM_NONE;
+	enum pool_preempt_result room = POOL_PREEMPT_NONE;
 	struct preempt_slot *slots;
 
 	if (!POOL_USES(pool, GB_MECH_ROOM) ||
 	    pool->cfg.limits.stop_us > PREEMPT_STOP_MOST || spare < 0 ||
 	    step->preempt_at > pool->now || step->renews_in_flight > 0 ||
 	    (step->spec->flags & GB_STEP_SAME_RACK) != 0)
-		return POOL_ROOM_NONE;
+		return POOL_PREEMPT_NONE;
 	if (step_slots(pool, flow, step, true, &slots) >= wanted) {
-		room = POOL_ROOM_MADE;
+		room = POOL_PREEMPT_STOPPED;
 		slots_workers(slots, wanted, workers);
 		slots_clear(pool, flow, step, slots, wanted);
 		gb_event(pool->cfg.events, GB_EVENT_NORMAL, "room_made",
@@ -258,13 +258,13 @@
 	} else if (POOL_ADVICE_NEEDED(flow)) {
 		free(slots);
 		if (step_slots(pool, flow, step, false, &slots) >= wanted) {
-			room = POOL_ROOM_TICKETS;
+			room = POOL_PREEMPT_TICKETS;
 			slots_workers(slots, wanted, workers);
 		}
 	}
 	free(slots);
 	step->preempt_at =
-	    pool->now + (room == POOL_ROOM_MADE
+	    pool->now + (room == POOL_PREEMPT_STOPPED
 				? pool->cfg.limits.stop_us + PREEMPT_AGAIN
 				: PREEMPT_LOOK);
 	return room;
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -576,15 +576,16 @@
 void pool_book_clear(struct gb_pool *);
 
 /* preempt.c */
-enum pool_room {
-	POOL_ROOM_NONE,
-	POOL_ROOM_TICKETS, /**< could be made, with tickets for these workers */
-	POOL_ROOM_MADE
+enum pool_preempt_result {
+	POOL_PREEMPT_NONE,
+	POOL_PREEMPT_TICKETS, /**< could be made, with tickets for these workers
+			       */
+	POOL_PREEMPT_STOPPED
 };
 
 /** Stop work that can wait for a gang that can still meet its objective.  Fills
  * in a worker for each of its tasks where room could be made. */
-enum pool_room pool_preempt(struct gb_pool *, struct pool_flow *,
+enum pool_preempt_result pool_preempt(struct gb_pool *, struct pool_flow *,
     struct pool_step *, uint32_t *workers);
 
 /* pace.c */
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -148,7 +148,7 @@
 /** Why a job's next task waits, for explain. */
 enum wait_reason {
 	WAIT_NONE,
-	WAIT_ROOM,
+	WAIT_CAPACITY,
 	WAIT_QUOTA,
 	WAIT_BACKOFF,
 	WAIT_EVIDENCE,
--- a/libgooseberry/process/dispatch.c
+++ b/libgooseberry/process/dispatch.c
@@ -202,7 +202,7 @@
 	}
 	w = place_find(core, shard, job);
 	if (w == NULL) {
-		job->reason = WAIT_ROOM;
+		job->reason = WAIT_CAPACITY;
 		return false;
 	}
 	job->ready_count--;
@@ -221,7 +221,7 @@
 	uint32_t n;
 	uint32_t i;
 
-	job->reason = WAIT_ROOM;
+	job->reason = WAIT_CAPACITY;
 	if (!quota_allows(core, shard, job, (int)count)) {
 		job->reason = WAIT_QUOTA;
 		return false;
@@ -261,7 +261,7 @@
 static void
 gang_hold(struct gb_core *core, struct shard *shard, struct job *job)
 {
-	if (shard->holder == NULL && job->reason == WAIT_ROOM &&
+	if (shard->holder == NULL && job->reason == WAIT_CAPACITY &&
 	    core->now - job->accepted_at > GANG_PATIENCE)
 		shard->holder = job;
 }
@@ -357,7 +357,7 @@
 	bool started;
 
 	if (held_back(shard, job)) {
-		job->reason = WAIT_ROOM;
+		job->reason = WAIT_CAPACITY;
 		return false;
 	}
 	started = job->spec.gang ? gang_start(core, shard, job)
@@ -372,7 +372,7 @@
 	}
 	if (!started && job->spec.gang)
 		gang_hold(core, shard, job);
-	if (!started && job->reason == WAIT_ROOM &&
+	if (!started && job->reason == WAIT_CAPACITY &&
 	    job->spec.band <= GB_BAND_SERVICE)
 		job_preempt(core, shard, job);
 	return started;
--- a/libgooseberry/process/job_command.c
+++ b/libgooseberry/process/job_command.c
@@ -191,7 +191,7 @@
 {
 	static const char *const texts[] = {
 	    [WAIT_NONE] = "",
-	    [WAIT_ROOM] = "no worker has room; starts when work ends",
+	    [WAIT_CAPACITY] = "no worker has room; starts when work ends",
 	    [WAIT_QUOTA] = "the team's quota is used up; starts when the "
 			   "team's work ends or the quota grows",
 	    [WAIT_BACKOFF] = "backing off after failures",
--- a/libgooseberry/process/loan.c
+++ b/libgooseberry/process/loan.c
@@ -169,8 +169,8 @@
 	uint32_t i;
 
 	if (job->derived || job->spec.parent != 0 || job->cancelled ||
-	    (job->reason != WAIT_ROOM && job->reason != WAIT_PLACEMENT) ||
-	    (job->reason == WAIT_ROOM &&
+	    (job->reason != WAIT_CAPACITY && job->reason != WAIT_PLACEMENT) ||
+	    (job->reason == WAIT_CAPACITY &&
 		core->now - job->accepted_at < LEND_AFTER) ||
 	    core->now < job->lend_at || !member_store_fresh(core))
 		return;
--- a/libgooseberry/version/route.c
+++ b/libgooseberry/version/route.c
@@ -133,7 +133,7 @@
 
 /** Room that a shard is thought to have, less what was sent since. */
 static int64_t
-shard_room(const struct route_shard *shard)
+shard_free_capacity(const struct route_shard *shard)
 {
 	return (int64_t)shard->free_slots - shard->in_flight;
 }
@@ -157,9 +157,10 @@
 	switch (pass) {
 	case PASS_LOCAL_ROOM:
 		return shard->local && shard_open(route, shard) &&
-		       shard_room(shard) > 0;
+		       shard_free_capacity(shard) > 0;
 	case PASS_ROOM:
-		return shard_open(route, shard) && shard_room(shard) > 0;
+		return shard_open(route, shard) &&
+		       shard_free_capacity(shard) > 0;
 	case PASS_OPEN:
 		return shard_open(route, shard);
 	default:
@@ -197,8 +198,8 @@
 
 		if (a == GB_NONE)
 			continue;
-		return shard_room(&route->shards[b]) >
-			       shard_room(&route->shards[a])
+		return shard_free_capacity(&route->shards[b]) >
+			       shard_free_capacity(&route->shards[a])
 			   ? b
 			   : a;
 	}
