--- a/libgooseberry/pool/book.c
+++ b/libgooseberry/pool/book.c
@@ -15,16 +15,16 @@
 #include "state.h"
 
 /** What is left of a run that has taken longer than was expected. */
-#define BOOK_OVERDUE (150 * GB_MSEC)
+#define RESERVE_OVERDUE (150 * GB_MSEC)
 /** Tasks of one gang that are counted on one worker, and runs of a worker whose
  * ends are looked at: a worker holds about 8. */
-#define BOOK_SLOTS_MOST 32
-#define BOOK_RUNS_MOST 64
+#define RESERVE_SLOTS_MOST 32
+#define RESERVE_RUNS_MOST 64
 /** Progress below this says little about the speed of a run, in percent. */
-#define BOOK_PROGRESS 10
+#define RESERVE_PROGRESS 10
 
 gb_time
-pool_book_run_left(const struct gb_pool *pool, const struct pool_run *run)
+pool_run_time_left(const struct gb_pool *pool, const struct pool_run *run)
 {
 	const struct pool_step *step = &run->flow->steps[run->step];
 	gb_time whole = pool_rank_estimate(pool, run->flow, step);
@@ -32,10 +32,10 @@
 
 	if (run->state == POOL_RUN_STOPPING)
 		return pool->cfg.limits.stop_us;
-	if (run->percent >= BOOK_PROGRESS && run->moved > run->started)
+	if (run->percent >= RESERVE_PROGRESS && run->moved > run->started)
 		whole = (run->moved - run->started) * 100 / run->percent;
 	left = run->started + whole - pool->now;
-	return left > BOOK_OVERDUE ? left : BOOK_OVERDUE;
+	return left > RESERVE_OVERDUE ? left : RESERVE_OVERDUE;
 }
 
 /** Room that falls free on a worker at some time. */
@@ -56,7 +56,7 @@
 }
 
 /** A run and when it is expected to end. */
-struct book_end {
+struct reserve_end {
 	gb_time left;
 	const struct pool_run *run;
 };
@@ -64,8 +64,8 @@
 static int
 end_compare(const void *a, const void *b)
 {
-	const struct book_end *x = a;
-	const struct book_end *y = b;
+	const struct reserve_end *x = a;
+	const struct reserve_end *y = b;
 
 	return x->left < y->left ? -1 : x->left > y->left;
 }
@@ -75,7 +75,7 @@
 worker_slots(const struct gb_pool *pool, const struct pool_step *step,
     const struct pool_worker *worker, struct pool_slot *out)
 {
-	struct book_end ends[BOOK_RUNS_MOST];
+	struct reserve_end ends[RESERVE_RUNS_MOST];
 	uint32_t limit = step->spec->per_worker == 0 ? step->spec->count
 						     : step->spec->per_worker;
 	gb_res room = pool_fit_free(worker);
@@ -85,15 +85,15 @@
 	uint32_t next = 0;
 	const struct pool_run *run;
 
-	gb_res_sub(&room, &worker->booked);
-	if (limit > BOOK_SLOTS_MOST)
-		limit = BOOK_SLOTS_MOST;
+	gb_res_sub(&room, &worker->reserved);
+	if (limit > RESERVE_SLOTS_MOST)
+		limit = RESERVE_SLOTS_MOST;
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		if (n == BOOK_RUNS_MOST)
+		if (n == RESERVE_RUNS_MOST)
 			break;
 		ends[n].run = run;
-		ends[n++].left = pool_book_run_left(pool, run);
+		ends[n++].left = pool_run_time_left(pool, run);
 	}
 	qsort(ends, n, sizeof(*ends), end_compare);
 	while (count < limit) {
@@ -112,19 +112,19 @@
 }
 
 static void
-book_take(struct gb_pool *pool, const struct pool_step *step,
+reserve_take(struct gb_pool *pool, const struct pool_step *step,
     const struct pool_slot *slot, gb_time at)
 {
 	struct pool_worker *worker = pool->workers[slot->worker];
 
-	gb_res_add(&worker->booked, &step->spec->res);
-	if (worker->booked_at == 0 || at < worker->booked_at)
-		worker->booked_at = at;
+	gb_res_add(&worker->reserved, &step->spec->res);
+	if (worker->reserved_at == 0 || at < worker->reserved_at)
+		worker->reserved_at = at;
 }
 
 /** Room for the slots of all workers, were they empty. */
 static struct pool_slot *
-book_scratch(struct gb_pool *pool, size_t wanted)
+reserve_scratch(struct gb_pool *pool, size_t wanted)
 {
 	if (pool->slot_size < wanted) {
 		pool->slot_size = wanted;
@@ -135,8 +135,8 @@
 }
 
 bool
-pool_book(struct gb_pool *pool, struct pool_flow *flow, struct pool_step *step,
-    gb_time *wait, uint32_t *workers)
+pool_reserve(struct gb_pool *pool, struct pool_flow *flow,
+    struct pool_step *step, gb_time *wait, uint32_t *workers)
 {
 	uint32_t wanted = step->spec->count;
 	uint32_t choice = POOL_ADVICE_NEEDED(flow) ? step->approved_count
@@ -145,7 +145,7 @@
 	size_t count = 0;
 	uint32_t i;
 
-	slots = book_scratch(pool, (size_t)choice * BOOK_SLOTS_MOST);
+	slots = reserve_scratch(pool, (size_t)choice * RESERVE_SLOTS_MOST);
 	for (i = 0; i < choice; i++) {
 		const struct pool_worker *worker =
 		    POOL_ADVICE_NEEDED(flow)
@@ -162,24 +162,24 @@
 	qsort(slots, count, sizeof(*slots), slot_compare);
 	*wait = slots[wanted - 1].wait;
 	for (i = 0; i < wanted; i++) {
-		book_take(pool, step, &slots[i], pool->now + *wait);
+		reserve_take(pool, step, &slots[i], pool->now + *wait);
 		workers[i] = slots[i].worker;
 	}
 	return true;
 }
 
 void
-pool_book_clear(struct gb_pool *pool)
+pool_reservations_clear(struct gb_pool *pool)
 {
 	static const gb_res none;
 	uint32_t i;
 
-	pool->bookings = 0;
+	pool->reservations = 0;
 	for (i = 0; i < pool->worker_count; i++) {
 		struct pool_worker *worker = pool->workers[i];
 
-		worker->was_booked = worker->booked_at != 0;
-		worker->booked = none;
-		worker->booked_at = 0;
+		worker->was_reserved = worker->reserved_at != 0;
+		worker->reserved = none;
+		worker->reserved_at = 0;
 	}
 }
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -22,7 +22,7 @@
 #define DISPATCH_CHOICE 3
 /** Gangs that room is booked for in one pass: each costs about 20 us, and what
  * is booked for the tenth is seconds away. */
-#define DISPATCH_BOOKINGS 10
+#define DISPATCH_RESERVATIONS 10
 /** On the way to the advice service and back, by way of a member. */
 #define DISPATCH_ADVICE_TRAVEL (60 * GB_MSEC)
 /** Room that is made is kept for this long after the stops: reports of workers
@@ -285,15 +285,15 @@
 /** The gang found no room: keep it for later, and renew the tickets just before
  * it is there, so that the room does not wait for them. */
 static void
-step_book(struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+step_reserve(struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
 {
 	struct pool_step *step = &flow->steps[number];
 
 	uint32_t *workers;
 
-	if (pool->bookings >= DISPATCH_BOOKINGS)
+	if (pool->reservations >= DISPATCH_RESERVATIONS)
 		return;
-	pool->bookings++;
+	pool->reservations++;
 	workers = gb_calloc(step->spec->count, sizeof(*workers));
 	switch (pool_preempt(pool, flow, step, workers)) {
 	case POOL_PREEMPT_STOPPED:
@@ -312,7 +312,7 @@
 		break;
 	}
 	if (!POOL_USES(pool, GB_MECH_BOOK) ||
-	    !pool_book(pool, flow, step, &flow->wait, workers))
+	    !pool_reserve(pool, flow, step, &flow->wait, workers))
 		flow->wait = 0;
 	else if (POOL_USES(pool, GB_MECH_RENEW) && POOL_ADVICE_NEEDED(flow) &&
 		 step->renews_in_flight == 0 &&
@@ -404,7 +404,7 @@
 	if (gang && started > 0)
 		flow->wait = 0;
 	if (gang && started == 0 && step->claim_count == 0)
-		step_book(pool, flow, number);
+		step_reserve(pool, flow, number);
 	free(workers);
 	return started + placed == 0;
 }
@@ -430,7 +430,7 @@
 			    TAILQ_FIRST(&before->tasks[j].runs);
 			gb_time left = before->tasks[j].done || run == NULL
 					   ? 0
-					   : pool_book_run_left(pool, run);
+					   : pool_run_time_left(pool, run);
 
 			if (left > longest)
 				longest = left;
@@ -569,7 +569,7 @@
 	crowd_count(pool, flows, count);
 	pool_quota_doubt(pool);
 	qsort(flows, count, sizeof(*flows), flow_compare);
-	pool_book_clear(pool);
+	pool_reservations_clear(pool);
 	pool->waiting_bytes = 0;
 	for (i = 0; i < count; i++) {
 		for (j = 0; j < flows[i]->step_count; j++) {
--- a/libgooseberry/pool/fit.c
+++ b/libgooseberry/pool/fit.c
@@ -25,7 +25,7 @@
 #define FIT_SLOW_FIRST 0.5
 #define FIT_FAST_FIRST 2.0
 /** So does room that a gang waits for: others are used first. */
-#define FIT_BOOKED_PENALTY 0.5
+#define FIT_RESERVED_PENALTY 0.5
 /** A task that was lost with a worker is put where nothing else is new, so that
  * a second crash tells which of them it was. */
 #define FIT_NEW_PENALTY 10.0
@@ -183,8 +183,8 @@
 	if (step->spec->rack[0] != '\0' &&
 	    strcmp(step->spec->rack, worker->rack) != 0)
 		score += FIT_REMOTE_PENALTY;
-	if (worker->was_booked)
-		score += FIT_BOOKED_PENALTY;
+	if (worker->was_reserved)
+		score += FIT_RESERVED_PENALTY;
 	if (worker->failures > 0)
 		score += 1.0;
 	if (!POOL_USES(pool, GB_MECH_SPEED))
@@ -217,10 +217,10 @@
 	    pool_fit_ticket(pool, step, worker->handle) == NULL)
 		return false;
 	room = pool_fit_free(worker);
-	if (worker->booked_at != 0 &&
+	if (worker->reserved_at != 0 &&
 	    pool->now + pool_rank_estimate(pool, flow, step) >
-		worker->booked_at)
-		gb_res_sub(&room, &worker->booked);
+		worker->reserved_at)
+		gb_res_sub(&room, &worker->reserved);
 	out->worker = worker->handle;
 	out->times = fit_times(&step->spec->res, &room);
 	if (step->spec->per_worker > 0) {
--- a/libgooseberry/pool/preempt.c
+++ b/libgooseberry/pool/preempt.c
@@ -69,7 +69,7 @@
 	       (step->spec->flags & GB_STEP_GANG) == 0 &&
 	       !step->tasks[run->index].preempted &&
 	       run->flow->status < GB_FLOW_SUCCEEDED &&
-	       pool_book_run_left(pool, run) > PREEMPT_ENDS_SOON &&
+	       pool_run_time_left(pool, run) > PREEMPT_ENDS_SOON &&
 	       flow_spare(pool, run->flow) >= PREEMPT_SLACK;
 }
 
@@ -114,7 +114,7 @@
 	uint32_t next = 0;
 	uint32_t count = 0;
 
-	gb_res_sub(&room, &worker->booked);
+	gb_res_sub(&room, &worker->reserved);
 	while (count < most) {
 		if (gb_res_fits(&step->spec->res, &room)) {
 			if (slots != NULL) {
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -249,9 +249,9 @@
 	char rack[GB_NAME_MAX + 1];
 	gb_res used;	     /**< by runs */
 	gb_res claimed;	     /**< kept for gangs whose tickets are renewed */
-	gb_res booked;	     /**< kept for gangs that wait for room */
-	gb_time booked_at;   /**< when the first of them wants it, 0: none */
-	bool was_booked;     /**< in the dispatch before this one */
+	gb_res reserved;     /**< kept for gangs that wait for room */
+	gb_time reserved_at; /**< when the first of them wants it, 0: none */
+	bool was_reserved;   /**< in the dispatch before this one */
 	int64_t incarnation; /**< that answered last, 0: not told */
 	gb_time incarnation_since; /**< when it first answered */
 	int64_t ended_incarnation; /**< that is over, when over is set */
@@ -501,7 +501,7 @@
 	bool work_changed;
 	struct pool_candidate *candidates; /**< scratch, one a worker */
 	uint32_t candidate_size;
-	uint32_t bookings; /**< of the last dispatch */
+	uint32_t reservations; /**< of the last dispatch */
 	/** Processors of gangs that wait for room and of the workers, in
 	 * thousandths, at the last dispatch. */
 	double gangs_wait;
@@ -566,14 +566,14 @@
 
 /* book.c */
 /** Time until a run is expected to end. */
-gb_time pool_book_run_left(const struct gb_pool *, const struct pool_run *);
+gb_time pool_run_time_left(const struct gb_pool *, const struct pool_run *);
 /** Keep room for a gang; tells how long it will have to wait, and for each task
  * the worker it is kept on.  False when it would not fit even if all that runs
  * ended. */
-bool pool_book(struct gb_pool *, struct pool_flow *, struct pool_step *,
+bool pool_reserve(struct gb_pool *, struct pool_flow *, struct pool_step *,
     gb_time *wait, uint32_t *workers);
 /** Begin anew: bookings are worked out in each dispatch. */
-void pool_book_clear(struct gb_pool *);
+void pool_reservations_clear(struct gb_pool *);
 
 /* preempt.c */
 enum pool_preempt_result {
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -288,7 +288,7 @@
 		return wait;
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		left = pool_book_run_left(pool, run) + HEARTBEAT_PAST_END;
+		left = pool_run_time_left(pool, run) + HEARTBEAT_PAST_END;
 		if (left < wait)
 			wait = left;
 	}
