--- a/libgooseberry/pool/advice.c
+++ b/libgooseberry/pool/advice.c
@@ -17,9 +17,9 @@
 #include "state.h"
 
 /** A member that was not heard of for this long has no lane. */
-#define LANE_SILENCE (1200 * GB_MSEC)
+#define CHANNEL_SILENCE (1200 * GB_MSEC)
 /** Pause of a lane after a refusal or a lost answer. */
-#define LANE_PAUSE (300 * GB_MSEC)
+#define CHANNEL_PAUSE (300 * GB_MSEC)
 /** A ticket counts from when the service decided, before its answer came. */
 #define TICKET_TRAVEL (30 * GB_MSEC)
 /** A step whose workers were all turned down asks again after this. */
@@ -28,7 +28,7 @@
  * workers are approved, of which enough must have room at one moment.  At most
  * so many calls, and one in so many of the free lanes. */
 #define ADVICE_BATCHES_MOST 4
-#define ADVICE_LANES_SHARE 4
+#define ADVICE_CHANNELS_SHARE 4
 /** Workers named for each that a gang would fill, were it empty: a quarter are
  * approved, and one in five of these can be had when it is wanted. */
 #define ADVICE_NAMES_FOR_ONE 20
@@ -38,62 +38,62 @@
 #define ADVICE_NAMES_BATCH 60
 
 void
-pool_advice_lane(struct gb_pool *pool, const char *addr, bool usable)
+pool_advice_channel(struct gb_pool *pool, const char *addr, bool usable)
 {
-	struct pool_lane *lane = NULL;
+	struct pool_channel *channel = NULL;
 	size_t i;
 
-	for (i = 0; i < pool->lane_count; i++) {
-		if (strcmp(pool->lanes[i].addr, addr) == 0)
-			lane = &pool->lanes[i];
+	for (i = 0; i < pool->channel_count; i++) {
+		if (strcmp(pool->channels[i].addr, addr) == 0)
+			channel = &pool->channels[i];
 	}
-	if (lane == NULL && !usable)
+	if (channel == NULL && !usable)
 		return;
-	if (lane == NULL) {
-		pool->lanes = gb_realloc(
-		    pool->lanes, (pool->lane_count + 1) * sizeof(*lane));
-		lane = &pool->lanes[pool->lane_count++];
-		memset(lane, 0, sizeof(*lane));
-		snprintf(lane->addr, sizeof(lane->addr), "%s", addr);
+	if (channel == NULL) {
+		pool->channels = gb_realloc(pool->channels,
+		    (pool->channel_count + 1) * sizeof(*channel));
+		channel = &pool->channels[pool->channel_count++];
+		memset(channel, 0, sizeof(*channel));
+		snprintf(channel->addr, sizeof(channel->addr), "%s", addr);
 	}
-	lane->usable = usable;
-	lane->last_heard = pool->now;
+	channel->usable = usable;
+	channel->last_heard = pool->now;
 }
 
 static bool
-lane_is_free(const struct gb_pool *pool, const struct pool_lane *lane)
+channel_is_free(const struct gb_pool *pool, const struct pool_channel *channel)
 {
-	return lane->usable && lane->call == 0 &&
-	       lane->back_off_until <= pool->now &&
-	       pool->now - lane->last_heard < LANE_SILENCE;
+	return channel->usable && channel->call == 0 &&
+	       channel->back_off_until <= pool->now &&
+	       pool->now - channel->last_heard < CHANNEL_SILENCE;
 }
 
-static struct pool_lane *
-lane_free(const struct gb_pool *pool)
+static struct pool_channel *
+channel_free(const struct gb_pool *pool)
 {
 	size_t i;
 
-	for (i = 0; i < pool->lane_count; i++) {
-		if (lane_is_free(pool, &pool->lanes[i]))
-			return &pool->lanes[i];
+	for (i = 0; i < pool->channel_count; i++) {
+		if (channel_is_free(pool, &pool->channels[i]))
+			return &pool->channels[i];
 	}
 	return NULL;
 }
 
 bool
-pool_advice_lane_free(const struct gb_pool *pool)
+pool_advice_channel_free(const struct gb_pool *pool)
 {
-	return lane_free(pool) != NULL;
+	return channel_free(pool) != NULL;
 }
 
-static struct pool_lane *
-lane_of_call(const struct gb_pool *pool, uint64_t call)
+static struct pool_channel *
+channel_of_call(const struct gb_pool *pool, uint64_t call)
 {
 	size_t i;
 
-	for (i = 0; i < pool->lane_count; i++) {
-		if (pool->lanes[i].call == call)
-			return &pool->lanes[i];
+	for (i = 0; i < pool->channel_count; i++) {
+		if (pool->channels[i].call == call)
+			return &pool->channels[i];
 	}
 	return NULL;
 }
@@ -167,18 +167,18 @@
 
 static void
 ask_send(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
-    struct pool_lane *lane, bool first, const gb_advice_ask *ask)
+    struct pool_channel *channel, bool first, const gb_advice_ask *ask)
 {
 	struct pool_advice_call *call = gb_calloc(1, sizeof(*call));
 
 	call->id = ++pool->next_call;
-	call->lane = lane;
+	call->channel = channel;
 	call->step = number;
 	call->first = first;
 	call->sent = pool->now;
 	snprintf(call->flow, sizeof(call->flow), "%s", flow->spec.id);
 	HASH_ADD(hh, pool->advice_calls, id, sizeof(call->id), call);
-	lane->call = call->id;
+	channel->call = call->id;
 	if (first)
 		flow->steps[number].asks_in_flight++;
 	else
@@ -186,22 +186,22 @@
 	pool->stats.advice_calls++;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "advice_ask",
 	    "{s:s, s:I, s:s, s:I, s:b}", "flow", flow->spec.id, "step",
-	    (json_int_t)number, "lane", lane->addr, "workers",
+	    (json_int_t)number, "lane", channel->addr, "workers",
 	    (json_int_t)ask->workers.workers_len, "first", first);
-	pool->ops.advise(pool->ops.data, call->id, lane->addr, ask);
+	pool->ops.advise(pool->ops.data, call->id, channel->addr, ask);
 }
 
 /** Ask one lane; with no worker named, about `most` others. */
 static bool
-ask_lane(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
+ask_channel(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
     const uint32_t *workers, uint32_t count, uint32_t most)
 {
-	struct pool_lane *lane = lane_free(pool);
+	struct pool_channel *channel = channel_free(pool);
 	char *names[POOL_ADVICE_MOST];
 	char step_name[GB_NAME_MAX + 1];
 	gb_advice_ask ask = {0};
 
-	if (lane == NULL)
+	if (channel == NULL)
 		return false;
 	ask.workers.workers_val = names;
 	snprintf(
@@ -213,18 +213,18 @@
 		ask_some(pool, workers, count, &ask);
 	if (ask.workers.workers_len == 0)
 		return false;
-	ask_send(pool, flow, number, lane, count == 0, &ask);
+	ask_send(pool, flow, number, channel, count == 0, &ask);
 	return true;
 }
 
 static uint32_t
-lanes_free(const struct gb_pool *pool)
+channels_free(const struct gb_pool *pool)
 {
 	uint32_t count = 0;
 	size_t i;
 
-	for (i = 0; i < pool->lane_count; i++)
-		count += lane_is_free(pool, &pool->lanes[i]);
+	for (i = 0; i < pool->channel_count; i++)
+		count += channel_is_free(pool, &pool->channels[i]);
 	return count;
 }
 
@@ -248,7 +248,7 @@
     const struct pool_step *step, uint32_t *batches)
 {
 	const struct gb_pool_advice *advice = &flow->advice;
-	uint32_t most = lanes_free(pool) / ADVICE_LANES_SHARE;
+	uint32_t most = channels_free(pool) / ADVICE_CHANNELS_SHARE;
 	uint32_t names;
 
 	*batches = 1;
@@ -302,7 +302,7 @@
 		return false;
 	names = (names + batches - 1) / batches;
 	for (i = 0; i < batches; i++) {
-		if (!ask_lane(pool, flow, number, NULL, 0, names))
+		if (!ask_channel(pool, flow, number, NULL, 0, names))
 			break;
 	}
 	return i > 0;
@@ -320,7 +320,7 @@
 		return step->asks_in_flight == 0 &&
 		       ask_others(pool, flow, number);
 	return step->renews_in_flight == 0 &&
-	       ask_lane(pool, flow, number, workers, count, 0);
+	       ask_channel(pool, flow, number, workers, count, 0);
 }
 
 void
@@ -421,7 +421,7 @@
 pool_advice_done(
     struct gb_pool *pool, uint64_t id, const gb_advice_res *res, uint32_t *step)
 {
-	struct pool_lane *lane = lane_of_call(pool, id);
+	struct pool_channel *channel = channel_of_call(pool, id);
 	struct pool_advice_call *call;
 	struct pool_flow *flow;
 
@@ -431,10 +431,10 @@
 	*step = call->step;
 	HASH_DEL(pool->advice_calls, call);
 	gb_histogram_add(&pool->stats.advice_us, pool->now - call->sent);
-	if (lane != NULL) {
-		lane->call = 0;
+	if (channel != NULL) {
+		channel->call = 0;
 		if (res->status != GB_ADVICE_OK)
-			lane->back_off_until = pool->now + LANE_PAUSE;
+			channel->back_off_until = pool->now + CHANNEL_PAUSE;
 	}
 	if (res->status == GB_ADVICE_BUSY)
 		pool->stats.advice_busy++;
@@ -468,6 +468,6 @@
 		HASH_DEL(pool->advice_calls, call);
 		free(call);
 	}
-	for (i = 0; i < pool->lane_count; i++)
-		pool->lanes[i].call = 0;
+	for (i = 0; i < pool->channel_count; i++)
+		pool->channels[i].call = 0;
 }
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -397,7 +397,7 @@
 	if (started < wanted && step->renews_in_flight == 0)
 		placed = pool_fit_place(
 		    pool, flow, step, wanted - started, false, workers);
-	if (placed > 0 && advice && pool_advice_lane_free(pool))
+	if (placed > 0 && advice && pool_advice_channel_free(pool))
 		step_renew(pool, flow, number, workers, placed, true);
 	if (advice && started + placed == 0)
 		step_ask_more(pool, flow, number);
@@ -450,7 +450,8 @@
 	if (!POOL_USES(pool, GB_MECH_AHEAD) ||
 	    step->advice != POOL_ADVICE_NONE || step->asks_in_flight > 0 ||
 	    !POOL_ADVICE_NEEDED(flow) || step->done > 0 ||
-	    step->advice_retry_at > pool->now || !pool_advice_lane_free(pool))
+	    step->advice_retry_at > pool->now ||
+	    !pool_advice_channel_free(pool))
 		return;
 	in = step_ready_in(pool, flow, step);
 	if (in >= 0 && in < step_advice_time(flow, step))
--- a/libgooseberry/pool/pool.c
+++ b/libgooseberry/pool/pool.c
@@ -78,7 +78,7 @@
 	}
 	pool_orgs_free(pool);
 	gb_pool_config_unref(pool->config);
-	free(pool->lanes);
+	free(pool->channels);
 	free(pool->candidates);
 	free(pool->slots);
 	free(pool->name);
@@ -239,7 +239,7 @@
 gb_pool_member(struct gb_pool *pool, gb_time now, const char *addr, bool usable)
 {
 	pool->now = now;
-	pool_advice_lane(pool, addr, usable);
+	pool_advice_channel(pool, addr, usable);
 }
 
 /* Callers ----------------------------------------------------------------- */
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -361,7 +361,7 @@
 /* Advice ------------------------------------------------------------------ */
 
 /** A member that asks the advice service, one call at a time. */
-struct pool_lane {
+struct pool_channel {
 	char addr[GB_NAME_MAX + 1];
 	bool usable;
 	uint64_t call;
@@ -372,7 +372,7 @@
 struct pool_advice_call {
 	UT_hash_handle hh;
 	uint64_t id;
-	struct pool_lane *lane;
+	struct pool_channel *channel;
 	char flow[GB_NAME_MAX + 1];
 	uint32_t step;
 	bool first; /**< named all workers */
@@ -494,8 +494,8 @@
 	uint32_t tick_from;	   /**< worker that the next tick begins with */
 	bool listed;		   /**< the list of workers has been read */
 	/* Advice */
-	struct pool_lane *lanes;
-	size_t lane_count;
+	struct pool_channel *channels;
+	size_t channel_count;
 	struct pool_advice_call *advice_calls;
 	/* Dispatch */
 	bool work_changed;
@@ -801,8 +801,8 @@
 void pool_health_check(struct gb_pool *, struct pool_worker *);
 
 /* advice.c */
-void pool_advice_lane(struct gb_pool *, const char *addr, bool usable);
-bool pool_advice_lane_free(const struct gb_pool *);
+void pool_advice_channel(struct gb_pool *, const char *addr, bool usable);
+bool pool_advice_channel_free(const struct gb_pool *);
 /** Ask about workers; with none named, about those that could run the step and
  * have not been asked about, as many as one call takes. */
 bool pool_advice_ask(struct gb_pool *, struct pool_flow *, uint32_t step,
