--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -313,7 +313,7 @@
 	if (worker->leaving || worker->fenced)
 		return;
 	for (i = 0; i < GB_POOL_PARTS; i++) {
-		if (!pool->parts[i].settled)
+		if (!pool->parts[i].reconciled)
 			pool->parts[i].lost_unseen = true;
 	}
 }
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -465,7 +465,7 @@
 	struct pool_step *step = &flow->steps[number];
 
 	if ((step->spec->flags & GB_STEP_GANG) == 0 ||
-	    !pool->parts[flow->part].settled || step->active == 0 ||
+	    !pool->parts[flow->part].reconciled || step->active == 0 ||
 	    step->done > 0 || step->active == step->spec->count)
 		return;
 	pool_flow_stop_step(
--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -352,7 +352,7 @@
 
 	if (left == 0 || !pool_flow_step_ready(flow, step))
 		return 0;
-	if (!pool->parts[flow->part].settled && !flow->fresh && !step->fresh)
+	if (!pool->parts[flow->part].reconciled && !flow->fresh && !step->fresh)
 		return 0;
 	if ((step->spec->flags & GB_STEP_GANG) != 0)
 		return step->active > 0 || pool_crash_held_count(flow, step) > 0
--- a/libgooseberry/pool/listing.c
+++ b/libgooseberry/pool/listing.c
@@ -88,7 +88,7 @@
 entry_moved(struct gb_pool *pool, struct pool_worker *worker,
     struct gb_pool_entry *entry)
 {
-	bool believed = (!worker->fenced && pool_owner_settled(pool)) ||
+	bool believed = (!worker->fenced && pool_owner_reconciled(pool)) ||
 			pool_incarnation_may_move(pool, worker, entry);
 
 	if (strcmp(worker->entry.addr, entry->addr) == 0)
--- a/libgooseberry/pool/owner.c
+++ b/libgooseberry/pool/owner.c
@@ -22,7 +22,7 @@
 /** Every lease that an earlier owner gave is over this much after its longest
  * length on the slowest clock: it learns of its loss with its next write or
  * the next answer of a worker, half a second at the most. */
-#define OWNER_SETTLE_MARGIN (900 * GB_MSEC)
+#define OWNER_RECONCILE_MARGIN (900 * GB_MSEC)
 /** Writes that are pending at a stop are given this long. */
 #define OWNER_RELEASE (1500 * GB_MSEC)
 /** Flows stored without the owner are looked for this often, and sooner after
@@ -58,12 +58,12 @@
 }
 
 bool
-pool_owner_settled(const struct gb_pool *pool)
+pool_owner_reconciled(const struct gb_pool *pool)
 {
 	uint32_t i;
 
 	for (i = 0; i < GB_POOL_PARTS; i++) {
-		if (!pool_part_attached(pool, i) || !pool->parts[i].settled)
+		if (!pool_part_attached(pool, i) || !pool->parts[i].reconciled)
 			return false;
 	}
 	return true;
@@ -431,10 +431,10 @@
 	part->attach_failures = 0;
 	part->renewed = pool->now;
 	part->attached_at = pool->now;
-	part->settle_at =
-	    pool->now + lease * 1000 / POOL_CLOCK_SLOWEST + OWNER_SETTLE_MARGIN;
+	part->reconcile_at = pool->now + lease * 1000 / POOL_CLOCK_SLOWEST +
+			     OWNER_RECONCILE_MARGIN;
 	/* The first owner of all has nobody before it. */
-	part->settled = part->row_epoch == 0;
+	part->reconciled = part->row_epoch == 0;
 	part->lost_unseen = false;
 	pool->inbox_at = pool->now;
 	pool->work_changed = true;
@@ -572,17 +572,17 @@
 }
 
 static void
-part_settle(struct gb_pool *pool, uint32_t number)
+part_reconcile(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_part *part = &pool->parts[number];
 	bool told;
 
-	if (part->attach != POOL_ATTACH_DONE || part->settled)
+	if (part->attach != POOL_ATTACH_DONE || part->reconciled)
 		return;
 	told = part_all_told(pool, number);
-	if (!told && pool->now < part->settle_at)
+	if (!told && pool->now < part->reconcile_at)
 		return;
-	part->settled = true;
+	part->reconciled = true;
 	if (!told || part->lost_unseen)
 		pool_crash_watch(pool, number);
 	pool->work_changed = true;
@@ -601,7 +601,7 @@
 
 	if (part->attach == POOL_ATTACH_NONE && part->attach_at <= pool->now)
 		part_read(pool, number);
-	part_settle(pool, number);
+	part_reconcile(pool, number);
 	written = number < GB_POOL_PARTS_SHOWN ? part->renewed : part->sent;
 	if (part->attach == POOL_ATTACH_DONE &&
 	    pool->now - written > POOL_OWNER_RENEW)
--- a/libgooseberry/pool/quota.c
+++ b/libgooseberry/pool/quota.c
@@ -108,14 +108,14 @@
 
 /** Whether something may run on a worker that this owner does not know of. */
 static bool
-worker_doubtful(
-    const struct gb_pool *pool, const struct pool_worker *worker, bool settled)
+worker_doubtful(const struct gb_pool *pool, const struct pool_worker *worker,
+    bool reconciled)
 {
 	if (worker->over)
 		return false;
 	if (worker->foreign)
 		return worker->silent == 0 || worker->lapse_at >= pool->now;
-	return !worker->fenced && !settled;
+	return !worker->fenced && !reconciled;
 }
 
 /** A worker that nobody lists any more may be as large as any. */
@@ -142,7 +142,7 @@
 pool_quota_doubt(struct gb_pool *pool)
 {
 	static const struct gb_pool_amount none;
-	bool settled = pool_owner_settled(pool);
+	bool reconciled = pool_owner_reconciled(pool);
 	struct gb_pool_amount most = worker_most(pool);
 	uint32_t i;
 
@@ -152,7 +152,7 @@
 		struct gb_pool_amount room = amount_of(&worker->entry.capacity);
 		struct gb_pool_amount used = amount_of(&worker->used);
 
-		if (!worker_doubtful(pool, worker, settled))
+		if (!worker_doubtful(pool, worker, reconciled))
 			continue;
 		if (room.cpu == 0)
 			room = most;
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -261,14 +261,14 @@
 	struct pool_run *next;
 
 	for (run = TAILQ_FIRST(&worker->runs); run != NULL; run = next) {
-		gb_time settled =
+		gb_time reconciled =
 		    run->stopped != 0 ? run->stopped : run->confirmed;
 
 		next = TAILQ_NEXT(run, of_worker);
 		if (run->stopped == 0 && run->confirmed == 0 &&
 		    run->start_call == 0)
-			settled = run->lapse_at;
-		if (settled == 0 || settled >= sent)
+			reconciled = run->lapse_at;
+		if (reconciled == 0 || reconciled >= sent)
 			continue;
 		if (list_names(report->running, report->running_count, run))
 			continue;
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -328,8 +328,8 @@
 	bool row_vacant;
 	bool row_own; /**< this process wrote it for this claim */
 	gb_time attached_at;
-	gb_time settle_at; /**< no run of an earlier owner lasts longer */
-	bool settled;	   /**< every run of earlier owners is known */
+	gb_time reconcile_at; /**< no run of an earlier owner lasts longer */
+	bool reconciled;      /**< every run of earlier owners is known */
 	/** A worker was lost meanwhile, nobody knows with what. */
 	bool lost_unseen;
 	uint64_t set_changed; /**< rows of the set of workers to be written */
@@ -834,7 +834,7 @@
 /** Whether a part is about to be attached, so that waiting is worth it. */
 bool pool_part_coming(const struct gb_pool *, uint32_t part);
 /** Whether every run of earlier owners is known, of all parts. */
-bool pool_owner_settled(const struct gb_pool *);
+bool pool_owner_reconciled(const struct gb_pool *);
 
 /* rival.c */
 /** Another node holds an owner's row. */
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -356,7 +356,7 @@
 		return true;
 	return (worker->fenced || worker->recorded != 0) &&
 	       (worker->silent < HEARTBEAT_UNLISTED_TRIES ||
-		   !pool_owner_settled(pool));
+		   !pool_owner_reconciled(pool));
 }
 
 /** Returns false when the link left no room for a look at the worker. */
--- a/libgooseberry/pool/worker_set.c
+++ b/libgooseberry/pool/worker_set.c
@@ -49,7 +49,7 @@
 	/* Not offered and silent: until every lease it was given is over. */
 	return worker->recorded != 0 &&
 	       (worker->silent == 0 || worker->lapse_at >= pool->now ||
-		   !pool_owner_settled(pool));
+		   !pool_owner_reconciled(pool));
 }
 
 bool
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -371,8 +371,8 @@
 	gb_res total;
 	uint32_t *workers; /**< handles of the shard's workers */
 	uint32_t worker_count, worker_size;
-	bool settled; /**< every worker's evidence is in */
-	bool dirty;   /**< something changed that may let work start */
+	bool reconciled; /**< every worker's evidence is in */
+	bool dirty;	 /**< something changed that may let work start */
 	uint64_t services_config; /**< config the replicas were made from */
 	gb_time dispatch_at;
 	gb_time digest_at;
--- a/libgooseberry/process/job_record.c
+++ b/libgooseberry/process/job_record.c
@@ -182,7 +182,7 @@
 
 /** Whether no worker of the shard can still hold a task unseen. */
 static bool
-shard_settled(struct gb_core *core, const struct shard *shard)
+shard_reconciled(struct gb_core *core, const struct shard *shard)
 {
 	uint32_t i;
 
@@ -201,9 +201,9 @@
 	struct job *next;
 	uint32_t i;
 
-	if (shard->settled || !shard_settled(core, shard))
+	if (shard->reconciled || !shard_reconciled(core, shard))
 		return;
-	shard->settled = true;
+	shard->reconciled = true;
 	HASH_ITER(hh, shard->jobs, job, next)
 	{
 		for (i = 0; i < job->spec.tasks; i++) {
--- a/libgooseberry/process/service.c
+++ b/libgooseberry/process/service.c
@@ -114,7 +114,7 @@
 		job = job_new(core, shard, &spec);
 		job->derived = true;
 		for (i = 0; i < share; i++) {
-			if (shard->settled)
+			if (shard->reconciled)
 				job_task_ready(core, job, i);
 			else
 				job->tasks[i].state = TASK_UNSURE;
--- a/libgooseberry/process/shard.c
+++ b/libgooseberry/process/shard.c
@@ -109,7 +109,7 @@
 	shard->free_slots = 0;
 	shard->preempting = 0;
 	shard->hand_busy = false;
-	shard->settled = false;
+	shard->reconciled = false;
 	shard->vacant_since = core->now;
 }
 
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -309,7 +309,7 @@
 		if (w == NULL)
 			return;
 		w->lapse_at = worker_first_lapse(w->shard);
-		w->shard->settled = false;
+		w->shard->reconciled = false;
 	}
 	if (w->evidence == EVIDENCE_GONE)
 		return;
@@ -359,7 +359,7 @@
 {
 	uint32_t i;
 
-	shard->settled = false;
+	shard->reconciled = false;
 	for (i = 0; i < shard->worker_count; i++) {
 		struct worker *w = core->workers[shard->workers[i]];
 
