--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -107,7 +107,7 @@
 }
 
 static void
-intake_again(struct intake *in)
+intake_retry(struct intake *in)
 {
 	in->in_flight = false;
 	in->next_try = node_now() + TRY_PAUSE;
@@ -136,7 +136,7 @@
 	gb_flow_answer answer = {0};
 
 	if (res->status != GB_STORE_OK) {
-		intake_again(in);
+		intake_retry(in);
 		return;
 	}
 	answer.verdict = GB_FLOW_ACCEPTED;
@@ -146,7 +146,7 @@
 	if (in->ask.op == GB_FLOW_OP_CANCEL &&
 	    answer.status != GB_FLOW_UNKNOWN) {
 		/* It is there: the owner must hear of it. */
-		intake_again(in);
+		intake_retry(in);
 		return;
 	}
 	intake_finish(in, &answer);
@@ -188,7 +188,7 @@
 	if (in->stored_once || !intake_patient(in))
 		intake_give_up(in);
 	else
-		intake_again(in);
+		intake_retry(in);
 }
 
 static void
@@ -295,14 +295,14 @@
 	switch (answer->verdict) {
 	case GB_FLOW_NOT_OWNER:
 		watch_recheck(&in->node->watch, node_now());
-		intake_again(in);
+		intake_retry(in);
 		return;
 	case GB_FLOW_BEHIND:
-		intake_again(in);
+		intake_retry(in);
 		return;
 	case GB_FLOW_MAYBE:
 		in->maybe = true;
-		intake_again(in);
+		intake_retry(in);
 		return;
 	case GB_FLOW_CANT_STORE:
 		intake_owner_cant_store(in, answer);
@@ -334,7 +334,7 @@
 	}
 	if (verdict == GB_MAYBE_RUN)
 		in->maybe = true;
-	intake_again(in);
+	intake_retry(in);
 }
 
 static void
@@ -425,7 +425,7 @@
 		watch_store_quick(&in->node->watch, now))) {
 		intake_write(in);
 	} else if (intake_patient(in)) {
-		intake_again(in);
+		intake_retry(in);
 	} else {
 		in->in_flight = false;
 		intake_give_up(in);
@@ -480,7 +480,7 @@
 		   (silent || reads || in->tries > 2)) {
 		intake_read(in);
 	} else {
-		intake_again(in);
+		intake_retry(in);
 	}
 }
 
--- a/libgooseberry/pool/load.c
+++ b/libgooseberry/pool/load.c
@@ -217,7 +217,7 @@
 	enum pool_load course = POOL_LOAD_GOES_ON;
 
 	if (call->round == part->round && part->attach == POOL_ATTACH_LOADING) {
-		if (page != NULL && pool_page_again(pool, page, res))
+		if (page != NULL && pool_page_retry(pool, page, res))
 			return POOL_LOAD_GOES_ON;
 		course = page_take(pool, call, res);
 	}
--- a/libgooseberry/pool/owner.c
+++ b/libgooseberry/pool/owner.c
@@ -197,7 +197,7 @@
 }
 
 static void
-part_again(struct gb_pool *pool, struct pool_part *part, gb_time pause)
+part_retry(struct gb_pool *pool, struct pool_part *part, gb_time pause)
 {
 	part->attach = POOL_ATTACH_NONE;
 	part->attach_at = pool->now + pause;
@@ -211,7 +211,7 @@
 	unsigned int failing = 0;
 	uint32_t i;
 
-	part_again(pool, part,
+	part_retry(pool, part,
 	    ATTACH_RETRY << (part->attach_failures < ATTACH_RETRY_DOUBLINGS
 				 ? part->attach_failures
 				 : ATTACH_RETRY_DOUBLINGS));
@@ -275,7 +275,7 @@
 	    pool->now - pool->taken_at > OWNER_RIVAL_MOST)
 		owner_give_up(pool, "another node was first");
 	else
-		part_again(pool, part, ATTACH_RIVAL);
+		part_retry(pool, part, ATTACH_RIVAL);
 }
 
 /** Claim a part whose row has been read.  Who holds most parts knows that
@@ -415,7 +415,7 @@
 		pool_rival_conflict(pool, res);
 		owner_give_up(pool, "another node was first");
 	} else {
-		part_again(pool, part, ATTACH_RIVAL);
+		part_retry(pool, part, ATTACH_RIVAL);
 	}
 }
 
--- a/libgooseberry/pool/page.c
+++ b/libgooseberry/pool/page.c
@@ -177,7 +177,7 @@
 }
 
 bool
-pool_page_again(struct gb_pool *pool, struct pool_page *page,
+pool_page_retry(struct gb_pool *pool, struct pool_page *page,
     const struct gb_pool_read_res *res)
 {
 	if (res->status != GB_STORE_UNKNOWN || !pages_paced(pool) ||
--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -240,7 +240,7 @@
 }
 
 void
-pool_run_start_again(struct gb_pool *pool, struct pool_run *run)
+pool_run_start_retry(struct gb_pool *pool, struct pool_run *run)
 {
 	const struct pool_step *step = &run->flow->steps[run->step];
 	const struct pool_approval *a =
@@ -271,7 +271,7 @@
 	if (run->state == POOL_RUN_STARTING && !pool_pace_starts(pool))
 		run->again = true;
 	else if (run->state == POOL_RUN_STARTING)
-		pool_run_start_again(pool, run);
+		pool_run_start_retry(pool, run);
 	else
 		run_unsure(pool, run);
 }
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -781,7 +781,7 @@
 void pool_run_start(struct gb_pool *, struct pool_flow *, uint32_t step,
     uint32_t index, uint64_t number, struct pool_worker *, const char *ticket);
 /** Send an order to start again that got no answer. */
-void pool_run_start_again(struct gb_pool *, struct pool_run *);
+void pool_run_start_retry(struct gb_pool *, struct pool_run *);
 void pool_run_stop(struct gb_pool *, struct pool_run *, const char *why);
 /** Whether the only order to start a run is still out. */
 bool pool_run_start_open(const struct pool_run *);
@@ -859,7 +859,7 @@
     struct gb_pool *, const struct pool_call *);
 /** Ask for a page without an answer again, with fewer rows, if it may just have
  * been too large; false when it may not. */
-bool pool_page_again(
+bool pool_page_retry(
     struct gb_pool *, struct pool_page *, const struct gb_pool_read_res *);
 void pool_page_free(struct gb_pool *, struct pool_page *);
 /** Learn how large the rows of a table are. */
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -342,7 +342,7 @@
 			pool_run_stop_send(pool, run);
 		if (run->again && run->state == POOL_RUN_STARTING &&
 		    pool_pace_starts(pool))
-			pool_run_start_again(pool, run);
+			pool_run_start_retry(pool, run);
 	}
 }
 
