--- a/libgooseberry/node/handover.c
+++ b/libgooseberry/node/handover.c
@@ -94,7 +94,7 @@
 bool
 node_handover_begin(struct gb_node *node)
 {
-	if (!NODE_USES(node, GB_MECH_HANDOVER))
+	if (!NODE_USES(node, GB_FEATURE_HANDOVER))
 		return false;
 	if (node->handover.under_way)
 		return true;
--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -278,9 +278,9 @@
 {
 	gb_flow_answer refused = *answer;
 
-	if (!NODE_USES(in->node, GB_MECH_FOR_OWNER) || in->submit == NULL ||
-	    in->maybe || in->stored_once || gb_pool_owns(in->node->pool) ||
-	    node_store_unavailable(in->node)) {
+	if (!NODE_USES(in->node, GB_FEATURE_STORE_FOR_OWNER) ||
+	    in->submit == NULL || in->maybe || in->stored_once ||
+	    gb_pool_owns(in->node->pool) || node_store_unavailable(in->node)) {
 		refused.verdict = GB_FLOW_REFUSED;
 		intake_refused(in, &refused);
 		return;
@@ -420,8 +420,8 @@
 		intake_give_up(in);
 		return;
 	}
-	if (NODE_USES(in->node, GB_MECH_WITHOUT_OWNER) &&
-	    (!NODE_USES(in->node, GB_MECH_QUICK_ONLY) ||
+	if (NODE_USES(in->node, GB_FEATURE_STORE_WITHOUT_OWNER) &&
+	    (!NODE_USES(in->node, GB_FEATURE_STORE_WHILE_QUICK) ||
 		watch_store_quick(&in->node->watch, now))) {
 		intake_write(in);
 	} else if (intake_patient(in)) {
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -530,7 +530,7 @@
 {
 	const struct gb_link *link = gb_env_link(node->env);
 
-	if (!gb_pool_owns(node->pool) || !NODE_USES(node, GB_MECH_PACE))
+	if (!gb_pool_owns(node->pool) || !NODE_USES(node, GB_FEATURE_PACING))
 		memset(&node->shed, 0, sizeof(node->shed));
 	else if (gb_link_rate(link) > 0)
 		shed_tick(&node->shed, node_now(), link_received(link),
@@ -611,7 +611,8 @@
 	node->started = node_now();
 	node->incarnation = gb_hash(settings->name, strlen(settings->name)) ^
 			    (uint64_t)gb_clock_wall();
-	if (!gb_mechanisms_parse(settings->off, &node->off, err))
+	if (!gb_features_parse(
+		settings->disabled_features, &node->disabled_features, err))
 		return NULL;
 	node->members_vers = node->incarnation;
 	TAILQ_INIT(&node->intakes);
@@ -630,7 +631,7 @@
 	if (settings->files > FILES_RESERVED)
 		pool.limits.connections =
 		    (uint32_t)(settings->files - FILES_RESERVED);
-	pool.off = node->off;
+	pool.disabled_features = node->disabled_features;
 	pool.events = events;
 	ops.data = node;
 	node->pool = gb_pool_new(&pool, &ops, node_now());
--- a/libgooseberry/node/node.h
+++ b/libgooseberry/node/node.h
@@ -46,7 +46,8 @@
 	char cpu_share[GB_NAME_MAX + 1];
 	char link_mbps[GB_NAME_MAX + 1];
 	char orders[GB_NAME_MAX + 1];
-	char off[GB_KEY_MAX + 1]; /**< mechanisms that are switched off */
+	char disabled_features[GB_KEY_MAX +
+			       1]; /**< mechanisms that are switched off */
 	int64_t lease_ms, stop_ms, keep_s;
 	int64_t log_lines, log_level, grace_s, files, strict_keys_ms;
 };
--- a/libgooseberry/node/node_settings.c
+++ b/libgooseberry/node/node_settings.c
@@ -55,7 +55,7 @@
 	NODE(log_level)},
     {"off", GB_SET_STRING, "names", 0, GB_KEY_MAX, "\"\"",
 	"Mechanisms that are switched off to measure them, by commas.",
-	NODE(off)},
+	NODE(disabled_features)},
     {"grace_s", GB_SET_INT, "s", 1, 600, "6",
 	"Time between the request to stop and the end of the process.",
 	NODE(grace_s)},
--- a/libgooseberry/node/node_state.h
+++ b/libgooseberry/node/node_state.h
@@ -142,7 +142,8 @@
 	uint64_t next_id;
 	struct intakes intakes;
 	gb_time started;
-	uint32_t off; /**< mechanisms that are switched off, as bits */
+	uint32_t
+	    disabled_features; /**< mechanisms that are switched off, as bits */
 	struct node_handover handover;
 	bool leaving;
 	bool released;	  /**< gave the pool up: the next may take it at once */
@@ -161,8 +162,8 @@
 bool node_store_unavailable(const struct gb_node *);
 
 /** Whether a mechanism is in use. */
-#define NODE_USES(node, mechanism) \
-	(((node)->off & (UINT32_C(1) << (mechanism))) == 0)
+#define NODE_USES(node, feature) \
+	(((node)->disabled_features & (UINT32_C(1) << (feature))) == 0)
 
 /* intake.c */
 void intake_tick(struct gb_node *);
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -82,7 +82,7 @@
 
 	place.ranked = res->ranked;
 	place.members = (unsigned int)node->known_count;
-	if (NODE_USES(node, GB_MECH_RANKS))
+	if (NODE_USES(node, GB_FEATURE_SUCCESSION))
 		place.rank = res->rank;
 	return place;
 }
@@ -318,8 +318,9 @@
 		res.owner_addr = node->settings.addr;
 		res.owner_heard_us = 0;
 		res.store_silent_us = gb_pool_store_silent(node->pool, now);
-		res.store_unavailable = NODE_USES(node, GB_MECH_DOUBT) &&
-					gb_pool_store_unavailable(node->pool);
+		res.store_unavailable =
+		    NODE_USES(node, GB_FEATURE_STORE_CHECK) &&
+		    gb_pool_store_unavailable(node->pool);
 		res.shed = node->shed.percent;
 	}
 	res.config = node->config == NULL ? 0 : node->config->version;
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -363,32 +363,41 @@
 
 /** Mechanisms that can be switched off.  Each stands where it is decided; none
  * is needed to keep a promise. */
-enum gb_mechanism {
-	GB_MECH_ORDER,	  /**< what is due first starts first */
-	GB_MECH_ROOM,	  /**< work that can wait is stopped for gangs */
-	GB_MECH_BOOK,	  /**< room is kept for gangs that wait */
-	GB_MECH_AHEAD,	  /**< advice is asked for before a step is ready */
-	GB_MECH_LANES,	  /**< a gang asks several lanes at once */
-	GB_MECH_RENEW,	  /**< tickets are renewed before room is there */
-	GB_MECH_ASIDE,	  /**< workers that fail or stand still are left out */
-	GB_MECH_SPEED,	  /**< who is pressed gets the fast workers */
-	GB_MECH_COPIES,	  /**< stragglers are copied where that is allowed */
-	GB_MECH_GATHER,	  /**< changes are gathered before they are written */
-	GB_MECH_HANDOVER, /**< an owner that stops serves until it is succeeded
-			   */
-	GB_MECH_RANKS,	  /**< successors claim in an order */
-	GB_MECH_DOUBT,	  /**< successors look when the owner can't write */
-	GB_MECH_WITHOUT_OWNER, /**< nodes store flows while there is no owner */
-	GB_MECH_FOR_OWNER,     /**< and those that the owner can't store */
-	GB_MECH_QUICK_ONLY,    /**< but only while the store is quick */
-	GB_MECH_PACE,  /**< what can wait is sent as the link takes it */
-	GB_MECH_SIZE,  /**< large flows go behind small ones */
-	GB_MECH_SHARE, /**< what is over an organisation's share goes behind */
-	GB_MECHANISMS
+enum gb_feature {
+	GB_FEATURE_DEADLINE_ORDER, /**< what is due first starts first */
+	GB_FEATURE_PREEMPTION,	/**< work that can wait is stopped for gangs */
+	GB_FEATURE_RESERVATION, /**< room is kept for gangs that wait */
+	GB_FEATURE_ADVICE_PREFETCH, /**< advice is asked for before a step is
+				       ready */
+	GB_FEATURE_ADVICE_CHANNELS, /**< a gang asks several lanes at once */
+	GB_FEATURE_TICKET_RENEWAL, /**< tickets are renewed before room is there
+				    */
+	GB_FEATURE_QUARANTINE,	 /**< workers that fail or stand still are left
+				    out */
+	GB_FEATURE_FAST_WORKERS, /**< who is pressed gets the fast workers */
+	GB_FEATURE_SPECULATION, /**< stragglers are copied where that is allowed
+				 */
+	GB_FEATURE_WRITE_BATCHING, /**< changes are gathered before they are
+				      written */
+	GB_FEATURE_HANDOVER,	   /**< an owner that stops serves until it is
+				    * succeeded
+				    */
+	GB_FEATURE_SUCCESSION,	   /**< successors claim in an order */
+	GB_FEATURE_STORE_CHECK, /**< successors look when the owner can't write
+				 */
+	GB_FEATURE_STORE_WITHOUT_OWNER, /**< nodes store flows while there is no
+					   owner */
+	GB_FEATURE_STORE_FOR_OWNER, /**< and those that the owner can't store */
+	GB_FEATURE_STORE_WHILE_QUICK, /**< but only while the store is quick */
+	GB_FEATURE_PACING, /**< what can wait is sent as the link takes it */
+	GB_FEATURE_SIZE_ORDER,	/**< large flows go behind small ones */
+	GB_FEATURE_SHARE_ORDER, /**< what is over an organisation's share goes
+				   behind */
+	GB_FEATURES
 };
 
 /** Read a list of names, separated by commas, as bits. */
-bool gb_mechanisms_parse(const char *list, uint32_t *out, struct gb_error *);
+bool gb_features_parse(const char *list, uint32_t *out, struct gb_error *);
 
 struct gb_pool_settings {
 	const char *name;     /**< of this node */
@@ -396,7 +405,8 @@
 	uint64_t incarnation; /**< differs with each start of the process */
 	uint64_t seed;
 	struct gb_pool_limits limits;
-	uint32_t off; /**< mechanisms that are switched off, as bits */
+	uint32_t
+	    disabled_features; /**< mechanisms that are switched off, as bits */
 	struct gb_events *events;
 };
 
--- a/libgooseberry/pool/advice.c
+++ b/libgooseberry/pool/advice.c
@@ -252,7 +252,7 @@
 	uint32_t names;
 
 	*batches = 1;
-	if (!POOL_USES(pool, GB_MECH_LANES) ||
+	if (!POOL_USES(pool, GB_FEATURE_ADVICE_CHANNELS) ||
 	    (step->spec->flags & GB_STEP_GANG) == 0 || most < 2 ||
 	    advice->per_item_us * POOL_ADVICE_MOST < advice->decide_us / 2)
 		return POOL_ADVICE_MOST;
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -311,11 +311,11 @@
 	case POOL_PREEMPT_NONE:
 		break;
 	}
-	if (!POOL_USES(pool, GB_MECH_BOOK) ||
+	if (!POOL_USES(pool, GB_FEATURE_RESERVATION) ||
 	    !pool_reserve(pool, flow, step, &flow->wait, workers))
 		flow->wait = 0;
-	else if (POOL_USES(pool, GB_MECH_RENEW) && POOL_ADVICE_NEEDED(flow) &&
-		 step->renews_in_flight == 0 &&
+	else if (POOL_USES(pool, GB_FEATURE_TICKET_RENEWAL) &&
+		 POOL_ADVICE_NEEDED(flow) && step->renews_in_flight == 0 &&
 		 flow->wait < step_advice_time(flow, step) &&
 		 !step_tickets_hold(pool, step, workers))
 		step_renew(
@@ -447,7 +447,7 @@
 	struct pool_step *step = &flow->steps[number];
 	gb_time in;
 
-	if (!POOL_USES(pool, GB_MECH_AHEAD) ||
+	if (!POOL_USES(pool, GB_FEATURE_ADVICE_PREFETCH) ||
 	    step->advice != POOL_ADVICE_NONE || step->asks_in_flight > 0 ||
 	    !POOL_ADVICE_NEEDED(flow) || step->done > 0 ||
 	    step->advice_retry_at > pool->now ||
@@ -481,7 +481,7 @@
 	uint32_t worker;
 	uint32_t i;
 
-	if (!POOL_USES(pool, GB_MECH_COPIES) ||
+	if (!POOL_USES(pool, GB_FEATURE_SPECULATION) ||
 	    (step->spec->flags & GB_STEP_SPECULATIVE) == 0 ||
 	    (step->spec->flags & GB_STEP_GANG) != 0 ||
 	    !pool_flow_step_ready(flow, step))
--- a/libgooseberry/pool/fit.c
+++ b/libgooseberry/pool/fit.c
@@ -187,7 +187,7 @@
 		score += FIT_RESERVED_PENALTY;
 	if (worker->failures > 0)
 		score += 1.0;
-	if (!POOL_USES(pool, GB_MECH_SPEED))
+	if (!POOL_USES(pool, GB_FEATURE_FAST_WORKERS))
 		return score;
 	/* Whoever has time to spare leaves the fast workers to the others. */
 	if (fit_spare(pool, flow) > FIT_SPARE)
--- a/libgooseberry/pool/health.c
+++ b/libgooseberry/pool/health.c
@@ -42,7 +42,7 @@
 					: worker->quarantine_length * 2;
 	if (worker->quarantine_length > HEALTH_QUARANTINE_MOST)
 		worker->quarantine_length = HEALTH_QUARANTINE_MOST;
-	if (POOL_USES(pool, GB_MECH_ASIDE))
+	if (POOL_USES(pool, GB_FEATURE_QUARANTINE))
 		worker->quarantined_until =
 		    pool->now + worker->quarantine_length;
 	worker->failures = HEALTH_FAILURES - 1;
--- a/libgooseberry/pool/mechanism.c
+++ b/libgooseberry/pool/mechanism.c
@@ -6,34 +6,34 @@
 
 #include "pool.h"
 
-static const char *const names[GB_MECHANISMS] = {
-    [GB_MECH_ORDER] = "order",
-    [GB_MECH_ROOM] = "room",
-    [GB_MECH_BOOK] = "book",
-    [GB_MECH_AHEAD] = "ahead",
-    [GB_MECH_LANES] = "lanes",
-    [GB_MECH_RENEW] = "renew",
-    [GB_MECH_ASIDE] = "aside",
-    [GB_MECH_SPEED] = "speed",
-    [GB_MECH_COPIES] = "copies",
-    [GB_MECH_GATHER] = "gather",
-    [GB_MECH_HANDOVER] = "handover",
-    [GB_MECH_RANKS] = "ranks",
-    [GB_MECH_DOUBT] = "doubt",
-    [GB_MECH_WITHOUT_OWNER] = "without-owner",
-    [GB_MECH_FOR_OWNER] = "for-owner",
-    [GB_MECH_QUICK_ONLY] = "quick-only",
-    [GB_MECH_PACE] = "pace",
-    [GB_MECH_SIZE] = "size",
-    [GB_MECH_SHARE] = "share",
+static const char *const names[GB_FEATURES] = {
+    [GB_FEATURE_DEADLINE_ORDER] = "order",
+    [GB_FEATURE_PREEMPTION] = "room",
+    [GB_FEATURE_RESERVATION] = "book",
+    [GB_FEATURE_ADVICE_PREFETCH] = "ahead",
+    [GB_FEATURE_ADVICE_CHANNELS] = "lanes",
+    [GB_FEATURE_TICKET_RENEWAL] = "renew",
+    [GB_FEATURE_QUARANTINE] = "aside",
+    [GB_FEATURE_FAST_WORKERS] = "speed",
+    [GB_FEATURE_SPECULATION] = "copies",
+    [GB_FEATURE_WRITE_BATCHING] = "gather",
+    [GB_FEATURE_HANDOVER] = "handover",
+    [GB_FEATURE_SUCCESSION] = "ranks",
+    [GB_FEATURE_STORE_CHECK] = "doubt",
+    [GB_FEATURE_STORE_WITHOUT_OWNER] = "without-owner",
+    [GB_FEATURE_STORE_FOR_OWNER] = "for-owner",
+    [GB_FEATURE_STORE_WHILE_QUICK] = "quick-only",
+    [GB_FEATURE_PACING] = "pace",
+    [GB_FEATURE_SIZE_ORDER] = "size",
+    [GB_FEATURE_SHARE_ORDER] = "share",
 };
 
 static int
-mechanism_find(const char *name, size_t len)
+feature_find(const char *name, size_t len)
 {
 	int i;
 
-	for (i = 0; i < GB_MECHANISMS; i++) {
+	for (i = 0; i < GB_FEATURES; i++) {
 		if (strlen(names[i]) == len &&
 		    strncmp(names[i], name, len) == 0)
 			return i;
@@ -42,7 +42,7 @@
 }
 
 bool
-gb_mechanisms_parse(const char *list, uint32_t *out, struct gb_error *err)
+gb_features_parse(const char *list, uint32_t *out, struct gb_error *err)
 {
 	int number;
 	size_t len;
@@ -50,7 +50,7 @@
 	*out = 0;
 	while (*list != '\0') {
 		len = strcspn(list, ",");
-		number = mechanism_find(list, len);
+		number = feature_find(list, len);
 		if (number < 0) {
 			gb_error_set(err, GB_E_INVALID,
 			    "off: no mechanism is called %.*s", (int)len, list);
--- a/libgooseberry/pool/pace.c
+++ b/libgooseberry/pool/pace.c
@@ -45,7 +45,7 @@
 {
 	struct gb_pool_link link = {0};
 
-	if (pool->ops.link != NULL && POOL_USES(pool, GB_MECH_PACE))
+	if (pool->ops.link != NULL && POOL_USES(pool, GB_FEATURE_PACING))
 		pool->ops.link(pool->ops.data, &link);
 	return link;
 }
--- a/libgooseberry/pool/preempt.c
+++ b/libgooseberry/pool/preempt.c
@@ -242,7 +242,7 @@
 	enum pool_preempt_result room = POOL_PREEMPT_NONE;
 	struct preempt_slot *slots;
 
-	if (!POOL_USES(pool, GB_MECH_ROOM) ||
+	if (!POOL_USES(pool, GB_FEATURE_PREEMPTION) ||
 	    pool->cfg.limits.stop_us > PREEMPT_STOP_MOST || spare < 0 ||
 	    step->preempt_at > pool->now || step->renews_in_flight > 0 ||
 	    (step->spec->flags & GB_STEP_SAME_RACK) != 0)
--- a/libgooseberry/pool/rank.c
+++ b/libgooseberry/pool/rank.c
@@ -120,7 +120,7 @@
 	double size;
 
 	HASH_FIND_STR(pool->queues, flow->spec.queue, stat);
-	if (!POOL_USES(pool, GB_MECH_SIZE) || stat == NULL ||
+	if (!POOL_USES(pool, GB_FEATURE_SIZE_ORDER) || stat == NULL ||
 	    stat->cores <= 0 || pool->capacity <= 0 || others <= 0 ||
 	    own > RANK_BY_CHANCE * pool->capacity)
 		return 0;
@@ -216,10 +216,10 @@
 		flow->tier = RANK_LATE;
 	else
 		flow->tier = RANK_TOO_LATE;
-	if (flow->spec.over_share && POOL_USES(pool, GB_MECH_SHARE) &&
+	if (flow->spec.over_share && POOL_USES(pool, GB_FEATURE_SHARE_ORDER) &&
 	    flow->tier < RANK_OVER_SHARE)
 		flow->tier = RANK_OVER_SHARE;
-	if (!POOL_USES(pool, GB_MECH_ORDER)) {
+	if (!POOL_USES(pool, GB_FEATURE_DEADLINE_ORDER)) {
 		flow->tier = RANK_ON_TIME;
 		flow->start_by = flow->submitted;
 	}
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -518,8 +518,8 @@
 #define POOL_ADVICE_NEEDED(flow) ((flow)->advice.needed)
 
 /** Whether a mechanism is in use. */
-#define POOL_USES(pool, mechanism) \
-	(((pool)->cfg.off & (UINT32_C(1) << (mechanism))) == 0)
+#define POOL_USES(pool, feature) \
+	(((pool)->cfg.disabled_features & (UINT32_C(1) << (feature))) == 0)
 
 /* call.c */
 struct pool_call *pool_call_new(struct gb_pool *, enum pool_call_kind);
--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -405,7 +405,7 @@
 	if (part->phase == POOL_PART_WAITING && part->retry_at <= pool->now)
 		part->phase = POOL_PART_IDLE;
 	if (part->phase != POOL_PART_IDLE ||
-	    (POOL_USES(pool, GB_MECH_GATHER) &&
+	    (POOL_USES(pool, GB_FEATURE_WRITE_BATCHING) &&
 		pool->now - part->sent <
 		    (urgent ? WRITER_GAP : WRITER_GAP_LONG)))
 		return;
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -707,7 +707,7 @@
 	ops.data = &cell_nodes[node];
 	free(cell->links[node]);
 	cell->links[node] = gb_link_new(cell->setup.link);
-	settings.off = cell->setup.off;
+	settings.disabled_features = cell->setup.disabled_features;
 	cell->nodes[node] = gb_pool_new(&settings, &ops, cell->now);
 	gb_pool_configure(cell->nodes[node], cell->now, cell->config);
 }
--- a/tests/pool_cell.h
+++ b/tests/pool_cell.h
@@ -45,7 +45,8 @@
 	gb_time valid_us;
 	gb_time per_item_us; /**< more for each worker that is named */
 	uint64_t link;	     /**< bytes a second of each node, 0: no limit */
-	uint32_t off;	     /**< mechanisms that are switched off, as bits */
+	uint32_t
+	    disabled_features; /**< mechanisms that are switched off, as bits */
 };
 
 /** What became of a submission, as its caller sees it. */
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -900,7 +900,7 @@
 	owner = cell->nodes[cell_owner(cell)];
 	assert_counter(
 	    owner, "gooseberry_takeovers_decided{cause=\"no_row\"}", 1);
-	owner->off |= UINT32_C(1) << GB_MECH_HANDOVER;
+	owner->disabled_features |= UINT32_C(1) << GB_FEATURE_HANDOVER;
 	gb_node_leave(owner);
 	for (i = 0;
 	     i < ROUNDS_MOST && (cell_owner(cell) == NODES ||
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -30,10 +30,10 @@
 /** A burst of gangs that asks for twice what the pool can do in their time;
  * returns how many are in time.  All must end. */
 static unsigned int
-burst_play(uint32_t off)
+burst_play(uint32_t disabled_features)
 {
 	struct pool_cell_setup setup = {
-	    5, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, off};
+	    5, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, disabled_features};
 	struct pool_cell *cell = pool_cell_begin(&setup);
 	unsigned int count = 0;
 	size_t i;
@@ -59,7 +59,7 @@
 test_small_gangs_go_before_large_ones(void **state)
 {
 	unsigned int by_size = burst_play(0);
-	unsigned int by_time = burst_play(UINT32_C(1) << GB_MECH_SIZE);
+	unsigned int by_time = burst_play(UINT32_C(1) << GB_FEATURE_SIZE_ORDER);
 
 	(void)state;
 	print_message("in time: %u by size, %u by time alone, of %u\n", by_size,
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -19,10 +19,10 @@
  * s, on a pool that can do half of that for 6 s.  Returns how many of the
  * other's are in time. */
 static unsigned int
-hot_play(uint32_t off, bool takeover)
+hot_play(uint32_t disabled_features, bool takeover)
 {
 	struct pool_cell_setup setup = {
-	    7, 12, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, off};
+	    7, 12, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, disabled_features};
 	struct pool_cell *cell = pool_cell_begin(&setup);
 	unsigned int count = 0;
 	size_t i;
@@ -66,7 +66,8 @@
 test_others_are_served_beside_a_hot_one(void **state)
 {
 	unsigned int with = hot_play(0, false);
-	unsigned int without = hot_play(UINT32_C(1) << GB_MECH_SHARE, false);
+	unsigned int without =
+	    hot_play(UINT32_C(1) << GB_FEATURE_SHARE_ORDER, false);
 
 	(void)state;
 	print_message("in time: %u with shares, %u without, of %d\n", with,
