--- a/libgooseberry/node/metrics.c
+++ b/libgooseberry/node/metrics.c
@@ -175,7 +175,7 @@
 	    out, "gooseberry_start_us", "Orders to start.", &s->start_us);
 	gb_histogram_print(out, "gooseberry_takeover_us",
 	    "Decision to ownership.", &s->takeover_us);
-	sight_metrics(node, out);
+	owner_monitor_metrics(node, out);
 	if (gb_pool_owns(node->pool))
 		orgs_print(node->pool, out);
 	if (gb_env_link(node->env) != NULL)
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -189,7 +189,7 @@
 
 	bool handed = !owns && node_handover_done(node, epoch);
 
-	sight_owner_changed(node, owns, epoch);
+	owner_monitor_owner_changed(node, owns, epoch);
 	if (!owns && !handed)
 		watch_lost(&node->watch, node_now(), 0);
 	if (!owns)
@@ -496,7 +496,7 @@
 			watch_lost(&node->watch, node_now(), 0);
 			break;
 		}
-		sight_takeover_decided(node);
+		owner_monitor_takeover_decided(node);
 		epoch = node->watch.epoch;
 		cause = watch_contest(&node->watch, node_now());
 		watch_lost(&node->watch, node_now(), 0);
@@ -568,7 +568,7 @@
 	struct gb_node *node = timer->data;
 	bool busy;
 
-	sight_tick(node, node_now(),
+	owner_monitor_tick(node, node_now(),
 	    (node->busy_tick ? TICK_BUSY_MS : TICK_IDLE_MS) * GB_MSEC);
 	gb_pool_tick(node->pool, node_now(), gb_clock_wall());
 	watch_tick(node);
--- a/libgooseberry/node/node_state.h
+++ b/libgooseberry/node/node_state.h
@@ -11,7 +11,7 @@
 #include <uv.h>
 
 #include "node.h"
-#include "sight.h"
+#include "owner_monitor.h"
 #include "shed.h"
 #include "watch.h"
 
@@ -101,7 +101,7 @@
 	struct gb_rpc_pool *peers;
 	struct gb_rpc_server *server;
 	struct watch watch;
-	struct sight sight;
+	struct owner_monitor owner_monitor;
 	uint64_t incarnation;
 	struct shed shed; /**< while this node owns the pool */
 	uint64_t sheds;	  /**< flows that were turned away for it */
--- a/libgooseberry/node/sight.h
+++ b/libgooseberry/node/owner_monitor.h
@@ -1,17 +1,17 @@
 /**
- * @file sight.h
+ * @file owner_monitor.h
  * What a node's log and counters say of the owner of the pool: hellos that get
  * no answer, takeovers, the end of its own ownership, and stalls of the loop.
  * Nothing is decided by it.
  */
-#ifndef GB_SIGHT_H
-#define GB_SIGHT_H
+#ifndef GB_OWNER_MONITOR_H
+#define GB_OWNER_MONITOR_H
 
 #include "watch.h"
 
 struct gb_node;
 
-struct sight {
+struct owner_monitor {
 	char asked[GB_NAME_MAX + 1]; /**< owner that was said hello to last */
 	uint64_t asked_epoch;	     /**< its epoch, as it was known then */
 	gb_time answered;	     /**< its last answer, or the first hello */
@@ -27,18 +27,18 @@
 };
 
 /** A hello was sent to the owner that the watch names. */
-void sight_hello_sent(struct gb_node *);
+void owner_monitor_hello_sent(struct gb_node *);
 /** The owner that was asked answered, whatever it said. */
-void sight_hello_answered(struct gb_node *);
+void owner_monitor_hello_answered(struct gb_node *);
 /** A hello got no answer. */
-void sight_hello_lost(struct gb_node *);
+void owner_monitor_hello_lost(struct gb_node *);
 /** Members are asked whether they hear the owner. */
-void sight_suspected(struct gb_node *, unsigned int asked);
+void owner_monitor_suspected(struct gb_node *, unsigned int asked);
 /** The pool is about to be claimed; the watch still knows why. */
-void sight_takeover_decided(struct gb_node *);
-void sight_owner_changed(struct gb_node *, bool owns, uint64_t epoch);
+void owner_monitor_takeover_decided(struct gb_node *);
+void owner_monitor_owner_changed(struct gb_node *, bool owns, uint64_t epoch);
 /** The loop ticks, and should have done so after the given period. */
-void sight_tick(struct gb_node *, gb_time now, gb_time period);
-void sight_metrics(const struct gb_node *, struct gb_text *);
+void owner_monitor_tick(struct gb_node *, gb_time now, gb_time period);
+void owner_monitor_metrics(const struct gb_node *, struct gb_text *);
 
 #endif
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -158,10 +158,10 @@
 		 * refused: its packets may be lost. */
 		watch_hello_failed(&node->watch, now,
 		    verdict == GB_NOT_RUN && now - call->sent < HELLO_TIMEOUT);
-		sight_hello_lost(node);
+		owner_monitor_hello_lost(node);
 		return;
 	}
-	sight_hello_answered(node);
+	owner_monitor_hello_answered(node);
 	config_learn(node, res);
 	if (res->acquiring) {
 		node->shed_told = 0;
@@ -211,7 +211,7 @@
 	snprintf(call->to, sizeof(call->to), "%s", node->watch.owner);
 	hello_fill(node, &hello);
 	node->watch.hello_in_flight = true;
-	sight_hello_sent(node);
+	owner_monitor_hello_sent(node);
 	gb_rpc_client_call(gb_rpc_pool_get(node->peers, node->watch.owner),
 	    GB_PROC_HELLO, &hello, HELLO_TIMEOUT, hello_done, call);
 }
@@ -253,7 +253,7 @@
 			continue;
 		asked++;
 	}
-	sight_suspected(node, asked);
+	owner_monitor_suspected(node, asked);
 	watch_poll_begun(&node->watch, node_now(), asked);
 	for (i = 0; i < node->known_count && asked > 0; i++) {
 		const char *addr = node->known[(from + i) % node->known_count];
--- a/libgooseberry/node/watch.h
+++ b/libgooseberry/node/watch.h
@@ -6,7 +6,7 @@
 #define GB_WATCH_H
 
 #include "gooseberry.h"
-#include "pool/contest.h"
+#include "pool/contention.h"
 #include "renewal.h"
 #include "succession.h"
 
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -13,7 +13,7 @@
 #define GB_POOL_H
 
 #include "gooseberry.h"
-#include "pool/contest.h"
+#include "pool/contention.h"
 
 /* Configuration of the cell ----------------------------------------------- */
 
--- a/libgooseberry/pool/contest.c
+++ b/libgooseberry/pool/contention.c
@@ -1,5 +1,5 @@
 /**
- * @file contest.c
+ * @file contention.c
  * Counts takeovers from owners that were at work.
  *
  * Load: members can't hear an owner for as long as paths are cut, or everything
@@ -10,7 +10,7 @@
  * not mean much for now.  One that is gone is no such evidence, so that owners
  * that die one after the other are succeeded as quickly as the first.
  */
-#include "contest.h"
+#include "contention.h"
 
 /** More says nothing new; an owner without contest is soon trusted again. */
 #define CONTEST_MOST 3
--- a/libgooseberry/pool/contest.h
+++ b/libgooseberry/pool/contention.h
@@ -1,5 +1,5 @@
 /**
- * @file contest.h
+ * @file contention.h
  * Counts takeovers from owners that were at work.  No I/O.
  */
 #ifndef GB_POOL_CONTEST_H
--- a/libgooseberry/pool/mechanism.c
+++ b/libgooseberry/pool/feature.c
@@ -1,5 +1,5 @@
 /**
- * @file mechanism.c
+ * @file feature.c
  * Mechanisms that can be switched off, to measure what each is worth.
  */
 #include <string.h>
--- a/libgooseberry/pool/book.c
+++ b/libgooseberry/pool/reservation.c
@@ -1,5 +1,5 @@
 /**
- * @file book.c
+ * @file reservation.c
  * Room kept for gangs.
  *
  * Load: a gang needs room for all its tasks at one moment, at times nearly
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -564,7 +564,7 @@
 uint64_t pool_fit_slots(
     const struct gb_pool *, const struct pool_flow *, const struct pool_step *);
 
-/* book.c */
+/* reservation.c */
 /** Time until a run is expected to end. */
 gb_time pool_run_time_left(const struct gb_pool *, const struct pool_run *);
 /** Keep room for a gang; tells how long it will have to wait, and for each task
--- a/tests/test_contest.c
+++ b/tests/test_contention.c
@@ -1,5 +1,5 @@
 /**
- * @file test_contest.c
+ * @file test_contention.c
  * What an owner leaves in its row for members that don't hear it.
  */
 #include <setjmp.h>
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -929,15 +929,15 @@
 	(void)state;
 	cell_settle(cell);
 	node = cell->nodes[(cell_owner(cell) + 1) % NODES];
-	sight_hello_lost(node);
-	sight_hello_lost(node);
+	owner_monitor_hello_lost(node);
+	owner_monitor_hello_lost(node);
 	assert_int_equal(cell_lines(cell, "owner_unheard", line), 1);
 	assert_line(cell, "owner_unheard", node->watch.owner);
-	sight_hello_answered(node);
+	owner_monitor_hello_answered(node);
 	assert_int_equal(cell_lines(cell, "owner_heard_again", line), 0);
-	sight_hello_lost(node);
-	node->sight.answered -= GB_SEC;
-	sight_hello_answered(node);
+	owner_monitor_hello_lost(node);
+	node->owner_monitor.answered -= GB_SEC;
+	owner_monitor_hello_answered(node);
 	assert_int_equal(cell_lines(cell, "owner_unheard", line), 2);
 	assert_int_equal(cell_lines(cell, "owner_heard_again", line), 1);
 	assert_line(cell, "owner_heard_again", "\"silent_ms\":1");
@@ -957,12 +957,12 @@
 	(void)state;
 	cell_settle(cell);
 	node = cell->nodes[(cell_owner(cell) + 1) % NODES];
-	sight_hello_lost(node);
+	owner_monitor_hello_lost(node);
 	before = cell_lines(cell, "owner_unheard", line);
-	sight_owner_changed(node, true, 2);
-	node->sight.answered -= 10 * GB_SEC;
-	sight_hello_lost(node);
-	sight_hello_answered(node);
+	owner_monitor_owner_changed(node, true, 2);
+	node->owner_monitor.answered -= 10 * GB_SEC;
+	owner_monitor_hello_lost(node);
+	owner_monitor_hello_answered(node);
 	assert_int_equal(cell_lines(cell, "owner_unheard", line), before);
 	assert_int_equal(cell_lines(cell, "owner_heard_again", line), 0);
 }
@@ -984,7 +984,7 @@
 	assert_int_equal(cell_lines(cell, "owner_unheard", line), 1);
 	assert_line(cell, "owner_unheard", "\"owner\":\"127.0.0.1:1\"");
 	assert_line(cell, "owner_unheard", "\"refused\":1");
-	assert_false(node->sight.silent);
+	assert_false(node->owner_monitor.silent);
 }
 
 /** A process that stood still could not be told from one that was cut off. */
@@ -1001,10 +1001,10 @@
 	usleep(400 * 1000);
 	cell_run(cell, 100 * GB_MSEC);
 	assert_true(cell_lines(cell, "loop_stalled", line) >= before + NODES);
-	assert_true(cell->nodes[0]->sight.stalls > 0);
-	assert_true(cell->nodes[0]->sight.stalled >= 400 * GB_MSEC);
+	assert_true(cell->nodes[0]->owner_monitor.stalls > 0);
+	assert_true(cell->nodes[0]->owner_monitor.stalled >= 400 * GB_MSEC);
 	assert_counter(cell->nodes[0], "gooseberry_loop_stalls",
-	    cell->nodes[0]->sight.stalls);
+	    cell->nodes[0]->owner_monitor.stalls);
 }
 
 /** How a line gives an epoch. */
--- a/tests/test_takeovers.c
+++ b/tests/test_takeovers.c
@@ -12,7 +12,7 @@
 #include <cmocka.h>
 
 #include "node/watch.h"
-#include "pool/contest.h"
+#include "pool/contention.h"
 
 #define NODES 8
 #define NOBODY NODES
