--- a/bench/pool.c
+++ b/bench/pool.c
@@ -472,7 +472,7 @@
 	gb_pool_configure(play->pool, play->now, config);
 	gb_pool_config_unref(config);
 	members_list(play);
-	gb_pool_take(play->pool, play->now, UINT64_MAX, CONTEST_SILENT);
+	gb_pool_take(play->pool, play->now, UINT64_MAX, TAKEOVER_SILENT_OWNER);
 	workers_list(play);
 }
 
--- a/libgooseberry/node/handover.c
+++ b/libgooseberry/node/handover.c
@@ -164,5 +164,5 @@
 	if (!res.begun)
 		return;
 	watch_lost(&node->watch, node_now(), 0);
-	gb_pool_take(node->pool, node_now(), ask->epoch, CONTEST_ASKED);
+	gb_pool_take(node->pool, node_now(), ask->epoch, TAKEOVER_REQUESTED);
 }
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -467,7 +467,7 @@
 static void
 watch_tick(struct gb_node *node)
 {
-	enum contest_cause cause;
+	enum takeover_cause cause;
 	uint64_t epoch;
 
 	if (gb_pool_owns(node->pool))
@@ -498,7 +498,7 @@
 		}
 		owner_monitor_takeover_decided(node);
 		epoch = node->watch.epoch;
-		cause = watch_contest(&node->watch, node_now());
+		cause = watch_takeover_cause(&node->watch, node_now());
 		watch_lost(&node->watch, node_now(), 0);
 		gb_pool_take(node->pool, node_now(), epoch, cause);
 		break;
--- a/libgooseberry/node/watch.c
+++ b/libgooseberry/node/watch.c
@@ -410,15 +410,15 @@
 	watch_store_served(w, now);
 }
 
-enum contest_cause
-watch_contest(const struct watch *w, gb_time now)
+enum takeover_cause
+watch_takeover_cause(const struct watch *w, gb_time now)
 {
 	bool refused = w->cause == WATCH_CAUSE_REFUSED;
 
 	if (w->renewal.state == RENEWAL_GOES_ON ||
 	    (refused && now - w->owner_since < WATCH_BRIEF))
-		return CONTEST_AT_WORK;
-	return CONTEST_SILENT;
+		return TAKEOVER_WORKING_OWNER;
+	return TAKEOVER_SILENT_OWNER;
 }
 
 void
--- a/libgooseberry/node/watch.h
+++ b/libgooseberry/node/watch.h
@@ -101,7 +101,7 @@
 
 void watch_row(struct watch *, gb_time now, const struct watch_row *);
 /** Why the pool is taken, if it is now. */
-enum contest_cause watch_contest(const struct watch *, gb_time now);
+enum takeover_cause watch_takeover_cause(const struct watch *, gb_time now);
 /** Whether the next read is compared with others of the same part, of those
  * that an owner renews whatever else it writes. */
 bool watch_compares(const struct watch *, gb_time now);
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -440,7 +440,7 @@
 /** Try to become the owner after the one of that epoch; given up when the
  * store names a later one. */
 void gb_pool_take(
-    struct gb_pool *, gb_time now, uint64_t after, enum contest_cause);
+    struct gb_pool *, gb_time now, uint64_t after, enum takeover_cause);
 /** The pool was lost to a process that this one had asked to take it. */
 void gb_pool_handed(struct gb_pool *);
 /** A process that does not stop is alive; it may have owned the pool before. */
--- a/libgooseberry/pool/contention.c
+++ b/libgooseberry/pool/contention.c
@@ -13,65 +13,66 @@
 #include "contention.h"
 
 /** More says nothing new; an owner without contest is soon trusted again. */
-#define CONTEST_MOST 3
+#define CONTENTION_MOST 3
 /** An owner that kept the pool for this long was not contested: longer than the
  * most patient member waits. */
-#define CONTEST_CALM (20 * GB_SEC)
+#define CONTENTION_QUIET (20 * GB_SEC)
 /** A process that was deposed longer ago than this takes the pool for another
  * reason. */
-#define CONTEST_LATELY (20 * GB_SEC)
+#define CONTENTION_RECENT (20 * GB_SEC)
 
 static void
-contest_grow(struct contest *c, gb_time now)
+contention_increase(struct contention *c, gb_time now)
 {
-	if (c->count < CONTEST_MOST)
+	if (c->count < CONTENTION_MOST)
 		c->count++;
 	c->since = now;
 }
 
 void
-contest_take(struct contest *c, gb_time now, const struct contest_row *row,
-    uint64_t self, enum contest_cause cause)
+contention_take_over(struct contention *c, gb_time now,
+    const struct contention_row *row, uint64_t self, enum takeover_cause cause)
 {
-	bool lately = c->lost_at != 0 && now - c->lost_at < CONTEST_LATELY;
+	bool lately = c->lost_at != 0 && now - c->lost_at < CONTENTION_RECENT;
 
-	c->count = row->count < CONTEST_MOST ? row->count : CONTEST_MOST;
+	c->count = row->count < CONTENTION_MOST ? row->count : CONTENTION_MOST;
 	c->since = now;
 	c->before = 0;
-	if (cause == CONTEST_ASKED)
+	if (cause == TAKEOVER_REQUESTED)
 		return;
-	if (cause == CONTEST_AT_WORK || lately)
-		contest_grow(c, now);
+	if (cause == TAKEOVER_WORKING_OWNER || lately)
+		contention_increase(c, now);
 	else if (row->incarnation != self)
 		c->before = row->incarnation;
 }
 
 void
-contest_lose(struct contest *c, gb_time now)
+contention_owner_deposed(struct contention *c, gb_time now)
 {
 	c->lost_at = now;
 }
 
 void
-contest_yield(struct contest *c)
+contention_release(struct contention *c)
 {
 	c->lost_at = 0;
 }
 
 bool
-contest_heard(struct contest *c, gb_time now, uint64_t incarnation)
+contention_process_alive(
+    struct contention *c, gb_time now, uint64_t incarnation)
 {
 	if (c->before == 0 || c->before != incarnation)
 		return false;
 	c->before = 0;
-	contest_grow(c, now);
+	contention_increase(c, now);
 	return true;
 }
 
 void
-contest_tick(struct contest *c, gb_time now)
+contention_tick(struct contention *c, gb_time now)
 {
-	if (c->count == 0 || now - c->since < CONTEST_CALM)
+	if (c->count == 0 || now - c->since < CONTENTION_QUIET)
 		return;
 	c->count--;
 	c->since = now;
--- a/libgooseberry/pool/owner.c
+++ b/libgooseberry/pool/owner.c
@@ -169,7 +169,7 @@
 	    (json_int_t)rival.epoch);
 	pool->stats.takeovers_failed += !owned;
 	if (pool->phase == POOL_OWNER_ACTIVE)
-		contest_lose(&pool->contest, pool->now);
+		contention_owner_deposed(&pool->contention, pool->now);
 	pool->phase = POOL_OWNER_NONE;
 	pool->term++;
 	if (epoch > pool->epoch)
@@ -304,8 +304,8 @@
 static void
 owner_choose_epoch(struct gb_pool *pool)
 {
-	const struct contest_row none = {0, 0};
-	const struct contest_row *before = &none;
+	const struct contention_row none = {0, 0};
+	const struct contention_row *before = &none;
 	uint64_t newest = 0;
 	uint32_t i;
 
@@ -323,11 +323,11 @@
 			pool->claim_epoch = part->row_epoch + 1;
 		if (part->row_epoch > newest) {
 			newest = part->row_epoch;
-			before = &part->row_contest;
+			before = &part->row_contention;
 		}
 	}
-	contest_take(&pool->contest, pool->now, before, pool->cfg.incarnation,
-	    pool->claim_cause);
+	contention_take_over(&pool->contention, pool->now, before,
+	    pool->cfg.incarnation, pool->claim_cause);
 	for (i = 0; i < GB_POOL_PARTS && pool->phase != POOL_OWNER_NONE; i++) {
 		if (pool->parts[i].attach == POOL_ATTACH_READ)
 			part_claim(pool, i);
@@ -346,7 +346,7 @@
 	part->row_epoch = 0;
 	part->row_vacant = true;
 	part->row_own = false;
-	memset(&part->row_contest, 0, sizeof(part->row_contest));
+	memset(&part->row_contention, 0, sizeof(part->row_contention));
 	if (res->row_count == 0)
 		return true;
 	if (!gb_owner_record_decode(&record, &res->rows[0].value))
@@ -357,8 +357,9 @@
 	part->row_own = pool->claim_epoch != 0 &&
 			row->epoch == pool->claim_epoch && !part->row_vacant &&
 			row->incarnation == pool->cfg.incarnation;
-	part->row_contest.count = record.contested;
-	part->row_contest.incarnation = part->row_vacant ? 0 : row->incarnation;
+	part->row_contention.count = record.contested;
+	part->row_contention.incarnation =
+	    part->row_vacant ? 0 : row->incarnation;
 	part->serial = row->serial;
 	pool_rival_read(pool, row);
 	gb_owner_record_clear(&record);
@@ -523,7 +524,7 @@
 }
 
 void
-pool_owner_take(struct gb_pool *pool, uint64_t after, enum contest_cause cause)
+pool_owner_take(struct gb_pool *pool, uint64_t after, enum takeover_cause cause)
 {
 	uint32_t i;
 
@@ -642,7 +643,7 @@
 	owner_begin(pool);
 	if (pool->phase != POOL_OWNER_ACTIVE)
 		return;
-	contest_tick(&pool->contest, pool->now);
+	contention_tick(&pool->contention, pool->now);
 	owner_inbox(pool);
 }
 
@@ -652,11 +653,12 @@
 	uint32_t i;
 
 	if (pool->phase != POOL_OWNER_ACTIVE ||
-	    !contest_heard(&pool->contest, pool->now, incarnation))
+	    !contention_process_alive(
+		&pool->contention, pool->now, incarnation))
 		return;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "takeover_contested",
 	    "{s:I, s:I}", "epoch", (json_int_t)pool->epoch, "contested",
-	    (json_int_t)pool->contest.count);
+	    (json_int_t)pool->contention.count);
 	for (i = 0; i < GB_POOL_PARTS; i++)
 		pool->parts[i].renew = pool_part_attached(pool, i);
 }
--- a/libgooseberry/pool/pool.c
+++ b/libgooseberry/pool/pool.c
@@ -124,8 +124,8 @@
 /* Ownership --------------------------------------------------------------- */
 
 void
-gb_pool_take(
-    struct gb_pool *pool, gb_time now, uint64_t after, enum contest_cause cause)
+gb_pool_take(struct gb_pool *pool, gb_time now, uint64_t after,
+    enum takeover_cause cause)
 {
 	pool->now = now;
 	pool_owner_take(pool, after, cause);
@@ -134,7 +134,7 @@
 void
 gb_pool_handed(struct gb_pool *pool)
 {
-	contest_yield(&pool->contest);
+	contention_release(&pool->contention);
 }
 
 void
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -324,7 +324,7 @@
 	uint32_t
 	    inbox_in_flight; /**< of flows that were stored without an owner */
 	uint64_t row_epoch;  /**< in the owner's row as it was read, 0: none */
-	struct contest_row row_contest;
+	struct contention_row row_contention;
 	bool row_vacant;
 	bool row_own; /**< this process wrote it for this claim */
 	gb_time attached_at;
@@ -460,8 +460,8 @@
 	gb_time taken_at;
 	gb_time confirmed;    /**< last answer of the store to this owner */
 	uint64_t claim_epoch; /**< 0 until it is chosen */
-	enum contest_cause claim_cause;
-	struct contest contest;
+	enum takeover_cause claim_cause;
+	struct contention contention;
 	uint64_t claim_after;	 /**< epoch of the owner that is succeeded */
 	uint32_t claim_first;	 /**< part that decides between rivals */
 	struct pool_rival rival; /**< seen last, since the claim was begun */
@@ -819,7 +819,7 @@
 void pool_dispatch_step(struct gb_pool *, struct pool_flow *, uint32_t step);
 
 /* owner.c */
-void pool_owner_take(struct gb_pool *, uint64_t after, enum contest_cause);
+void pool_owner_take(struct gb_pool *, uint64_t after, enum takeover_cause);
 /** A process is alive and does not stop. */
 void pool_owner_alive(struct gb_pool *, uint64_t incarnation);
 void pool_owner_release(struct gb_pool *);
--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -86,7 +86,7 @@
 	record.row.addr = vacant ? none : pool->addr;
 	record.row.incarnation = pool->cfg.incarnation;
 	record.row.serial = serial;
-	record.contested = pool->contest.count;
+	record.contested = pool->contention.count;
 	return gb_owner_record_encode(&record, body);
 }
 
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -949,7 +949,8 @@
 void
 pool_cell_take(struct pool_cell *cell, unsigned int node)
 {
-	gb_pool_take(cell->nodes[node], cell->now, UINT64_MAX, CONTEST_SILENT);
+	gb_pool_take(
+	    cell->nodes[node], cell->now, UINT64_MAX, TAKEOVER_SILENT_OWNER);
 }
 
 void
--- a/tests/test_contention.c
+++ b/tests/test_contention.c
@@ -21,86 +21,89 @@
 static void
 test_owner_that_was_gone_is_not_counted(void **state)
 {
-	const struct contest_row row = {0, OTHER};
-	struct contest c = {0};
+	const struct contention_row row = {0, OTHER};
+	struct contention c = {0};
 
 	(void)state;
-	contest_take(&c, now, &row, SELF, CONTEST_SILENT);
+	contention_take_over(&c, now, &row, SELF, TAKEOVER_SILENT_OWNER);
 	assert_int_equal(c.count, 0);
-	assert_false(contest_heard(&c, now, OTHER + 1));
+	assert_false(contention_process_alive(&c, now, OTHER + 1));
 	assert_int_equal(c.count, 0);
 }
 
 static void
 test_owner_that_turns_up_alive_is_counted_once(void **state)
 {
-	const struct contest_row row = {1, OTHER};
-	struct contest c = {0};
+	const struct contention_row row = {1, OTHER};
+	struct contention c = {0};
 
 	(void)state;
-	contest_take(&c, now, &row, SELF, CONTEST_SILENT);
-	assert_true(contest_heard(&c, now, OTHER));
-	assert_false(contest_heard(&c, now, OTHER));
+	contention_take_over(&c, now, &row, SELF, TAKEOVER_SILENT_OWNER);
+	assert_true(contention_process_alive(&c, now, OTHER));
+	assert_false(contention_process_alive(&c, now, OTHER));
 	assert_int_equal(c.count, 2);
 }
 
 static void
 test_owner_at_work_is_counted_at_once(void **state)
 {
-	const struct contest_row row = {0, OTHER};
-	struct contest c = {0};
+	const struct contention_row row = {0, OTHER};
+	struct contention c = {0};
 
 	(void)state;
-	contest_take(&c, now, &row, SELF, CONTEST_AT_WORK);
+	contention_take_over(&c, now, &row, SELF, TAKEOVER_WORKING_OWNER);
 	assert_int_equal(c.count, 1);
-	assert_false(contest_heard(&c, now, OTHER));
+	assert_false(contention_process_alive(&c, now, OTHER));
 }
 
 /** An owner that was deposed takes the pool back. */
 static void
 test_return_of_a_deposed_owner_is_counted(void **state)
 {
-	const struct contest_row row = {0, OTHER};
-	struct contest c = {0};
+	const struct contention_row row = {0, OTHER};
+	struct contention c = {0};
 
 	(void)state;
-	contest_lose(&c, now);
-	contest_take(&c, now + GB_SEC, &row, SELF, CONTEST_SILENT);
+	contention_owner_deposed(&c, now);
+	contention_take_over(
+	    &c, now + GB_SEC, &row, SELF, TAKEOVER_SILENT_OWNER);
 	assert_int_equal(c.count, 1);
-	contest_lose(&c, now);
-	contest_take(&c, now + 60 * GB_SEC, &row, SELF, CONTEST_SILENT);
+	contention_owner_deposed(&c, now);
+	contention_take_over(
+	    &c, now + 60 * GB_SEC, &row, SELF, TAKEOVER_SILENT_OWNER);
 	assert_int_equal(c.count, 0);
 }
 
 static void
 test_handover_is_not_counted(void **state)
 {
-	const struct contest_row row = {0, OTHER};
-	struct contest c = {0};
+	const struct contention_row row = {0, OTHER};
+	struct contention c = {0};
 
 	(void)state;
-	contest_take(&c, now, &row, SELF, CONTEST_ASKED);
-	assert_false(contest_heard(&c, now, OTHER));
-	contest_lose(&c, now);
-	contest_yield(&c);
-	contest_take(&c, now + GB_SEC, &row, SELF, CONTEST_SILENT);
+	contention_take_over(&c, now, &row, SELF, TAKEOVER_REQUESTED);
+	assert_false(contention_process_alive(&c, now, OTHER));
+	contention_owner_deposed(&c, now);
+	contention_release(&c);
+	contention_take_over(
+	    &c, now + GB_SEC, &row, SELF, TAKEOVER_SILENT_OWNER);
 	assert_int_equal(c.count, 0);
 }
 
 static void
 test_count_falls_while_the_pool_stays(void **state)
 {
-	const struct contest_row row = {3, OTHER};
-	struct contest c = {0};
+	const struct contention_row row = {3, OTHER};
+	struct contention c = {0};
 	gb_time at;
 
 	(void)state;
-	contest_take(&c, now, &row, SELF, CONTEST_SILENT);
+	contention_take_over(&c, now, &row, SELF, TAKEOVER_SILENT_OWNER);
 	for (at = now; at < now + 15 * GB_SEC; at += GB_SEC)
-		contest_tick(&c, at);
+		contention_tick(&c, at);
 	assert_int_equal(c.count, 3);
 	for (; at < now + 65 * GB_SEC; at += GB_SEC)
-		contest_tick(&c, at);
+		contention_tick(&c, at);
 	assert_int_equal(c.count, 0);
 }
 
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -1035,7 +1035,7 @@
 	epoch_field(epoch, "winner_epoch", gb_pool_epoch(owner->pool));
 	failed = gb_pool_stats(other->pool)->takeovers_failed;
 	before = cell_lines(cell, "takeover_failed", line);
-	gb_pool_take(other->pool, node_now(), 0, CONTEST_SILENT);
+	gb_pool_take(other->pool, node_now(), 0, TAKEOVER_SILENT_OWNER);
 	for (i = 0; i < ROUNDS_MOST && gb_pool_acquiring(other->pool); i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
 	assert_int_equal(cell_lines(cell, "takeover_failed", line), before + 1);
@@ -1062,7 +1062,7 @@
 	other = cell->nodes[(cell_owner(cell) + 1) % NODES];
 	epoch_field(epoch, "winner_epoch", gb_pool_epoch(owner->pool) + 1);
 	gb_pool_take(other->pool, node_now(), gb_pool_epoch(owner->pool),
-	    CONTEST_SILENT);
+	    TAKEOVER_SILENT_OWNER);
 	for (i = 0; i < ROUNDS_MOST && gb_pool_owns(owner->pool); i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
 	assert_line(cell, "ownership_lost", "another node owns the pool");
--- a/tests/test_takeovers.c
+++ b/tests/test_takeovers.c
@@ -54,8 +54,8 @@
 	uint64_t epoch;
 	uint64_t incarnation;
 	uint64_t claims; /**< epoch that it is claiming */
-	struct contest contest;
-	enum contest_cause cause;
+	struct contention contention;
+	enum takeover_cause cause;
 	gb_time role_since;
 	gb_time renewed;
 	struct call hello;
@@ -74,7 +74,7 @@
 	unsigned int row_owner;
 	uint64_t row_epoch;
 	uint64_t row_serial;
-	struct contest_row row_contest;
+	struct contention_row row_contention;
 	uint64_t next_incarnation;
 	bool cut[NODES][NODES]; /**< what the first sends the second is lost */
 	bool cuts_refuse;	/**< and connections across a cut are refused */
@@ -169,7 +169,8 @@
 		return;
 	}
 	to->heard_of[node_index(node)] = cell.now;
-	if (contest_heard(&to->contest, cell.now, node->incarnation))
+	if (contention_process_alive(
+		&to->contention, cell.now, node->incarnation))
 		to->renewed = cell.now - RENEW_EVERY;
 	news.epoch = to->epoch;
 	news.largest_milli = 250;
@@ -269,7 +270,7 @@
 {
 	const struct watch_row row = {
 	    cell.row_owner == NOBODY ? NULL : cell.addr[cell.row_owner],
-	    cell.row_epoch, cell.row_serial, cell.row_contest.count};
+	    cell.row_epoch, cell.row_serial, cell.row_contention.count};
 
 	node->read_at = 0;
 	watch_row(&node->watch, cell.now, &row);
@@ -280,7 +281,7 @@
 {
 	uint64_t after = node->watch.epoch;
 
-	node->cause = watch_contest(&node->watch, cell.now);
+	node->cause = watch_takeover_cause(&node->watch, cell.now);
 	watch_lost(&node->watch, cell.now, 0);
 	if (cell.row_owner != NOBODY && cell.row_epoch > after)
 		return;
@@ -300,10 +301,10 @@
 	}
 	if (cell.row_owner != NOBODY)
 		cell.changes++;
-	contest_take(&node->contest, cell.now, &cell.row_contest,
+	contention_take_over(&node->contention, cell.now, &cell.row_contention,
 	    node->incarnation, node->cause);
-	cell.row_contest.count = node->contest.count;
-	cell.row_contest.incarnation = node->incarnation;
+	cell.row_contention.count = node->contention.count;
+	cell.row_contention.incarnation = node->incarnation;
 	cell.row_owner = node_index(node);
 	cell.row_epoch = node->claims;
 	cell.row_serial = 1;
@@ -324,7 +325,8 @@
 			cell.load_takes ||
 		    cell.now - node->renewed >= RENEW_EVERY) {
 			if (node->role == OWNER)
-				contest_lose(&node->contest, cell.now);
+				contention_owner_deposed(
+				    &node->contention, cell.now);
 			node_lose(node);
 			watch_members(&node->watch, members_of(node));
 		}
@@ -335,10 +337,10 @@
 		node->role = OWNER;
 	cell.owned += node->role == OWNER;
 	if (node->role == OWNER && cell.now - node->renewed >= RENEW_EVERY) {
-		contest_tick(&node->contest, cell.now);
+		contention_tick(&node->contention, cell.now);
 		node->renewed = cell.now;
 		cell.row_serial++;
-		cell.row_contest.count = node->contest.count;
+		cell.row_contention.count = node->contention.count;
 	}
 }
 
