--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -160,7 +160,7 @@
 	struct gb_node *node = in->node;
 	char to[GB_KEY_MAX + 1];
 	const struct gb_pool_read read = {
-	    gb_pool_part(id), GB_POOL_STATES, id, to, 1, 0};
+	    gb_pool_partition(id), GB_POOL_STATES, id, to, 1, 0};
 
 	snprintf(to, sizeof(to), "%.200s0", id);
 	in->in_flight = true;
@@ -227,7 +227,7 @@
 	gb_flow_state state = {0};
 	struct gb_pool_row cond = {0};
 	struct gb_pool_row puts[3] = {0};
-	struct gb_pool_txn txn = {gb_pool_part(id), &cond, 1, puts, 3};
+	struct gb_pool_txn txn = {gb_pool_partition(id), &cond, 1, puts, 3};
 
 	state.org = in->submit->flow.org;
 	cond.table = GB_POOL_STATES;
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -237,8 +237,9 @@
 static void
 store_probe(struct gb_node *node)
 {
-	const struct gb_pool_read read = {node->part_asked++ % GB_POOL_PARTS,
-	    GB_POOL_OWNERS, GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, 0};
+	const struct gb_pool_read read = {
+	    node->partition_asked++ % GB_POOL_PARTITIONS, GB_POOL_OWNERS,
+	    GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, 0};
 
 	if (!node_store_unavailable(node) || node->store_probing ||
 	    node->store_probe_at > node_now())
@@ -417,7 +418,7 @@
 static void
 owner_row_unread(struct gb_node *node)
 {
-	node->part_asked++;
+	node->partition_asked++;
 	watch_row_failed(&node->watch, node_now());
 }
 
@@ -456,9 +457,10 @@
 	    0, GB_POOL_OWNERS, GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, 0};
 
 	if (watch_compares(&node->watch, node_now()))
-		read.part = node->part_asked % GB_POOL_PARTS_SHOWN;
+		read.partition =
+		    node->partition_asked % GB_POOL_PARTITIONS_RENEWED;
 	else
-		read.part = node->part_asked++ % GB_POOL_PARTS;
+		read.partition = node->partition_asked++ % GB_POOL_PARTITIONS;
 	watch_reading(&node->watch, node_now());
 	node->platform.read(node->platform.data,
 	    node_call_new(node, NULL, NULL, owner_row_read), &read);
--- a/libgooseberry/node/node_state.h
+++ b/libgooseberry/node/node_state.h
@@ -90,9 +90,9 @@
 struct gb_node {
 	uv_loop_t *loop;
 	uv_timer_t tick;
-	uint32_t part_asked; /**< part of the tables that is asked next */
-	bool busy_tick;	     /**< ticks as often as an owner does */
-	bool link_full;	     /**< as it was last told */
+	uint32_t partition_asked; /**< part of the tables that is asked next */
+	bool busy_tick;		  /**< ticks as often as an owner does */
+	bool link_full;		  /**< as it was last told */
 	const struct gb_env *env;
 	struct gb_events *events;
 	struct gb_node_settings settings;
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -274,13 +274,13 @@
  * itself: its own owner's row, set of workers, flows and states.  With five,
  * the pool can be taken over while two of them are out; each more costs a write
  * of its own for what one would gather. */
-#define GB_POOL_PARTS 5
+#define GB_POOL_PARTITIONS 5
 /** Key of the owner's row. */
 #define GB_POOL_OWNER_KEY "owner"
 /** Key of the set of workers that may run flows of the part, same table. */
 #define GB_POOL_WORKERS_KEY "workers-"
 
-uint32_t gb_pool_part(const char *flow_id);
+uint32_t gb_pool_partition(const char *flow_id);
 
 struct gb_pool_row {
 	enum gb_pool_table table;
@@ -291,7 +291,7 @@
 };
 
 struct gb_pool_txn {
-	uint32_t part;
+	uint32_t partition;
 	struct gb_pool_row *conds;
 	size_t cond_count;
 	struct gb_pool_row *puts;
@@ -307,7 +307,7 @@
 
 /** Rows of a table with from <= key < to. */
 struct gb_pool_read {
-	uint32_t part;
+	uint32_t partition;
 	enum gb_pool_table table;
 	const char *from; /**< empty: from the first */
 	const char *to;	  /**< empty: to the last */
@@ -424,7 +424,7 @@
 /** Parts, the first ones, in which an owner renews its row whatever else it
  * writes: as many as make an owner, so that who could take the pool can read
  * one of them. */
-#define GB_POOL_PARTS_SHOWN (GB_POOL_PARTS / 2 + 1)
+#define GB_POOL_PARTITIONS_RENEWED (GB_POOL_PARTITIONS / 2 + 1)
 
 /** The owner's row of a part, as it is stored. */
 struct gb_owner_record {
--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -312,20 +312,20 @@
 
 	if (worker->leaving || worker->fenced)
 		return;
-	for (i = 0; i < GB_POOL_PARTS; i++) {
-		if (!pool->parts[i].reconciled)
-			pool->parts[i].lost_unseen = true;
+	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
+		if (!pool->partitions[i].reconciled)
+			pool->partitions[i].lost_unseen = true;
 	}
 }
 
 void
-pool_crash_watch(struct gb_pool *pool, uint32_t part)
+pool_crash_watch(struct gb_pool *pool, uint32_t partition)
 {
 	struct pool_flow *flow;
 
 	TAILQ_FOREACH(flow, &pool->open, open_next)
 	{
-		if (flow->part == part && !flow->fresh)
+		if (flow->partition == partition && !flow->fresh)
 			flow->watched = true;
 	}
 }
--- a/libgooseberry/pool/crash.h
+++ b/libgooseberry/pool/crash.h
@@ -39,7 +39,7 @@
 void pool_crash_unseen(struct gb_pool *, const struct pool_worker *);
 /** A part is settled: flows that may have been started on workers which were
  * lost meanwhile are watched from now on. */
-void pool_crash_watch(struct gb_pool *, uint32_t part);
+void pool_crash_watch(struct gb_pool *, uint32_t partition);
 /** Store the start of a task on a worker, and keep its room. */
 void pool_crash_plan(struct gb_pool *, struct pool_flow *, uint32_t step,
     uint32_t index, struct pool_worker *);
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -58,8 +58,8 @@
 	    pool_crash_plan_worker(pool, &step->tasks[index]);
 	gb_res room = pool_fit_free(worker);
 
-	return pool_fit_usable(pool, worker, flow->part) && room.cpu >= 0 &&
-	       room.mem >= 0 && room.accel >= 0 &&
+	return pool_fit_usable(pool, worker, flow->partition) &&
+	       room.cpu >= 0 && room.mem >= 0 && room.accel >= 0 &&
 	       (!POOL_ADVICE_NEEDED(flow) ||
 		   pool_fit_ticket(pool, step, worker->handle) != NULL);
 }
@@ -246,7 +246,8 @@
 			if (names[j] == worker->handle)
 				break;
 		}
-		if (j < distinct || !pool_fit_usable(pool, worker, flow->part))
+		if (j < distinct ||
+		    !pool_fit_usable(pool, worker, flow->partition))
 			continue;
 		names[distinct++] = worker->handle;
 		spare++;
@@ -465,8 +466,9 @@
 	struct pool_step *step = &flow->steps[number];
 
 	if ((step->spec->flags & GB_STEP_GANG) == 0 ||
-	    !pool->parts[flow->part].reconciled || step->active == 0 ||
-	    step->done > 0 || step->active == step->spec->count)
+	    !pool->partitions[flow->partition].reconciled ||
+	    step->active == 0 || step->done > 0 ||
+	    step->active == step->spec->count)
 		return;
 	pool_flow_stop_step(
 	    pool, flow, number, NULL, "the gang is not complete");
@@ -530,7 +532,8 @@
 	uint64_t version = pool->config == NULL ? 0 : pool->config->version;
 
 	return flow->status < GB_FLOW_SUCCEEDED && !flow->cancelled &&
-	       pool_part_attached(pool, flow->part) && flow->config <= version;
+	       pool_partition_attached(pool, flow->partition) &&
+	       flow->config <= version;
 }
 
 /** What gangs wait for, and what there is. */
--- a/libgooseberry/pool/fit.c
+++ b/libgooseberry/pool/fit.c
@@ -41,11 +41,11 @@
 }
 
 bool
-pool_fit_usable(
-    const struct gb_pool *pool, const struct pool_worker *worker, uint32_t part)
+pool_fit_usable(const struct gb_pool *pool, const struct pool_worker *worker,
+    uint32_t partition)
 {
 	return pool_worker_offered(worker) && worker->fenced &&
-	       (worker->recorded & (UINT32_C(1) << part)) != 0 &&
+	       (worker->recorded & (UINT32_C(1) << partition)) != 0 &&
 	       !worker->over && !worker->foreign && !worker->entry.draining &&
 	       pool_incarnation_listed(worker) && !worker->maybe_restarted &&
 	       worker->silent == 0 && worker->quarantined_until <= pool->now &&
@@ -208,7 +208,7 @@
 	if (worker == NULL ||
 	    worker->entry.capacity.cpu - worker->used.cpu < step->spec->res.cpu)
 		return false;
-	if (!pool_fit_usable(pool, worker, flow->part) ||
+	if (!pool_fit_usable(pool, worker, flow->partition) ||
 	    !pool_fit_allows(pool, flow, step, worker))
 		return false;
 	if (rack != NULL && strcmp(rack, worker->rack) != 0)
--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -85,7 +85,7 @@
 
 	flow->spec = *spec;
 	memset(spec, 0, sizeof(*spec));
-	flow->part = gb_pool_part(flow->spec.id);
+	flow->partition = gb_pool_partition(flow->spec.id);
 	STAILQ_INIT(&flow->waiters);
 	flow_steps_new(flow);
 	/* Clocks of nodes differ and jump: an age that cannot be is none. */
@@ -152,7 +152,8 @@
 		pool->open_count--;
 	}
 	if (flow->dirty)
-		TAILQ_REMOVE(&pool->parts[flow->part].dirty, flow, dirty_next);
+		TAILQ_REMOVE(
+		    &pool->partitions[flow->partition].dirty, flow, dirty_next);
 	HASH_DEL(pool->flows, flow);
 	pool_flow_loading_free(flow);
 	flow_steps_free(flow);
@@ -228,7 +229,7 @@
 	waiter->change = flow->change;
 	waiter->asks = true;
 	if (flow->status < GB_FLOW_SUCCEEDED || shown == flow->status ||
-	    pool_writer_unavailable(pool, flow->part)) {
+	    pool_writer_unavailable(pool, flow->partition)) {
 		waiter->status = shown;
 		flow_answer(pool, waiter, GB_FLOW_ACCEPTED);
 		free(waiter);
@@ -352,7 +353,8 @@
 
 	if (left == 0 || !pool_flow_step_ready(flow, step))
 		return 0;
-	if (!pool->parts[flow->part].reconciled && !flow->fresh && !step->fresh)
+	if (!pool->partitions[flow->partition].reconciled && !flow->fresh &&
+	    !step->fresh)
 		return 0;
 	if ((step->spec->flags & GB_STEP_GANG) != 0)
 		return step->active > 0 || pool_crash_held_count(flow, step) > 0
@@ -555,7 +557,7 @@
 			pool_crash_sweep(pool, flow);
 		if (flow->status < GB_FLOW_SUCCEEDED ||
 		    flow->stored < flow->change ||
-		    !pool_part_attached(pool, flow->part))
+		    !pool_partition_attached(pool, flow->partition))
 			continue;
 		if (!flow->closed && flow->runs == 0 &&
 		    STAILQ_EMPTY(&flow->waiters))
--- a/libgooseberry/pool/load.c
+++ b/libgooseberry/pool/load.c
@@ -84,14 +84,14 @@
 
 /** Flows whose submission was not read are over: only their state is kept. */
 static void
-load_finish(struct gb_pool *pool, uint32_t part)
+load_finish(struct gb_pool *pool, uint32_t partition)
 {
 	struct pool_flow *flow;
 	struct pool_flow *next;
 
 	HASH_ITER(hh, pool->flows, flow, next)
 	{
-		if (flow->loading == NULL || flow->part != part)
+		if (flow->loading == NULL || flow->partition != partition)
 			continue;
 		pool_flow_loading_free(flow);
 		flow->closed = true;
@@ -103,14 +103,14 @@
 }
 
 void
-pool_load_drop(struct gb_pool *pool, uint32_t part)
+pool_load_drop(struct gb_pool *pool, uint32_t partition)
 {
 	struct pool_flow *flow;
 	struct pool_flow *next;
 
 	HASH_ITER(hh, pool->flows, flow, next)
 	{
-		if (flow->part == part)
+		if (flow->partition == partition)
 			pool_flow_free(pool, flow);
 	}
 }
@@ -120,7 +120,8 @@
 /** Whoever the owner before may have sent runs to is asked, whether the list of
  * workers names it or not: entries lapse while the store is away. */
 static void
-load_workers(struct gb_pool *pool, uint32_t part, const struct gb_pool_row *row)
+load_workers(
+    struct gb_pool *pool, uint32_t partition, const struct gb_pool_row *row)
 {
 	gb_worker_set set = {0};
 	u_int i;
@@ -131,12 +132,12 @@
 		return;
 	}
 	for (i = 0; i < set.list.list_len; i++)
-		pool_worker_recorded(pool, part, &set.list.list_val[i],
+		pool_worker_recorded(pool, partition, &set.list.list_val[i],
 		    i < set.incarnations.incarnations_len
 			? set.incarnations.incarnations_val[i]
 			: 0);
 	xdr_free((xdrproc_t)xdr_gb_worker_set, (char *)&set);
-	pool_worker_set_read(pool, part, row->key);
+	pool_worker_set_read(pool, partition, row->key);
 }
 
 /* Course ------------------------------------------------------------------ */
@@ -144,10 +145,10 @@
 void
 pool_load_begin(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 
-	part->round++;
-	part->loads_in_flight = 2;
+	partition->round++;
+	partition->loads_in_flight = 2;
 	pool_page_add(
 	    pool, POOL_CALL_LOAD_STATES, number, GB_POOL_STATES, "", "");
 	pool_page_add(pool, POOL_CALL_LOAD_WORKERS, number, GB_POOL_OWNERS,
@@ -168,12 +169,13 @@
 	if (res->more && res->row_count > 0) {
 		snprintf(from, sizeof(from), "%.200s0",
 		    res->rows[res->row_count - 1].key);
-		pool_page_add(pool, call->kind, call->part, table, from, "");
-		pool->parts[call->part].loads_in_flight++;
+		pool_page_add(
+		    pool, call->kind, call->partition, table, from, "");
+		pool->partitions[call->partition].loads_in_flight++;
 	} else if (call->kind == POOL_CALL_LOAD_STATES) {
-		pool_page_add(pool, POOL_CALL_LOAD_FLOWS, call->part,
+		pool_page_add(pool, POOL_CALL_LOAD_FLOWS, call->partition,
 		    GB_POOL_FLOWS, "", "");
-		pool->parts[call->part].loads_in_flight++;
+		pool->partitions[call->partition].loads_in_flight++;
 	}
 }
 
@@ -182,7 +184,7 @@
 page_take(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
-	struct pool_part *part = &pool->parts[call->part];
+	struct pool_partition *partition = &pool->partitions[call->partition];
 	size_t i;
 
 	if (res->status != GB_STORE_OK)
@@ -193,7 +195,7 @@
 		else if (call->kind == POOL_CALL_LOAD_FLOWS)
 			load_flow(pool, &res->rows[i]);
 		else
-			load_workers(pool, call->part, &res->rows[i]);
+			load_workers(pool, call->partition, &res->rows[i]);
 	}
 	if (call->kind != POOL_CALL_LOAD_WORKERS) {
 		pool_page_learn(pool,
@@ -202,9 +204,9 @@
 		    res);
 		load_next(pool, call, res);
 	}
-	if (--part->loads_in_flight > 0)
+	if (--partition->loads_in_flight > 0)
 		return POOL_LOAD_GOES_ON;
-	load_finish(pool, call->part);
+	load_finish(pool, call->partition);
 	return POOL_LOAD_DONE;
 }
 
@@ -212,11 +214,13 @@
 pool_load_done(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
-	const struct pool_part *part = &pool->parts[call->part];
+	const struct pool_partition *partition =
+	    &pool->partitions[call->partition];
 	struct pool_page *page = pool_page_answered(pool, call);
 	enum pool_load course = POOL_LOAD_GOES_ON;
 
-	if (call->round == part->round && part->attach == POOL_ATTACH_LOADING) {
+	if (call->round == partition->round &&
+	    partition->attach == POOL_ATTACH_LOADING) {
 		if (page != NULL && pool_page_retry(pool, page, res))
 			return POOL_LOAD_GOES_ON;
 		course = page_take(pool, call, res);
@@ -229,18 +233,19 @@
 /* Inbox ------------------------------------------------------------------- */
 
 void
-pool_load_inbox(struct gb_pool *pool, uint32_t part)
+pool_load_inbox(struct gb_pool *pool, uint32_t partition)
 {
-	if (!pool_part_attached(pool, part) ||
-	    pool->parts[part].inbox_in_flight > 0)
+	if (!pool_partition_attached(pool, partition) ||
+	    pool->partitions[partition].inbox_in_flight > 0)
 		return;
-	pool_page_add(pool, POOL_CALL_INBOX_LIST, part, GB_POOL_INBOX, "", "");
+	pool_page_add(
+	    pool, POOL_CALL_INBOX_LIST, partition, GB_POOL_INBOX, "", "");
 	pool_pages_next(pool);
 }
 
 static void
-inbox_listed(
-    struct gb_pool *pool, uint32_t part, const struct gb_pool_read_res *res)
+inbox_listed(struct gb_pool *pool, uint32_t partition,
+    const struct gb_pool_read_res *res)
 {
 	char to[GB_KEY_MAX + 1];
 	struct pool_flow *flow;
@@ -256,8 +261,8 @@
 			continue;
 		}
 		snprintf(to, sizeof(to), "%.200s0", res->rows[i].key);
-		pool_page_add(pool, POOL_CALL_INBOX_FLOW, part, GB_POOL_FLOWS,
-		    res->rows[i].key, to);
+		pool_page_add(pool, POOL_CALL_INBOX_FLOW, partition,
+		    GB_POOL_FLOWS, res->rows[i].key, to);
 	}
 }
 
@@ -289,12 +294,12 @@
 pool_load_inbox_done(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
-	bool wanted =
-	    res->status == GB_STORE_OK && pool_part_attached(pool, call->part);
+	bool wanted = res->status == GB_STORE_OK &&
+		      pool_partition_attached(pool, call->partition);
 
 	if (wanted && call->kind == POOL_CALL_INBOX_LIST) {
 		pool_page_learn(pool, GB_POOL_INBOX, res);
-		inbox_listed(pool, call->part, res);
+		inbox_listed(pool, call->partition, res);
 	} else if (wanted) {
 		inbox_flow(pool, res);
 	}
--- a/libgooseberry/pool/owner.c
+++ b/libgooseberry/pool/owner.c
@@ -29,7 +29,7 @@
  * some were found: the most urgent have three quarters of a second to spare. */
 #define OWNER_INBOX (GB_SEC)
 /** Parts that make an owner. */
-#define OWNER_MAJORITY GB_POOL_PARTS_SHOWN
+#define OWNER_MAJORITY GB_POOL_PARTITIONS_RENEWED
 /** A claim that has not come to most parts by then is given up: reads and a
  * write take 1.2 s when the store is a hundred times slower. */
 #define OWNER_CLAIM_MOST (4 * GB_SEC)
@@ -46,15 +46,15 @@
 #define ATTACH_RETRY_DOUBLINGS 2
 
 bool
-pool_part_attached(const struct gb_pool *pool, uint32_t part)
+pool_partition_attached(const struct gb_pool *pool, uint32_t partition)
 {
-	return pool->parts[part].attach == POOL_ATTACH_DONE;
+	return pool->partitions[partition].attach == POOL_ATTACH_DONE;
 }
 
 bool
-pool_part_coming(const struct gb_pool *pool, uint32_t part)
+pool_partition_coming(const struct gb_pool *pool, uint32_t partition)
 {
-	return pool->parts[part].attach_failures == 0;
+	return pool->partitions[partition].attach_failures == 0;
 }
 
 bool
@@ -62,8 +62,9 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < GB_POOL_PARTS; i++) {
-		if (!pool_part_attached(pool, i) || !pool->parts[i].reconciled)
+	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
+		if (!pool_partition_attached(pool, i) ||
+		    !pool->partitions[i].reconciled)
 			return false;
 	}
 	return true;
@@ -75,19 +76,19 @@
 	unsigned int out = 0;
 	uint32_t i;
 
-	for (i = 0; i < GB_POOL_PARTS; i++)
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
 		out += pool_writer_unavailable(pool, i);
 	return pool->phase == POOL_OWNER_ACTIVE && out >= OWNER_MAJORITY;
 }
 
 static unsigned int
-parts_at_least(const struct gb_pool *pool, enum pool_attach attach)
+partitions_at_least(const struct gb_pool *pool, enum pool_attach attach)
 {
 	unsigned int count = 0;
 	uint32_t i;
 
-	for (i = 0; i < GB_POOL_PARTS; i++)
-		count += pool->parts[i].attach >= attach;
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
+		count += pool->partitions[i].attach >= attach;
 	return count;
 }
 
@@ -119,14 +120,14 @@
 
 	cond.table = put.table = GB_POOL_OWNERS;
 	cond.key = put.key = GB_POOL_OWNER_KEY;
-	for (i = 0; i < GB_POOL_PARTS; i++) {
-		if (pool->parts[i].attach < POOL_ATTACH_LOADING)
+	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
+		if (pool->partitions[i].attach < POOL_ATTACH_LOADING)
 			continue;
-		cond.vers = pool->parts[i].owner_vers;
+		cond.vers = pool->partitions[i].owner_vers;
 		if (!pool_writer_owner_body(
 			pool, pool->claim_epoch, 2, true, &put.value))
 			abort(); /* names were checked with the settings */
-		txn.part = i;
+		txn.partition = i;
 		txn.conds = &cond;
 		txn.cond_count = 1;
 		txn.puts = &put;
@@ -143,9 +144,9 @@
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "takeover_failed",
 	    "{s:s, s:I, s:I, s:s, s:s, s:I}", "why", why, "epoch",
 	    (json_int_t)pool->epoch, "claimed",
-	    (json_int_t)parts_at_least(pool, POOL_ATTACH_LOADING), "winner",
-	    pool->rival.addr, "winner_name", pool->rival.name, "winner_epoch",
-	    (json_int_t)pool->rival.epoch);
+	    (json_int_t)partitions_at_least(pool, POOL_ATTACH_LOADING),
+	    "winner", pool->rival.addr, "winner_name", pool->rival.name,
+	    "winner_epoch", (json_int_t)pool->rival.epoch);
 	pool->stats.takeovers_failed++;
 	owner_vacate(pool);
 	pool->phase = POOL_OWNER_NONE;
@@ -184,55 +185,56 @@
 /* Attaching a part -------------------------------------------------------- */
 
 static void
-part_read(struct gb_pool *pool, uint32_t number)
+partition_read(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_call *call = pool_call_new(pool, POOL_CALL_OWNER_READ);
 	const struct gb_pool_read read = {number, GB_POOL_OWNERS,
 	    GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, 0};
 
-	pool->parts[number].attach = POOL_ATTACH_READING;
-	call->part = number;
+	pool->partitions[number].attach = POOL_ATTACH_READING;
+	call->partition = number;
 	pool->stats.reads++;
 	pool->ops.read(pool->ops.data, call->id, &read);
 }
 
 static void
-part_retry(struct gb_pool *pool, struct pool_part *part, gb_time pause)
+partition_retry(
+    struct gb_pool *pool, struct pool_partition *partition, gb_time pause)
 {
-	part->attach = POOL_ATTACH_NONE;
-	part->attach_at = pool->now + pause;
+	partition->attach = POOL_ATTACH_NONE;
+	partition->attach_at = pool->now + pause;
 }
 
 /** The store did not answer for a part, or not surely. */
 static void
-part_failed(struct gb_pool *pool, uint32_t number)
+partition_failed(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	unsigned int failing = 0;
 	uint32_t i;
 
-	part_retry(pool, part,
-	    ATTACH_RETRY << (part->attach_failures < ATTACH_RETRY_DOUBLINGS
-				 ? part->attach_failures
+	partition_retry(pool, partition,
+	    ATTACH_RETRY << (partition->attach_failures < ATTACH_RETRY_DOUBLINGS
+				 ? partition->attach_failures
 				 : ATTACH_RETRY_DOUBLINGS));
-	part->attach_failures++;
-	if (part->attach_failures == 1)
+	partition->attach_failures++;
+	if (partition->attach_failures == 1)
 		gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "part_out",
 		    "{s:I, s:I}", "part", (json_int_t)number, "epoch",
 		    (json_int_t)pool->claim_epoch);
-	for (i = 0; i < GB_POOL_PARTS; i++)
-		failing += pool->parts[i].attach_failures > 0;
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
+		failing += pool->partitions[i].attach_failures > 0;
 	if (pool->phase < POOL_OWNER_LOADING &&
-	    failing > GB_POOL_PARTS - OWNER_MAJORITY)
+	    failing > GB_POOL_PARTITIONS - OWNER_MAJORITY)
 		owner_give_up(pool, "the store did not answer");
 }
 
 static void
-part_claimed(struct gb_pool *pool, uint32_t number)
+partition_claimed(struct gb_pool *pool, uint32_t number)
 {
-	pool->parts[number].attach = POOL_ATTACH_LOADING;
+	pool->partitions[number].attach = POOL_ATTACH_LOADING;
 	if (pool->phase == POOL_OWNER_CLAIMING &&
-	    parts_at_least(pool, POOL_ATTACH_LOADING) >= OWNER_MAJORITY) {
+	    partitions_at_least(pool, POOL_ATTACH_LOADING) >= OWNER_MAJORITY) {
 		pool->phase = POOL_OWNER_LOADING;
 		pool->epoch = pool->claim_epoch;
 		pool->claimed_at = pool->now;
@@ -243,18 +245,18 @@
 }
 
 static void
-part_claim_send(struct gb_pool *pool, uint32_t number)
+partition_claim_send(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_call *call = pool_call_new(pool, POOL_CALL_OWNER_TXN);
 	struct gb_pool_row cond = {0};
 	struct gb_pool_row put = {0};
 	const struct gb_pool_txn txn = {number, &cond, 1, &put, 1};
 
-	pool->parts[number].attach = POOL_ATTACH_CLAIMING;
-	call->part = number;
+	pool->partitions[number].attach = POOL_ATTACH_CLAIMING;
+	call->partition = number;
 	cond.table = put.table = GB_POOL_OWNERS;
 	cond.key = put.key = GB_POOL_OWNER_KEY;
-	cond.vers = pool->parts[number].owner_vers;
+	cond.vers = pool->partitions[number].owner_vers;
 	if (!pool_writer_owner_body(
 		pool, pool->claim_epoch, 1, false, &put.value))
 		abort(); /* names were checked with the settings */
@@ -267,37 +269,37 @@
  * left by an owner, whose epoch must not be in force again; any other belongs
  * to a rival in the same race, who gives up soon or has won. */
 static void
-part_contested(struct gb_pool *pool, uint32_t number)
+partition_contested(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 
-	if (part->row_vacant || number == pool->claim_first ||
+	if (partition->row_vacant || number == pool->claim_first ||
 	    pool->now - pool->taken_at > OWNER_RIVAL_MOST)
 		owner_give_up(pool, "another node was first");
 	else
-		part_retry(pool, part, ATTACH_RIVAL);
+		partition_retry(pool, partition, ATTACH_RIVAL);
 }
 
 /** Claim a part whose row has been read.  Who holds most parts knows that
  * nobody else was or will be the owner under this epoch. */
 static void
-part_claim(struct gb_pool *pool, uint32_t number)
+partition_claim(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 
-	if (part->row_epoch > pool->claim_epoch &&
+	if (partition->row_epoch > pool->claim_epoch &&
 	    pool->phase >= POOL_OWNER_LOADING)
 		pool_owner_lose(
-		    pool, "another node owns the pool", part->row_epoch);
-	else if (part->row_epoch > pool->claim_epoch)
+		    pool, "another node owns the pool", partition->row_epoch);
+	else if (partition->row_epoch > pool->claim_epoch)
 		owner_give_up(pool, "another node was first");
-	else if (part->row_own)
-		part_claimed(pool, number);
-	else if (part->row_epoch == pool->claim_epoch &&
+	else if (partition->row_own)
+		partition_claimed(pool, number);
+	else if (partition->row_epoch == pool->claim_epoch &&
 		 pool->phase < POOL_OWNER_LOADING)
-		part_contested(pool, number);
+		partition_contested(pool, number);
 	else
-		part_claim_send(pool, number);
+		partition_claim_send(pool, number);
 }
 
 /** Most rows are known: the new epoch is above all that were in force. */
@@ -310,89 +312,92 @@
 	uint32_t i;
 
 	pool->claim_epoch = pool->epoch + 1;
-	pool->claim_first = GB_POOL_PARTS;
+	pool->claim_first = GB_POOL_PARTITIONS;
 	pool->phase = POOL_OWNER_CLAIMING;
-	for (i = 0; i < GB_POOL_PARTS; i++) {
-		const struct pool_part *part = &pool->parts[i];
+	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
+		const struct pool_partition *partition = &pool->partitions[i];
 
-		if (part->attach != POOL_ATTACH_READ)
+		if (partition->attach != POOL_ATTACH_READ)
 			continue;
-		if (pool->claim_first == GB_POOL_PARTS)
+		if (pool->claim_first == GB_POOL_PARTITIONS)
 			pool->claim_first = i;
-		if (part->row_epoch >= pool->claim_epoch)
-			pool->claim_epoch = part->row_epoch + 1;
-		if (part->row_epoch > newest) {
-			newest = part->row_epoch;
-			before = &part->row_contention;
+		if (partition->row_epoch >= pool->claim_epoch)
+			pool->claim_epoch = partition->row_epoch + 1;
+		if (partition->row_epoch > newest) {
+			newest = partition->row_epoch;
+			before = &partition->row_contention;
 		}
 	}
 	contention_take_over(&pool->contention, pool->now, before,
 	    pool->cfg.incarnation, pool->claim_cause);
-	for (i = 0; i < GB_POOL_PARTS && pool->phase != POOL_OWNER_NONE; i++) {
-		if (pool->parts[i].attach == POOL_ATTACH_READ)
-			part_claim(pool, i);
+	for (i = 0; i < GB_POOL_PARTITIONS && pool->phase != POOL_OWNER_NONE;
+	     i++) {
+		if (pool->partitions[i].attach == POOL_ATTACH_READ)
+			partition_claim(pool, i);
 	}
 }
 
 /** Take in the owner's row of a part; false when it is unreadable. */
 static bool
-part_row(struct gb_pool *pool, struct pool_part *part,
+partition_row(struct gb_pool *pool, struct pool_partition *partition,
     const struct gb_pool_read_res *res)
 {
 	struct gb_owner_record record = {0};
 	const gb_owner_row *row = &record.row;
 
-	part->owner_vers = 0;
-	part->row_epoch = 0;
-	part->row_vacant = true;
-	part->row_own = false;
-	memset(&part->row_contention, 0, sizeof(part->row_contention));
+	partition->owner_vers = 0;
+	partition->row_epoch = 0;
+	partition->row_vacant = true;
+	partition->row_own = false;
+	memset(
+	    &partition->row_contention, 0, sizeof(partition->row_contention));
 	if (res->row_count == 0)
 		return true;
 	if (!gb_owner_record_decode(&record, &res->rows[0].value))
 		return false;
-	part->owner_vers = res->rows[0].vers;
-	part->row_epoch = row->epoch;
-	part->row_vacant = row->addr[0] == '\0';
-	part->row_own = pool->claim_epoch != 0 &&
-			row->epoch == pool->claim_epoch && !part->row_vacant &&
-			row->incarnation == pool->cfg.incarnation;
-	part->row_contention.count = record.contested;
-	part->row_contention.incarnation =
-	    part->row_vacant ? 0 : row->incarnation;
-	part->serial = row->serial;
+	partition->owner_vers = res->rows[0].vers;
+	partition->row_epoch = row->epoch;
+	partition->row_vacant = row->addr[0] == '\0';
+	partition->row_own =
+	    pool->claim_epoch != 0 && row->epoch == pool->claim_epoch &&
+	    !partition->row_vacant && row->incarnation == pool->cfg.incarnation;
+	partition->row_contention.count = record.contested;
+	partition->row_contention.incarnation =
+	    partition->row_vacant ? 0 : row->incarnation;
+	partition->serial = row->serial;
 	pool_rival_read(pool, row);
 	gb_owner_record_clear(&record);
 	return true;
 }
 
 static void
-part_row_read(
+partition_row_read(
     struct gb_pool *pool, uint32_t number, const struct gb_pool_read_res *res)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 
-	if (part->attach != POOL_ATTACH_READING)
+	if (partition->attach != POOL_ATTACH_READING)
 		return;
 	if (res->status != GB_STORE_OK) {
-		part_failed(pool, number);
+		partition_failed(pool, number);
 		return;
 	}
-	part->attach_failures = 0;
-	if (!part_row(pool, part, res)) {
+	partition->attach_failures = 0;
+	if (!partition_row(pool, partition, res)) {
 		owner_give_up(pool, "the owner's row is unreadable");
 		return;
 	}
 	if (pool->phase != POOL_OWNER_READING) {
-		part_claim(pool, number);
+		partition_claim(pool, number);
 		return;
 	}
-	if (part->row_epoch > pool->claim_after && !part->row_vacant) {
+	if (partition->row_epoch > pool->claim_after &&
+	    !partition->row_vacant) {
 		owner_give_up(pool, "another node was first");
 		return;
 	}
-	part->attach = POOL_ATTACH_READ;
-	if (parts_at_least(pool, POOL_ATTACH_READ) >= OWNER_MAJORITY)
+	partition->attach = POOL_ATTACH_READ;
+	if (partitions_at_least(pool, POOL_ATTACH_READ) >= OWNER_MAJORITY)
 		owner_choose_epoch(pool);
 }
 
@@ -400,46 +405,47 @@
 pool_owner_txn_done(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_txn_res *res)
 {
-	struct pool_part *part = &pool->parts[call->part];
+	struct pool_partition *partition = &pool->partitions[call->partition];
 
-	if (part->attach != POOL_ATTACH_CLAIMING)
+	if (partition->attach != POOL_ATTACH_CLAIMING)
 		return;
 	if (res->status == GB_STORE_OK) {
 		pool->confirmed = call->sent;
-		part->owner_vers = res->vers;
-		part->serial = 1;
-		part_claimed(pool, call->part);
+		partition->owner_vers = res->vers;
+		partition->serial = 1;
+		partition_claimed(pool, call->partition);
 	} else if (res->status != GB_STORE_CONFLICT) {
-		part_failed(pool, call->part);
+		partition_failed(pool, call->partition);
 	} else if (pool->phase == POOL_OWNER_CLAIMING &&
-		   call->part == pool->claim_first) {
+		   call->partition == pool->claim_first) {
 		pool_rival_conflict(pool, res);
 		owner_give_up(pool, "another node was first");
 	} else {
-		part_retry(pool, part, ATTACH_RIVAL);
+		partition_retry(pool, partition, ATTACH_RIVAL);
 	}
 }
 
 /* Becoming the owner ------------------------------------------------------ */
 
 static void
-part_attached(struct gb_pool *pool, uint32_t number)
+partition_attached(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	gb_time lease = pool_worker_lease_most(pool);
 
-	part->attach = POOL_ATTACH_DONE;
-	part->attach_failures = 0;
-	part->renewed = pool->now;
-	part->attached_at = pool->now;
-	part->reconcile_at = pool->now + lease * 1000 / POOL_CLOCK_SLOWEST +
-			     OWNER_RECONCILE_MARGIN;
+	partition->attach = POOL_ATTACH_DONE;
+	partition->attach_failures = 0;
+	partition->renewed = pool->now;
+	partition->attached_at = pool->now;
+	partition->reconcile_at = pool->now +
+				  lease * 1000 / POOL_CLOCK_SLOWEST +
+				  OWNER_RECONCILE_MARGIN;
 	/* The first owner of all has nobody before it. */
-	part->reconciled = part->row_epoch == 0;
-	part->lost_unseen = false;
+	partition->reconciled = partition->row_epoch == 0;
+	partition->lost_unseen = false;
 	pool->inbox_at = pool->now;
 	pool->work_changed = true;
-	pool_report_part_attached(pool, number);
+	pool_report_partition_attached(pool, number);
 	if (pool->phase == POOL_OWNER_ACTIVE)
 		gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "part_attached",
 		    "{s:I, s:I, s:I}", "part", (json_int_t)number, "epoch",
@@ -448,12 +454,13 @@
 }
 
 static bool
-parts_under_way(const struct gb_pool *pool)
+partitions_under_way(const struct gb_pool *pool)
 {
 	uint32_t i;
 
-	for (i = 0; i < GB_POOL_PARTS; i++) {
-		if (!pool_part_attached(pool, i) && pool_part_coming(pool, i))
+	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
+		if (!pool_partition_attached(pool, i) &&
+		    pool_partition_coming(pool, i))
 			return true;
 	}
 	return false;
@@ -465,8 +472,8 @@
 owner_begin(struct gb_pool *pool)
 {
 	if (pool->phase != POOL_OWNER_LOADING ||
-	    parts_at_least(pool, POOL_ATTACH_DONE) < OWNER_MAJORITY ||
-	    (parts_under_way(pool) &&
+	    partitions_at_least(pool, POOL_ATTACH_DONE) < OWNER_MAJORITY ||
+	    (partitions_under_way(pool) &&
 		pool->now - pool->claimed_at < OWNER_ATTACH_WAIT))
 		return;
 	pool->phase = POOL_OWNER_ACTIVE;
@@ -475,7 +482,7 @@
 	gb_histogram_add(&pool->stats.takeover_us, pool->now - pool->taken_at);
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "ownership_gained",
 	    "{s:I, s:I, s:I, s:I, s:I}", "epoch", (json_int_t)pool->epoch,
-	    "parts", (json_int_t)parts_at_least(pool, POOL_ATTACH_DONE),
+	    "parts", (json_int_t)partitions_at_least(pool, POOL_ATTACH_DONE),
 	    "open_flows", (json_int_t)pool->open_count, "workers",
 	    (json_int_t)pool->worker_count, "took_ms",
 	    (json_int_t)((pool->now - pool->taken_at) / GB_MSEC));
@@ -483,19 +490,19 @@
 }
 
 static void
-part_loaded(struct gb_pool *pool, const struct pool_call *call,
+partition_loaded(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
 	switch (pool_load_done(pool, call, res)) {
 	case POOL_LOAD_GOES_ON:
 		break;
 	case POOL_LOAD_DONE:
-		part_attached(pool, call->part);
+		partition_attached(pool, call->partition);
 		owner_begin(pool);
 		break;
 	case POOL_LOAD_FAILED:
-		pool_load_drop(pool, call->part);
-		part_failed(pool, call->part);
+		pool_load_drop(pool, call->partition);
+		partition_failed(pool, call->partition);
 		break;
 	}
 }
@@ -511,14 +518,14 @@
 		pool_writer_probed(pool, call, res);
 		break;
 	case POOL_CALL_OWNER_READ:
-		part_row_read(pool, call->part, res);
+		partition_row_read(pool, call->partition, res);
 		break;
 	case POOL_CALL_INBOX_LIST:
 	case POOL_CALL_INBOX_FLOW:
 		pool_load_inbox_done(pool, call, res);
 		break;
 	default:
-		part_loaded(pool, call, res);
+		partition_loaded(pool, call, res);
 		break;
 	}
 }
@@ -541,8 +548,8 @@
 	pool->claim_epoch = 0;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "takeover_begun", "{s:I}",
 	    "known_epoch", (json_int_t)pool->epoch);
-	for (i = 0; i < GB_POOL_PARTS; i++)
-		part_read(pool, i);
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
+		partition_read(pool, i);
 }
 
 /* Going on ---------------------------------------------------------------- */
@@ -552,9 +559,9 @@
  * use, of which no owner recorded anything, need not answer: an address where
  * nobody listens would hold up each takeover until every lease is over. */
 static bool
-part_all_told(const struct gb_pool *pool, uint32_t number)
+partition_all_reported(const struct gb_pool *pool, uint32_t number)
 {
-	const struct pool_part *part = &pool->parts[number];
+	const struct pool_partition *partition = &pool->partitions[number];
 	uint32_t i;
 
 	if (!pool->listed || pool->worker_count == 0)
@@ -566,25 +573,26 @@
 		    (worker->recorded & (UINT32_C(1) << number)) == 0)
 			continue;
 		if (!worker->over &&
-		    (!worker->fenced || worker->reported < part->attached_at))
+		    (!worker->fenced ||
+			worker->reported < partition->attached_at))
 			return false;
 	}
 	return true;
 }
 
 static void
-part_reconcile(struct gb_pool *pool, uint32_t number)
+partition_reconcile(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	bool told;
 
-	if (part->attach != POOL_ATTACH_DONE || part->reconciled)
+	if (partition->attach != POOL_ATTACH_DONE || partition->reconciled)
 		return;
-	told = part_all_told(pool, number);
-	if (!told && pool->now < part->reconcile_at)
+	told = partition_all_reported(pool, number);
+	if (!told && pool->now < partition->reconcile_at)
 		return;
-	part->reconciled = true;
-	if (!told || part->lost_unseen)
+	partition->reconciled = true;
+	if (!told || partition->lost_unseen)
 		pool_crash_watch(pool, number);
 	pool->work_changed = true;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "takeover_settled",
@@ -595,18 +603,20 @@
 }
 
 static void
-part_tick(struct gb_pool *pool, uint32_t number)
+partition_tick(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	gb_time written;
 
-	if (part->attach == POOL_ATTACH_NONE && part->attach_at <= pool->now)
-		part_read(pool, number);
-	part_reconcile(pool, number);
-	written = number < GB_POOL_PARTS_SHOWN ? part->renewed : part->sent;
-	if (part->attach == POOL_ATTACH_DONE &&
+	if (partition->attach == POOL_ATTACH_NONE &&
+	    partition->attach_at <= pool->now)
+		partition_read(pool, number);
+	partition_reconcile(pool, number);
+	written = number < GB_POOL_PARTITIONS_RENEWED ? partition->renewed
+						      : partition->sent;
+	if (partition->attach == POOL_ATTACH_DONE &&
 	    pool->now - written > POOL_OWNER_RENEW)
-		part->renew = true;
+		partition->renew = true;
 }
 
 static void
@@ -617,7 +627,7 @@
 	if (pool->inbox_at > pool->now)
 		return;
 	pool->inbox_at = pool->now + OWNER_INBOX;
-	for (i = 0; i < GB_POOL_PARTS; i++)
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
 		pool_load_inbox(pool, i);
 }
 
@@ -638,8 +648,8 @@
 		owner_give_up(pool, "most parts could not be claimed in time");
 		return;
 	}
-	for (i = 0; i < GB_POOL_PARTS; i++)
-		part_tick(pool, i);
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
+		partition_tick(pool, i);
 	owner_begin(pool);
 	if (pool->phase != POOL_OWNER_ACTIVE)
 		return;
@@ -659,8 +669,8 @@
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "takeover_contested",
 	    "{s:I, s:I}", "epoch", (json_int_t)pool->epoch, "contested",
 	    (json_int_t)pool->contention.count);
-	for (i = 0; i < GB_POOL_PARTS; i++)
-		pool->parts[i].renew = pool_part_attached(pool, i);
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
+		pool->partitions[i].renew = pool_partition_attached(pool, i);
 }
 
 void
@@ -675,6 +685,6 @@
 	}
 	pool->phase = POOL_OWNER_RELEASING;
 	pool->release_by = pool->now + OWNER_RELEASE;
-	for (i = 0; i < GB_POOL_PARTS; i++)
-		pool->parts[i].renew = pool_part_attached(pool, i);
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
+		pool->partitions[i].renew = pool_partition_attached(pool, i);
 }
--- a/libgooseberry/pool/page.c
+++ b/libgooseberry/pool/page.c
@@ -22,7 +22,7 @@
 #define PAGE_TRIES 4
 /** Pages that are out at once, two for each part, and rows of each, so that few
  * bytes are spent beside them. */
-#define PAGES_MOST (2 * GB_POOL_PARTS)
+#define PAGES_MOST (2 * GB_POOL_PARTITIONS)
 #define PAGE_ROWS_LEAST 4
 /** Bytes of a row before any was read, and those beside its value, which is
  * sent in base64. */
@@ -34,7 +34,7 @@
 	TAILQ_ENTRY(pool_page) next;
 	uint64_t call; /**< that is out for it */
 	enum pool_call_kind kind;
-	uint32_t part;
+	uint32_t partition;
 	uint32_t round; /**< of reading the part */
 	enum gb_pool_table table;
 	char from[GB_KEY_MAX + 1];
@@ -53,7 +53,7 @@
 pool_page_free(struct gb_pool *pool, struct pool_page *page)
 {
 	if (page != NULL && page_of_inbox(page))
-		pool->parts[page->part].inbox_in_flight--;
+		pool->partitions[page->partition].inbox_in_flight--;
 	free(page);
 }
 
@@ -108,7 +108,7 @@
 {
 	struct pool_call *call = pool_call_new(pool, page->kind);
 	struct gb_pool_read read = {
-	    page->part, page->table, page->from, page->to, 0, 0};
+	    page->partition, page->table, page->from, page->to, 0, 0};
 
 	read.limit = page->kind == POOL_CALL_LOAD_WORKERS ? POOL_SET_ROWS
 		     : page->kind == POOL_CALL_INBOX_FLOW
@@ -116,7 +116,7 @@
 			 : page_rows(pool, page->table);
 	if (pages_paced(pool))
 		read.patience = PAGE_PATIENCE;
-	call->part = page->part;
+	call->partition = page->partition;
 	call->round = page->round;
 	page->call = call->id;
 	page->tries++;
@@ -135,7 +135,7 @@
 	    (page = TAILQ_FIRST(&pool->pages)) != NULL &&
 	    (!pages_paced(pool) || pool->pages_in_flight < pages_most(pool))) {
 		TAILQ_REMOVE(&pool->pages, page, next);
-		if (page->round == pool->parts[page->part].round)
+		if (page->round == pool->partitions[page->partition].round)
 			page_send(pool, page);
 		else
 			pool_page_free(pool, page);
@@ -143,19 +143,20 @@
 }
 
 void
-pool_page_add(struct gb_pool *pool, enum pool_call_kind kind, uint32_t part,
-    enum gb_pool_table table, const char *from, const char *to)
+pool_page_add(struct gb_pool *pool, enum pool_call_kind kind,
+    uint32_t partition, enum gb_pool_table table, const char *from,
+    const char *to)
 {
 	struct pool_page *page = gb_calloc(1, sizeof(*page));
 
 	page->kind = kind;
-	page->part = part;
-	page->round = pool->parts[part].round;
+	page->partition = partition;
+	page->round = pool->partitions[partition].round;
 	page->table = table;
 	snprintf(page->from, sizeof(page->from), "%s", from);
 	snprintf(page->to, sizeof(page->to), "%s", to);
 	if (page_of_inbox(page))
-		pool->parts[part].inbox_in_flight++;
+		pool->partitions[partition].inbox_in_flight++;
 	TAILQ_INSERT_TAIL(&pool->pages, page, next);
 }
 
--- a/libgooseberry/pool/pool.c
+++ b/libgooseberry/pool/pool.c
@@ -181,7 +181,7 @@
 	 * which takes a second when the store is slow. */
 	return pool->phase == POOL_OWNER_LOADING ||
 	       (pool->phase == POOL_OWNER_CLAIMING &&
-		   pool->parts[pool->claim_first].attach >=
+		   pool->partitions[pool->claim_first].attach >=
 		       POOL_ATTACH_LOADING);
 }
 
@@ -258,20 +258,20 @@
 /** Whether the part that a flow belongs to has been read, so that this owner
  * knows whether there is such a flow; else its caller is told to come back. */
 static bool
-pool_part_answers(struct gb_pool *pool, uint64_t token, const char *id)
+pool_partition_answers(struct gb_pool *pool, uint64_t token, const char *id)
 {
-	uint32_t part = gb_pool_part(id);
+	uint32_t partition = gb_pool_partition(id);
 
-	if (pool_part_attached(pool, part))
+	if (pool_partition_attached(pool, partition))
 		return true;
-	if (pool_part_coming(pool, part)) {
+	if (pool_partition_coming(pool, partition)) {
 		pool_answer(pool, token, GB_FLOW_NOT_OWNER, 0);
 		return false;
 	}
 	pool->stats.refused++;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "flow_refused",
 	    "{s:s, s:s, s:I}", "flow", id, "why",
-	    "its part of the store is out", "part", (json_int_t)part);
+	    "its part of the store is out", "part", (json_int_t)partition);
 	pool_answer(pool, token, GB_FLOW_REFUSED, GB_SEC);
 	return false;
 }
@@ -330,9 +330,9 @@
 		pool_flow_wait(pool, flow, token, 1, pool_flow_shown(flow));
 		return;
 	}
-	if (!pool_part_answers(pool, token, submit->flow.id))
+	if (!pool_partition_answers(pool, token, submit->flow.id))
 		return;
-	if (pool_writer_unavailable(pool, gb_pool_part(submit->flow.id))) {
+	if (pool_writer_unavailable(pool, gb_pool_partition(submit->flow.id))) {
 		pool->stats.refused++;
 		pool_answer(pool, token, GB_FLOW_CANT_STORE, GB_SEC);
 		return;
@@ -385,7 +385,7 @@
 		return;
 	}
 	if (ask->op != GB_FLOW_OP_PENDING &&
-	    !pool_part_answers(pool, token, ask->id))
+	    !pool_partition_answers(pool, token, ask->id))
 		return;
 	flow = pool_flow_find(pool, ask->id);
 	/* Others are not told that there is such a flow. */
--- a/libgooseberry/pool/preempt.c
+++ b/libgooseberry/pool/preempt.c
@@ -163,7 +163,7 @@
 {
 	const struct pool_approval *ticket;
 
-	if (worker == NULL || !pool_fit_usable(pool, worker, flow->part) ||
+	if (worker == NULL || !pool_fit_usable(pool, worker, flow->partition) ||
 	    !pool_fit_allows(pool, flow, step, worker))
 		return false;
 	if (!tickets || !POOL_ADVICE_NEEDED(flow))
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -96,7 +96,7 @@
 {
 	struct pool_flow *flow;
 
-	if (!pool_part_attached(pool, gb_pool_part(seen->flow))) {
+	if (!pool_partition_attached(pool, gb_pool_partition(seen->flow))) {
 		end->held = gb_calloc(1, sizeof(*end->held));
 		*end->held = *seen;
 		return;
@@ -131,7 +131,7 @@
 }
 
 void
-pool_report_part_attached(struct gb_pool *pool, uint32_t part)
+pool_report_partition_attached(struct gb_pool *pool, uint32_t partition)
 {
 	struct gb_pool_run_report *seen;
 	struct pool_end *end;
@@ -141,7 +141,8 @@
 		STAILQ_FOREACH(end, &pool->workers[i]->ends, next)
 		{
 			seen = end->held;
-			if (seen == NULL || gb_pool_part(seen->flow) != part)
+			if (seen == NULL ||
+			    gb_pool_partition(seen->flow) != partition)
 				continue;
 			end->held = NULL;
 			end_take(pool, pool->workers[i], end, seen);
@@ -298,7 +299,8 @@
 	for (i = 0; i < report->running_count; i++) {
 		const struct gb_pool_run_report *seen = &report->running[i];
 
-		bool here = pool_part_attached(pool, gb_pool_part(seen->flow));
+		bool here = pool_partition_attached(
+		    pool, gb_pool_partition(seen->flow));
 
 		flow = pool_flow_find(pool, seen->flow);
 		run = NULL;
--- a/libgooseberry/pool/reservation.c
+++ b/libgooseberry/pool/reservation.c
@@ -152,7 +152,7 @@
 			? pool_worker_get(pool, step->approved[i].worker)
 			: pool->workers[i];
 
-		if (pool_fit_usable(pool, worker, flow->part) &&
+		if (pool_fit_usable(pool, worker, flow->partition) &&
 		    pool_fit_allows(pool, flow, step, worker))
 			count +=
 			    worker_slots(pool, step, worker, &slots[count]);
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -170,8 +170,8 @@
 	UT_hash_handle hh;
 	TAILQ_ENTRY(pool_flow) dirty_next;
 	TAILQ_ENTRY(pool_flow) open_next;
-	gb_flow spec;  /**< emptied once the flow is over and stored */
-	uint32_t part; /**< of the tables that its rows stand in */
+	gb_flow spec;	    /**< emptied once the flow is over and stored */
+	uint32_t partition; /**< of the tables that its rows stand in */
 	/** Its queue in the configuration in force, or null. */
 	const struct gb_pool_queue *queue;
 	/** Of its queue; as it was last known, once the queue is removed. */
@@ -297,11 +297,11 @@
 
 /* Writer ------------------------------------------------------------------ */
 
-enum pool_part_phase {
-	POOL_PART_IDLE,
-	POOL_PART_WRITING,
-	POOL_PART_SEALING, /**< making sure that a lost write can't land */
-	POOL_PART_WAITING  /**< refused; tries again */
+enum pool_partition_phase {
+	POOL_PARTITION_IDLE,
+	POOL_PARTITION_WRITING,
+	POOL_PARTITION_SEALING, /**< making sure that a lost write can't land */
+	POOL_PARTITION_WAITING	/**< refused; tries again */
 };
 
 /** How far this owner has come with a part. */
@@ -315,7 +315,7 @@
 };
 
 /** Rows of one part, written one transaction at a time. */
-struct pool_part {
+struct pool_partition {
 	enum pool_attach attach;
 	gb_time attach_at;
 	unsigned int attach_failures; /**< tries in a row without success */
@@ -336,7 +336,7 @@
 	uint64_t set_sent;    /**< the one that is being written, 0: none */
 	char set_key[sizeof(GB_POOL_WORKERS_KEY) + 2]; /**< its key */
 	bool urgent; /**< somebody waits for what is to be written */
-	enum pool_part_phase phase;
+	enum pool_partition_phase phase;
 	uint64_t owner_vers; /**< version of the owner's row */
 	uint64_t serial;     /**< of the owner's row */
 	uint64_t call;
@@ -395,7 +395,7 @@
 	POOL_CALL_RUN_START,
 	POOL_CALL_RUN_STOP,
 	POOL_CALL_HEARTBEAT,
-	POOL_CALL_PART,	      /**< transaction of the writer */
+	POOL_CALL_PARTITION,  /**< transaction of the writer */
 	POOL_CALL_PROBE,      /**< a look whether the store answers */
 	POOL_CALL_OWNER_READ, /**< of an owner's row */
 	POOL_CALL_OWNER_TXN,
@@ -412,7 +412,7 @@
 	enum pool_call_kind kind;
 	uint64_t epoch; /**< term in which it was made */
 	gb_time sent;
-	uint32_t part;
+	uint32_t partition;
 	uint32_t round; /**< of reading the part */
 	uint32_t worker;
 	bool first;	      /**< first look at a worker */
@@ -477,7 +477,7 @@
 	struct pool_org *orgs;
 	/** Room in which something may run that this owner does not know of. */
 	struct gb_pool_amount uncertain_use;
-	struct pool_part parts[GB_POOL_PARTS];
+	struct pool_partition partitions[GB_POOL_PARTITIONS];
 	/* Reading what is stored */
 	struct pool_pages pages; /**< that are to be read */
 	struct pool_pages pages_sent;
@@ -548,7 +548,7 @@
 gb_res pool_fit_free(const struct pool_worker *);
 /** Whether a worker may be given new work of a part now. */
 bool pool_fit_usable(
-    const struct gb_pool *, const struct pool_worker *, uint32_t part);
+    const struct gb_pool *, const struct pool_worker *, uint32_t partition);
 /** Whether a worker may run a step, by its service, labels and rack. */
 bool pool_fit_allows(const struct gb_pool *, const struct pool_flow *,
     const struct pool_step *, const struct pool_worker *);
@@ -621,7 +621,7 @@
 void pool_writer_reset(struct gb_pool *);
 bool pool_writer_idle(const struct gb_pool *);
 /** Whether writes of a part do not come through for now. */
-bool pool_writer_unavailable(const struct gb_pool *, uint32_t part);
+bool pool_writer_unavailable(const struct gb_pool *, uint32_t partition);
 bool pool_writer_owner_body(const struct gb_pool *, uint64_t epoch,
     uint64_t serial, bool vacant, gb_body *);
 
@@ -687,7 +687,7 @@
 /** Work out up to which end all that a worker told is stored. */
 void pool_report_ack(struct gb_pool *, struct pool_worker *);
 /** A part has been attached: take in what workers told of its flows. */
-void pool_report_part_attached(struct gb_pool *, uint32_t part);
+void pool_report_partition_attached(struct gb_pool *, uint32_t partition);
 /** Forget the ends that are not stored. */
 void pool_report_clear(struct pool_worker *);
 
@@ -760,13 +760,14 @@
 /** Whether an owner may have sent runs to a worker that may still have them. */
 bool pool_worker_in_use(const struct gb_pool *, const struct pool_worker *);
 /** The next row of a part's set of workers; its key stands in set_key. */
-bool pool_worker_set_body(struct gb_pool *, uint32_t part, gb_body *);
+bool pool_worker_set_body(struct gb_pool *, uint32_t partition, gb_body *);
 /** A row of the set was read under this key: it will be written anew. */
-void pool_worker_set_read(struct gb_pool *, uint32_t part, const char *key);
+void pool_worker_set_read(
+    struct gb_pool *, uint32_t partition, const char *key);
 /** The row that was written last is stored, or not. */
-void pool_worker_set_stored(struct gb_pool *, uint32_t part, bool stored);
+void pool_worker_set_stored(struct gb_pool *, uint32_t partition, bool stored);
 /** A worker of the stored set, of whom nothing else may be known. */
-void pool_worker_recorded(struct gb_pool *, uint32_t part,
+void pool_worker_recorded(struct gb_pool *, uint32_t partition,
     const gb_worker_ref *, int64_t incarnation);
 void pool_workers_reset(struct gb_pool *);
 void pool_workers_free(struct gb_pool *);
@@ -830,9 +831,9 @@
 void pool_owner_txn_done(
     struct gb_pool *, const struct pool_call *, const struct gb_pool_txn_res *);
 /** Whether this owner works on the flows of a part. */
-bool pool_part_attached(const struct gb_pool *, uint32_t part);
+bool pool_partition_attached(const struct gb_pool *, uint32_t partition);
 /** Whether a part is about to be attached, so that waiting is worth it. */
-bool pool_part_coming(const struct gb_pool *, uint32_t part);
+bool pool_partition_coming(const struct gb_pool *, uint32_t partition);
 /** Whether every run of earlier owners is known, of all parts. */
 bool pool_owner_reconciled(const struct gb_pool *);
 
@@ -849,7 +850,7 @@
 
 /* page.c */
 /** Read a page of a part, with from <= key < to, when the link takes it. */
-void pool_page_add(struct gb_pool *, enum pool_call_kind, uint32_t part,
+void pool_page_add(struct gb_pool *, enum pool_call_kind, uint32_t partition,
     enum gb_pool_table, const char *from, const char *to);
 /** Send what the link takes. */
 void pool_pages_next(struct gb_pool *);
@@ -872,13 +873,13 @@
 enum pool_load { POOL_LOAD_GOES_ON, POOL_LOAD_DONE, POOL_LOAD_FAILED };
 
 /** Read what is stored of a part. */
-void pool_load_begin(struct gb_pool *, uint32_t part);
+void pool_load_begin(struct gb_pool *, uint32_t partition);
 enum pool_load pool_load_done(struct gb_pool *, const struct pool_call *,
     const struct gb_pool_read_res *);
 /** Forget the flows of a part that was not read to its end. */
-void pool_load_drop(struct gb_pool *, uint32_t part);
+void pool_load_drop(struct gb_pool *, uint32_t partition);
 /** Look for flows that were stored without the owner. */
-void pool_load_inbox(struct gb_pool *, uint32_t part);
+void pool_load_inbox(struct gb_pool *, uint32_t partition);
 void pool_load_inbox_done(struct gb_pool *, const struct pool_call *,
     const struct gb_pool_read_res *);
 
--- a/libgooseberry/pool/worker_set.c
+++ b/libgooseberry/pool/worker_set.c
@@ -23,8 +23,8 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < GB_POOL_PARTS; i++)
-		pool->parts[i].set_changed |= set_row(worker);
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
+		pool->partitions[i].set_changed |= set_row(worker);
 }
 
 void
@@ -32,9 +32,9 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < GB_POOL_PARTS; i++) {
+	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
 		if ((worker->recorded & (UINT32_C(1) << i)) == 0)
-			pool->parts[i].set_changed |= set_row(worker);
+			pool->partitions[i].set_changed |= set_row(worker);
 	}
 }
 
@@ -55,8 +55,9 @@
 bool
 pool_worker_set_body(struct gb_pool *pool, uint32_t number, gb_body *body)
 {
-	struct pool_part *part = &pool->parts[number];
-	unsigned int row = (unsigned int)__builtin_ctzll(part->set_changed);
+	struct pool_partition *partition = &pool->partitions[number];
+	unsigned int row =
+	    (unsigned int)__builtin_ctzll(partition->set_changed);
 	uint32_t bit = UINT32_C(1) << number;
 	uint32_t first = row * POOL_SET_WORKERS;
 	uint32_t last = first + POOL_SET_WORKERS;
@@ -82,9 +83,9 @@
 		    worker->incarnation;
 		set.list.list_len++;
 	}
-	part->set_sent = UINT64_C(1) << row;
-	part->set_changed &= ~part->set_sent;
-	snprintf(part->set_key, sizeof(part->set_key),
+	partition->set_sent = UINT64_C(1) << row;
+	partition->set_changed &= ~partition->set_sent;
+	snprintf(partition->set_key, sizeof(partition->set_key),
 	    GB_POOL_WORKERS_KEY "%02u", row % POOL_SET_ROWS);
 	ok = gb_xdr_encode((xdrproc_t)xdr_gb_worker_set, &set, body);
 	free(set.list.list_val);
@@ -93,25 +94,26 @@
 }
 
 void
-pool_worker_set_read(struct gb_pool *pool, uint32_t part, const char *key)
+pool_worker_set_read(struct gb_pool *pool, uint32_t partition, const char *key)
 {
 	unsigned long row =
 	    strtoul(key + strlen(GB_POOL_WORKERS_KEY), NULL, 10);
 
-	pool->parts[part].set_changed |= UINT64_C(1) << (row % POOL_SET_ROWS);
+	pool->partitions[partition].set_changed |= UINT64_C(1)
+						   << (row % POOL_SET_ROWS);
 }
 
 void
 pool_worker_set_stored(struct gb_pool *pool, uint32_t number, bool stored)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	uint32_t bit = UINT32_C(1) << number;
-	uint64_t sent = part->set_sent;
+	uint64_t sent = partition->set_sent;
 	uint32_t i;
 
-	part->set_sent = 0;
+	partition->set_sent = 0;
 	if (!stored) {
-		part->set_changed |= sent;
+		partition->set_changed |= sent;
 		return;
 	}
 	for (i = 0; i < pool->worker_count; i++) {
@@ -125,7 +127,7 @@
 }
 
 void
-pool_worker_recorded(struct gb_pool *pool, uint32_t part,
+pool_worker_recorded(struct gb_pool *pool, uint32_t partition,
     const gb_worker_ref *ref, int64_t incarnation)
 {
 	struct pool_worker *worker = pool_worker_find(pool, ref->id);
@@ -136,6 +138,6 @@
 		snprintf(entry.addr, sizeof(entry.addr), "%s", ref->addr);
 		worker = pool_worker_new(pool, &entry);
 	}
-	worker->recorded |= UINT32_C(1) << part;
+	worker->recorded |= UINT32_C(1) << partition;
 	worker->recorded_incarnation = incarnation;
 }
--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -57,21 +57,22 @@
 #define WRITER_RETRY_MOST (150 * GB_MSEC)
 
 uint32_t
-gb_pool_part(const char *flow_id)
+gb_pool_partition(const char *flow_id)
 {
-	return (uint32_t)(gb_hash(flow_id, strlen(flow_id)) % GB_POOL_PARTS);
+	return (
+	    uint32_t)(gb_hash(flow_id, strlen(flow_id)) % GB_POOL_PARTITIONS);
 }
 
 void
 pool_writer_dirty(struct gb_pool *pool, struct pool_flow *flow, bool urgent)
 {
-	struct pool_part *part = &pool->parts[flow->part];
+	struct pool_partition *partition = &pool->partitions[flow->partition];
 
-	part->urgent = part->urgent || urgent;
+	partition->urgent = partition->urgent || urgent;
 	if (flow->dirty)
 		return;
 	flow->dirty = true;
-	TAILQ_INSERT_TAIL(&part->dirty, flow, dirty_next);
+	TAILQ_INSERT_TAIL(&partition->dirty, flow, dirty_next);
 }
 
 bool
@@ -177,15 +178,15 @@
 }
 
 static void
-draft_owner(
-    struct gb_pool *pool, const struct pool_part *part, struct draft *draft)
+draft_owner(struct gb_pool *pool, const struct pool_partition *partition,
+    struct draft *draft)
 {
 	struct gb_pool_row *row =
 	    draft_put(draft, GB_POOL_OWNERS, GB_POOL_OWNER_KEY);
 
-	if (!pool_writer_owner_body(pool, pool->epoch, part->serial + 1,
-		pool->phase == POOL_OWNER_RELEASING && part->renew &&
-		    TAILQ_EMPTY(&part->dirty),
+	if (!pool_writer_owner_body(pool, pool->epoch, partition->serial + 1,
+		pool->phase == POOL_OWNER_RELEASING && partition->renew &&
+		    TAILQ_EMPTY(&partition->dirty),
 		&row->value))
 		abort(); /* names were checked with the settings */
 }
@@ -193,29 +194,29 @@
 static void
 draft_worker_set(struct gb_pool *pool, uint32_t number, struct draft *draft)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	struct gb_pool_row *row;
 
-	if (part->set_changed == 0 || part->set_sent != 0)
+	if (partition->set_changed == 0 || partition->set_sent != 0)
 		return;
-	row = draft_put(draft, GB_POOL_OWNERS, part->set_key);
+	row = draft_put(draft, GB_POOL_OWNERS, partition->set_key);
 	if (!pool_worker_set_body(pool, number, &row->value))
 		abort(); /* names were checked when they were taken in */
 }
 
 static void
-part_send(struct gb_pool *pool, uint32_t number, struct draft *draft,
-    enum pool_part_phase phase)
-{
-	struct pool_part *part = &pool->parts[number];
-	struct pool_call *call = pool_call_new(pool, POOL_CALL_PART);
-
-	call->part = number;
-	part->phase = phase;
-	part->call = call->id;
-	part->sent = pool->now;
-	part->answers = false;
-	draft->txn.part = number;
+partition_send(struct gb_pool *pool, uint32_t number, struct draft *draft,
+    enum pool_partition_phase phase)
+{
+	struct pool_partition *partition = &pool->partitions[number];
+	struct pool_call *call = pool_call_new(pool, POOL_CALL_PARTITION);
+
+	call->partition = number;
+	partition->phase = phase;
+	partition->call = call->id;
+	partition->sent = pool->now;
+	partition->answers = false;
+	draft->txn.partition = number;
 	draft->txn.conds = draft->conds;
 	draft->txn.puts = draft->puts;
 	pool->stats.txns++;
@@ -226,22 +227,24 @@
 
 /** Write the owner's row with this transaction. */
 static void
-part_renew(struct gb_pool *pool, struct pool_part *part, struct draft *draft)
+partition_renew(
+    struct gb_pool *pool, struct pool_partition *partition, struct draft *draft)
 {
-	draft_owner(pool, part, draft);
-	part->renew_sent = true;
-	part->renewed = pool->now;
+	draft_owner(pool, partition, draft);
+	partition->renew_sent = true;
+	partition->renewed = pool->now;
 }
 
 static void
-part_seal(struct gb_pool *pool, uint32_t number)
+partition_seal(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	struct draft draft = {0};
 
-	draft_cond(&draft, GB_POOL_OWNERS, GB_POOL_OWNER_KEY, part->owner_vers);
-	part_renew(pool, part, &draft);
-	part_send(pool, number, &draft, POOL_PART_SEALING);
+	draft_cond(
+	    &draft, GB_POOL_OWNERS, GB_POOL_OWNER_KEY, partition->owner_vers);
+	partition_renew(pool, partition, &draft);
+	partition_send(pool, number, &draft, POOL_PARTITION_SEALING);
 }
 
 static bool
@@ -273,82 +276,85 @@
 
 /** Add a flow to the transaction that is being put together. */
 static void
-part_take(struct pool_part *part, struct pool_flow *flow, struct draft *draft)
+partition_take(struct pool_partition *partition, struct pool_flow *flow,
+    struct draft *draft)
 {
-	TAILQ_REMOVE(&part->dirty, flow, dirty_next);
+	TAILQ_REMOVE(&partition->dirty, flow, dirty_next);
 	flow->dirty = false;
 	flow->sending = flow->change;
 	flow->removing = false;
 	draft_flow(draft, flow);
-	part->sent_flows[part->sent_count++] = flow;
+	partition->sent_flows[partition->sent_count++] = flow;
 }
 
 /** Whether a write takes the owner's row with it that it need not take. */
 static bool
-part_renews(const struct gb_pool *pool, uint32_t number)
+partition_renews(const struct gb_pool *pool, uint32_t number)
 {
-	return number < GB_POOL_PARTS_SHOWN &&
-	       pool->now - pool->parts[number].renewed > WRITER_RENEW_WITH;
+	return number < GB_POOL_PARTITIONS_RENEWED &&
+	       pool->now - pool->partitions[number].renewed > WRITER_RENEW_WITH;
 }
 
 static void
-part_write(struct gb_pool *pool, uint32_t number)
+partition_write(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	struct draft draft = {0};
 	struct pool_flow *flow;
 	struct pool_flow *next;
 	unsigned int turn;
 
-	draft_cond(&draft, GB_POOL_OWNERS, GB_POOL_OWNER_KEY, part->owner_vers);
-	part->sent_flows =
+	draft_cond(
+	    &draft, GB_POOL_OWNERS, GB_POOL_OWNER_KEY, partition->owner_vers);
+	partition->sent_flows =
 	    gb_calloc(WRITER_ENTRIES_MOST, sizeof(struct pool_flow *));
-	part->sent_count = 0;
-	part->urgent = false;
+	partition->sent_count = 0;
+	partition->urgent = false;
 	for (turn = 0; turn < WRITE_TURNS; turn++) {
-		for (flow = TAILQ_FIRST(&part->dirty);
+		for (flow = TAILQ_FIRST(&partition->dirty);
 		     flow != NULL && !draft_full(&draft); flow = next) {
 			next = TAILQ_NEXT(flow, dirty_next);
 			if (write_turn(flow) == turn)
-				part_take(part, flow, &draft);
+				partition_take(partition, flow, &draft);
 		}
 	}
-	part->renew_sent = false;
-	if (part->renew || part_renews(pool, number))
-		part_renew(pool, part, &draft);
+	partition->renew_sent = false;
+	if (partition->renew || partition_renews(pool, number))
+		partition_renew(pool, partition, &draft);
 	draft_worker_set(pool, number, &draft);
-	part_send(pool, number, &draft, POOL_PART_WRITING);
+	partition_send(pool, number, &draft, POOL_PARTITION_WRITING);
 }
 
 bool
 pool_writer_unavailable(const struct gb_pool *pool, uint32_t number)
 {
-	const struct pool_part *part = &pool->parts[number];
+	const struct pool_partition *partition = &pool->partitions[number];
 
-	return part->refused >= WRITER_UNAVAILABLE_REFUSED ||
-	       part->lost >= WRITER_UNAVAILABLE_LOST || part->silent ||
-	       part->attach != POOL_ATTACH_DONE;
+	return partition->refused >= WRITER_UNAVAILABLE_REFUSED ||
+	       partition->lost >= WRITER_UNAVAILABLE_LOST ||
+	       partition->silent || partition->attach != POOL_ATTACH_DONE;
 }
 
 /** Ask whether the store answers at all, once an answer is overdue. */
 static void
-part_probe(struct gb_pool *pool, uint32_t number)
+partition_probe(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	/* Given up any earlier, a slow store would pass for one that is out. */
 	const struct gb_pool_read read = {number, GB_POOL_OWNERS,
 	    GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, WRITER_PROBE_SILENT};
 	struct pool_call *call;
 
-	if (part->probe != 0 && pool->now - part->probed > WRITER_PROBE_SILENT)
-		part->silent = true;
-	if (part->call == 0 || part->probe != 0 || part->answers ||
-	    pool->now - part->sent < WRITER_OVERDUE)
+	if (partition->probe != 0 &&
+	    pool->now - partition->probed > WRITER_PROBE_SILENT)
+		partition->silent = true;
+	if (partition->call == 0 || partition->probe != 0 ||
+	    partition->answers || pool->now - partition->sent < WRITER_OVERDUE)
 		return;
 	call = pool_call_new(pool, POOL_CALL_PROBE);
-	call->part = number;
-	part->probe = call->id;
-	part->probed = pool->now;
+	call->partition = number;
+	partition->probe = call->id;
+	partition->probed = pool->now;
 	pool->stats.reads++;
 	pool->ops.read(pool->ops.data, call->id, &read);
 }
@@ -358,13 +364,13 @@
  * that was lost may have landed, so that they can't be told to come back, and
  * outages are often shorter than their patience. */
 static void
-part_out(struct gb_pool *pool, uint32_t number)
+partition_out(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	struct pool_flow *flow;
 	struct pool_flow *next;
 
-	for (flow = TAILQ_FIRST(&part->dirty); flow != NULL; flow = next) {
+	for (flow = TAILQ_FIRST(&partition->dirty); flow != NULL; flow = next) {
 		next = TAILQ_NEXT(flow, dirty_next);
 		if (flow->stored == 0 && flow->sending == 0)
 			pool_flow_reject(pool, flow, WRITER_COME_BACK);
@@ -373,47 +379,49 @@
 
 /** Who asks for the state of a flow waits no longer for its last change. */
 static void
-part_ask_ends(struct gb_pool *pool, struct pool_part *part)
+partition_ask_ends(struct gb_pool *pool, struct pool_partition *partition)
 {
 	struct pool_flow *flow;
 	size_t i;
 
-	TAILQ_FOREACH(flow, &part->dirty, dirty_next)
+	TAILQ_FOREACH(flow, &partition->dirty, dirty_next)
 	{
 		pool_flow_ask_ends(pool, flow);
 	}
-	for (i = 0; i < part->sent_count; i++)
-		pool_flow_ask_ends(pool, part->sent_flows[i]);
+	for (i = 0; i < partition->sent_count; i++)
+		pool_flow_ask_ends(pool, partition->sent_flows[i]);
 }
 
 static void
-part_tick(struct gb_pool *pool, uint32_t number)
+partition_tick(struct gb_pool *pool, uint32_t number)
 {
-	struct pool_part *part = &pool->parts[number];
+	struct pool_partition *partition = &pool->partitions[number];
 	/* Workers are listed one by one at a cold start: the set, 40 bytes for
 	 * each, is written for several of them. */
-	bool urgent = part->urgent || pool->phase == POOL_OWNER_RELEASING;
+	bool urgent = partition->urgent || pool->phase == POOL_OWNER_RELEASING;
 
-	if (part->attach != POOL_ATTACH_DONE)
+	if (partition->attach != POOL_ATTACH_DONE)
 		return;
-	part_probe(pool, number);
+	partition_probe(pool, number);
 	if (pool_writer_unavailable(pool, number))
-		part_out(pool, number);
+		partition_out(pool, number);
 	if (pool_writer_unavailable(pool, number) ||
-	    (part->call != 0 && pool->now - part->sent > WRITER_ASK_MOST))
-		part_ask_ends(pool, part);
-	if (part->phase == POOL_PART_WAITING && part->retry_at <= pool->now)
-		part->phase = POOL_PART_IDLE;
-	if (part->phase != POOL_PART_IDLE ||
+	    (partition->call != 0 &&
+		pool->now - partition->sent > WRITER_ASK_MOST))
+		partition_ask_ends(pool, partition);
+	if (partition->phase == POOL_PARTITION_WAITING &&
+	    partition->retry_at <= pool->now)
+		partition->phase = POOL_PARTITION_IDLE;
+	if (partition->phase != POOL_PARTITION_IDLE ||
 	    (POOL_USES(pool, GB_FEATURE_WRITE_BATCHING) &&
-		pool->now - part->sent <
+		pool->now - partition->sent <
 		    (urgent ? WRITER_GAP : WRITER_GAP_LONG)))
 		return;
-	if (part->seal)
-		part_seal(pool, number);
-	else if (part->renew || !TAILQ_EMPTY(&part->dirty) ||
-		 part->set_changed != 0)
-		part_write(pool, number);
+	if (partition->seal)
+		partition_seal(pool, number);
+	else if (partition->renew || !TAILQ_EMPTY(&partition->dirty) ||
+		 partition->set_changed != 0)
+		partition_write(pool, number);
 }
 
 void
@@ -421,51 +429,52 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < GB_POOL_PARTS; i++)
-		part_tick(pool, i);
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
+		partition_tick(pool, i);
 }
 
 /** The flows of a write go back among those that wait for the next.  A flow
  * whose first write surely was not carried out is as good as never sent. */
 static void
-part_requeue(struct gb_pool *pool, struct pool_part *part, bool not_done)
+partition_requeue(
+    struct gb_pool *pool, struct pool_partition *partition, bool not_done)
 {
 	struct pool_flow *flow;
 	size_t i;
 
-	for (i = 0; i < part->sent_count; i++) {
-		flow = part->sent_flows[i];
+	for (i = 0; i < partition->sent_count; i++) {
+		flow = partition->sent_flows[i];
 		if (!not_done)
 			flow->write_lost = true;
 		else if (flow->stored == 0 && !flow->write_lost)
 			flow->sending = 0;
 		pool_writer_dirty(pool, flow, true);
 	}
-	part->sent_count = 0;
+	partition->sent_count = 0;
 }
 
 static void
-part_pause(struct gb_pool *pool, struct pool_part *part)
+partition_pause(struct gb_pool *pool, struct pool_partition *partition)
 {
 	gb_time pause = WRITER_RETRY_BASE
-			<< (part->tries < 4 ? part->tries : 4);
+			<< (partition->tries < 4 ? partition->tries : 4);
 
 	if (pause > WRITER_RETRY_MOST)
 		pause = WRITER_RETRY_MOST;
-	part->tries++;
-	part->phase = POOL_PART_WAITING;
-	part->retry_at = pool->now + pause;
+	partition->tries++;
+	partition->phase = POOL_PARTITION_WAITING;
+	partition->retry_at = pool->now + pause;
 }
 
 static void
-part_stored(struct gb_pool *pool, struct pool_part *part)
+partition_stored(struct gb_pool *pool, struct pool_partition *partition)
 {
-	struct pool_flow **flows = part->sent_flows;
-	size_t count = part->sent_count;
+	struct pool_flow **flows = partition->sent_flows;
+	size_t count = partition->sent_count;
 	size_t i;
 
-	part->sent_flows = NULL;
-	part->sent_count = 0;
+	partition->sent_flows = NULL;
+	partition->sent_count = 0;
 	for (i = 0; i < count; i++) {
 		flows[i]->created = true;
 		flows[i]->owned = true;
@@ -478,8 +487,8 @@
 
 /** Whether a row of the owner is this process's; takes in its version. */
 static bool
-part_owner_row(
-    struct gb_pool *pool, struct pool_part *part, const struct gb_pool_row *row)
+partition_owner_row(struct gb_pool *pool, struct pool_partition *partition,
+    const struct gb_pool_row *row)
 {
 	struct gb_owner_record owner = {0};
 	bool mine;
@@ -491,10 +500,10 @@
 	mine = owner.row.epoch == pool->epoch &&
 	       owner.row.incarnation == pool->cfg.incarnation;
 	if (mine) {
-		if (row->vers != part->owner_vers)
-			part->seal = false;
-		part->owner_vers = row->vers;
-		part->serial = owner.row.serial;
+		if (row->vers != partition->owner_vers)
+			partition->seal = false;
+		partition->owner_vers = row->vers;
+		partition->serial = owner.row.serial;
 	}
 	pool_rival_seen(pool, &owner.row);
 	gb_owner_record_clear(&owner);
@@ -505,110 +514,110 @@
 }
 
 static void
-part_conflict(struct gb_pool *pool, struct pool_part *part,
+partition_conflict(struct gb_pool *pool, struct pool_partition *partition,
     const struct gb_pool_txn_res *res)
 {
 	size_t i;
 
 	pool->stats.txn_conflicts++;
 	for (i = 0; i < res->row_count; i++) {
-		if (!part_owner_row(pool, part, &res->rows[i]))
+		if (!partition_owner_row(pool, partition, &res->rows[i]))
 			return;
 	}
-	part_requeue(pool, part, true);
-	part->phase = POOL_PART_IDLE;
+	partition_requeue(pool, partition, true);
+	partition->phase = POOL_PARTITION_IDLE;
 }
 
 static void
-part_lost(struct gb_pool *pool, struct pool_part *part)
+partition_lost(struct gb_pool *pool, struct pool_partition *partition)
 {
 	pool->stats.txn_lost++;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "store_answer_lost",
-	    "{s:I, s:I}", "flows", (json_int_t)part->sent_count, "age_ms",
-	    (json_int_t)((pool->now - part->sent) / GB_MSEC));
-	part->seal = true;
-	part_requeue(pool, part, false);
-	part_pause(pool, part);
+	    "{s:I, s:I}", "flows", (json_int_t)partition->sent_count, "age_ms",
+	    (json_int_t)((pool->now - partition->sent) / GB_MSEC));
+	partition->seal = true;
+	partition_requeue(pool, partition, false);
+	partition_pause(pool, partition);
 }
 
 void
 pool_writer_probed(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
-	struct pool_part *part = &pool->parts[call->part];
+	struct pool_partition *partition = &pool->partitions[call->partition];
 
-	if (part->probe != call->id)
+	if (partition->probe != call->id)
 		return;
-	part->probe = 0;
+	partition->probe = 0;
 	if (res->status != GB_STORE_OK) {
-		part->silent = true;
+		partition->silent = true;
 		return;
 	}
-	part->silent = false;
-	part->answers = true;
-	part->refused = 0;
-	part->lost = 0;
-	if (part->call == 0 || part->sent > call->sent ||
+	partition->silent = false;
+	partition->answers = true;
+	partition->refused = 0;
+	partition->lost = 0;
+	if (partition->call == 0 || partition->sent > call->sent ||
 	    pool->now - call->sent > WRITER_PROBE_QUICK)
 		return;
 	/* The store is quick, and this answer has not come. */
-	part->call = 0;
-	if (part->set_sent)
-		pool_worker_set_stored(pool, call->part, false);
-	part_lost(pool, part);
-	free(part->sent_flows);
-	part->sent_flows = NULL;
+	partition->call = 0;
+	if (partition->set_sent)
+		pool_worker_set_stored(pool, call->partition, false);
+	partition_lost(pool, partition);
+	free(partition->sent_flows);
+	partition->sent_flows = NULL;
 }
 
 void
 pool_writer_done(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_txn_res *res)
 {
-	struct pool_part *part = &pool->parts[call->part];
+	struct pool_partition *partition = &pool->partitions[call->partition];
 
-	if (part->call != call->id)
+	if (partition->call != call->id)
 		return;
-	part->call = 0;
+	partition->call = 0;
 	gb_histogram_add(&pool->stats.txn_us, pool->now - call->sent);
-	if (part->set_sent && res->status != GB_STORE_OK)
-		pool_worker_set_stored(pool, call->part, false);
+	if (partition->set_sent && res->status != GB_STORE_OK)
+		pool_worker_set_stored(pool, call->partition, false);
 	switch (res->status) {
 	case GB_STORE_OK:
 		pool->confirmed = call->sent;
-		if (part->set_sent)
-			pool_worker_set_stored(pool, call->part, true);
-		part->phase = POOL_PART_IDLE;
-		part->tries = 0;
-		part->refused = 0;
-		part->lost = 0;
-		part->silent = false;
-		part->seal = false;
-		if (part->renew_sent) {
-			part->owner_vers = res->vers;
-			part->serial++;
-			part->renew = false;
+		if (partition->set_sent)
+			pool_worker_set_stored(pool, call->partition, true);
+		partition->phase = POOL_PARTITION_IDLE;
+		partition->tries = 0;
+		partition->refused = 0;
+		partition->lost = 0;
+		partition->silent = false;
+		partition->seal = false;
+		if (partition->renew_sent) {
+			partition->owner_vers = res->vers;
+			partition->serial++;
+			partition->renew = false;
 		}
-		part_stored(pool, part);
+		partition_stored(pool, partition);
 		break;
 	case GB_STORE_CONFLICT:
 		pool->confirmed = call->sent;
-		part->lost = 0;
-		part->silent = false;
-		part_conflict(pool, part, res);
+		partition->lost = 0;
+		partition->silent = false;
+		partition_conflict(pool, partition, res);
 		break;
 	case GB_STORE_REFUSED:
-		part->refused++;
-		part->lost = 0;
-		part_requeue(pool, part, true);
-		part_pause(pool, part);
+		partition->refused++;
+		partition->lost = 0;
+		partition_requeue(pool, partition, true);
+		partition_pause(pool, partition);
 		break;
 	default:
-		part->lost++;
-		part_lost(pool, part);
+		partition->lost++;
+		partition_lost(pool, partition);
 		break;
 	}
-	free(part->sent_flows);
-	part->sent_flows = NULL;
+	free(partition->sent_flows);
+	partition->sent_flows = NULL;
 }
 
 bool
@@ -616,12 +625,12 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < GB_POOL_PARTS; i++) {
+	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
 		if (pool_writer_unavailable(pool, i))
 			continue;
-		if (pool->parts[i].phase != POOL_PART_IDLE ||
-		    pool->parts[i].renew || pool->parts[i].seal ||
-		    !TAILQ_EMPTY(&pool->parts[i].dirty))
+		if (pool->partitions[i].phase != POOL_PARTITION_IDLE ||
+		    pool->partitions[i].renew || pool->partitions[i].seal ||
+		    !TAILQ_EMPTY(&pool->partitions[i].dirty))
 			return false;
 	}
 	return true;
@@ -632,11 +641,11 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < GB_POOL_PARTS; i++) {
-		struct pool_part *part = &pool->parts[i];
+	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
+		struct pool_partition *partition = &pool->partitions[i];
 
-		free(part->sent_flows);
-		memset(part, 0, sizeof(*part));
-		TAILQ_INIT(&part->dirty);
+		free(partition->sent_flows);
+		memset(partition, 0, sizeof(*partition));
+		TAILQ_INIT(&partition->dirty);
 	}
 }
--- a/standin/emulator.c
+++ b/standin/emulator.c
@@ -159,7 +159,7 @@
 	emu->faults.store = strcmp(mode, "busy") == 0	  ? EMU_STORE_BUSY
 			    : strcmp(mode, "silent") == 0 ? EMU_STORE_SILENT
 							  : EMU_STORE_SERVES;
-	emu->faults.store_parts = query_number(call, "parts");
+	emu->faults.store_partitions = query_number(call, "parts");
 	emu->faults.store_slow_ms = query_number(call, "slow_ms");
 	emu->faults.store_lost = query_number(call, "lost");
 	emu->faults.store_late = query_number(call, "late");
--- a/standin/emulator.h
+++ b/standin/emulator.h
@@ -22,9 +22,9 @@
 /** Faults in force. */
 struct emu_faults {
 	enum emu_store_mode store;
-	unsigned int store_parts;   /**< parts that are out, as bits */
-	unsigned int store_slow_ms; /**< added to each answer */
-	unsigned int store_lost;    /**< percent of writes: done, no answer */
+	unsigned int store_partitions; /**< parts that are out, as bits */
+	unsigned int store_slow_ms;    /**< added to each answer */
+	unsigned int store_lost;  /**< percent of writes: done, no answer */
 	unsigned int store_late;  /**< percent of writes: done 1 to 6 s later */
 	unsigned int orders_lost; /**< percent of orders: done, no answer */
 	unsigned int orders_late; /**< percent: done 2 to 6 s later */
--- a/standin/emulator_store.c
+++ b/standin/emulator_store.c
@@ -178,23 +178,25 @@
 /* Rows of the system ------------------------------------------------------ */
 
 static json_t *
-row_json(const struct gb_pool_row *row, const char *part)
+row_json(const struct gb_pool_row *row, const char *partition)
 {
 	return json_pack("{s:s, s:s, s:s, s:I, s:o}", "Table",
-	    plat_table_name(row->table), "part", part, "Key", row->key, "Ver",
-	    (json_int_t)row->vers, "Value", plat_value_encode(&row->value));
+	    plat_table_name(row->table), "part", partition, "Key", row->key,
+	    "Ver", (json_int_t)row->vers, "Value",
+	    plat_value_encode(&row->value));
 }
 
 static uint32_t
-part_number(const char *part)
+partition_number(const char *partition)
 {
-	return part[0] == 'p' ? (uint32_t)strtoul(part + 1, NULL, 10) : 0;
+	return partition[0] == 'p' ? (uint32_t)strtoul(partition + 1, NULL, 10)
+				   : 0;
 }
 
 static bool
-part_is_unavailable(const struct emulator *emu, uint32_t part)
+partition_is_unavailable(const struct emulator *emu, uint32_t partition)
 {
-	return (emu->faults.store_parts >> part & 1) != 0;
+	return (emu->faults.store_partitions >> partition & 1) != 0;
 }
 
 static void
@@ -203,7 +205,7 @@
 	char table[GB_NAME_MAX + 1];
 	char from[GB_KEY_MAX + 1];
 	char to[GB_KEY_MAX + 1];
-	char part[32];
+	char partition[32];
 	char limit[32];
 	struct gb_pool_read read = {0};
 	struct gb_pool_read_res res;
@@ -211,7 +213,7 @@
 	size_t i;
 
 	emu_query(call, "Table", table, sizeof(table));
-	emu_query(call, "part", part, sizeof(part));
+	emu_query(call, "part", partition, sizeof(partition));
 	read.table = plat_table_number(table);
 	if (read.table == GB_POOL_TABLES) {
 		emu_answer_later(emu, call, 200,
@@ -222,8 +224,8 @@
 	emu_query(call, "From", from, sizeof(from));
 	emu_query(call, "To", to, sizeof(to));
 	emu_query(call, "Limit", limit, sizeof(limit));
-	read.part = part_number(part);
-	if (part_is_unavailable(emu, read.part)) {
+	read.partition = partition_number(partition);
+	if (partition_is_unavailable(emu, read.partition)) {
 		emu_answer(call, 503, json_object());
 		return;
 	}
@@ -233,7 +235,7 @@
 	world_read(emu->world, &read, &res);
 	rows = json_array();
 	for (i = 0; i < res.row_count; i++)
-		json_array_append_new(rows, row_json(&res.rows[i], part));
+		json_array_append_new(rows, row_json(&res.rows[i], partition));
 	emu_answer_later(emu, call, 200, rows_message(emu, rows, res.more),
 	    emu->faults.store_slow_ms);
 	world_read_free(&res);
@@ -241,7 +243,7 @@
 
 /** Rows of a part of a transaction; freed with txn_rows_free. */
 static struct gb_pool_row *
-txn_rows(const json_t *list, bool remove, size_t *count, uint32_t *part)
+txn_rows(const json_t *list, bool remove, size_t *count, uint32_t *partition)
 {
 	struct gb_pool_row *rows =
 	    gb_calloc(json_array_size(list), sizeof(*rows));
@@ -256,7 +258,7 @@
 		rows[i].key = plat_json_string(from, "Key");
 		rows[i].vers = (uint64_t)plat_json_int(from, "Ver");
 		rows[i].remove = remove;
-		*part = part_number(plat_json_string(from, "part"));
+		*partition = partition_number(plat_json_string(from, "part"));
 		plat_value_decode(
 		    plat_json_string(from, "Value"), &rows[i].value);
 	}
@@ -285,11 +287,11 @@
 	size_t i;
 
 	txn.conds = txn_rows(json_object_get(root, "ExpectedRev"), false,
-	    &txn.cond_count, &txn.part);
-	txn.puts = txn_rows(
-	    json_object_get(root, "Put"), false, &txn.put_count, &txn.part);
-	removes = txn_rows(
-	    json_object_get(root, "Remove"), true, &remove_count, &txn.part);
+	    &txn.cond_count, &txn.partition);
+	txn.puts = txn_rows(json_object_get(root, "Put"), false, &txn.put_count,
+	    &txn.partition);
+	removes = txn_rows(json_object_get(root, "Remove"), true, &remove_count,
+	    &txn.partition);
 	txn.puts = gb_realloc(
 	    txn.puts, (txn.put_count + remove_count + 1) * sizeof(*txn.puts));
 	for (i = 0; i < remove_count; i++)
@@ -322,14 +324,14 @@
 
 /** The part that a transaction is about: all its rows stand in it. */
 static uint32_t
-txn_part(const json_t *root)
+txn_partition(const json_t *root)
 {
 	const json_t *conds = json_object_get(root, "ExpectedRev");
 	const json_t *first = json_array_get(conds, 0);
 
 	if (first == NULL)
 		first = json_array_get(json_object_get(root, "Put"), 0);
-	return part_number(plat_json_string(first, "part"));
+	return partition_number(plat_json_string(first, "part"));
 }
 
 static void
@@ -343,7 +345,7 @@
 		emu_answer(call, 400, json_object());
 		return;
 	}
-	if (part_is_unavailable(emu, txn_part(root))) {
+	if (partition_is_unavailable(emu, txn_partition(root))) {
 		json_decref(root);
 		emu_answer(call, 503, json_object());
 		return;
--- a/standin/world_rows.c
+++ b/standin/world_rows.c
@@ -9,21 +9,21 @@
 #include "world_state.h"
 
 static void
-row_name(char *out, size_t size, uint32_t part, enum gb_pool_table table,
+row_name(char *out, size_t size, uint32_t partition, enum gb_pool_table table,
     const char *key)
 {
 	memset(out, 0, size);
-	snprintf(out, size, "%u/%d/%.200s", part, (int)table, key);
+	snprintf(out, size, "%u/%d/%.200s", partition, (int)table, key);
 }
 
 static struct world_row *
-row_find(struct world *world, uint32_t part, enum gb_pool_table table,
+row_find(struct world *world, uint32_t partition, enum gb_pool_table table,
     const char *key)
 {
 	char name[GB_KEY_MAX + 1];
 	struct world_row *row;
 
-	row_name(name, sizeof(name), part, table, key);
+	row_name(name, sizeof(name), partition, table, key);
 	HASH_FIND_STR(world->by_name, name, row);
 	return row;
 }
@@ -75,9 +75,10 @@
 }
 
 static void
-row_put(struct world *world, uint32_t part, const struct gb_pool_row *put)
+row_put(struct world *world, uint32_t partition, const struct gb_pool_row *put)
 {
-	struct world_row *row = row_find(world, part, put->table, put->key);
+	struct world_row *row =
+	    row_find(world, partition, put->table, put->key);
 
 	if (put->remove) {
 		if (row != NULL)
@@ -86,9 +87,9 @@
 	}
 	if (row == NULL) {
 		row = gb_calloc(1, sizeof(*row));
-		row_name(
-		    row->name, sizeof(row->name), part, put->table, put->key);
-		row->part = part;
+		row_name(row->name, sizeof(row->name), partition, put->table,
+		    put->key);
+		row->partition = partition;
 		row->table = put->table;
 		row->key = gb_strdup(put->key);
 		row_insert(world, row);
@@ -130,8 +131,8 @@
 	res->status = GB_STORE_OK;
 	res->rows = gb_calloc(txn->cond_count, sizeof(*res->rows));
 	for (i = 0; i < txn->cond_count; i++) {
-		row = row_find(
-		    world, txn->part, txn->conds[i].table, txn->conds[i].key);
+		row = row_find(world, txn->partition, txn->conds[i].table,
+		    txn->conds[i].key);
 		if ((row == NULL ? 0 : row->vers) != txn->conds[i].vers)
 			res->status = GB_STORE_CONFLICT;
 		if (row != NULL)
@@ -141,7 +142,7 @@
 		return;
 	world->vers++;
 	for (i = 0; i < txn->put_count; i++)
-		row_put(world, txn->part, &txn->puts[i]);
+		row_put(world, txn->partition, &txn->puts[i]);
 	res->vers = world->vers;
 }
 
@@ -162,7 +163,8 @@
 	res->rows = gb_calloc(read->limit, sizeof(*res->rows));
 	TAILQ_FOREACH(row, &world->rows, next)
 	{
-		if (row->part != read->part || row->table != read->table ||
+		if (row->partition != read->partition ||
+		    row->table != read->table ||
 		    strcmp(row->key, read->from) < 0 ||
 		    (read->to[0] != '\0' && strcmp(row->key, read->to) >= 0))
 			continue;
--- a/standin/world_state.h
+++ b/standin/world_state.h
@@ -108,7 +108,7 @@
 	TAILQ_ENTRY(world_row) next;
 	UT_hash_handle hh;
 	char name[GB_KEY_MAX + 1]; /**< part, table and key */
-	uint32_t part;
+	uint32_t partition;
 	enum gb_pool_table table;
 	char *key;
 	uint64_t vers;
--- a/tests/cells.c
+++ b/tests/cells.c
@@ -605,13 +605,15 @@
 
 /** Logs of the cores, when a run is looked into. */
 static void
-log_line(void *data, enum gb_level level, const char *part, const char *text)
+log_line(
+    void *data, enum gb_level level, const char *partition, const char *text)
 {
 	const struct core_node *node = data;
 
 	(void)level;
 	fprintf(stderr, "%8" PRId64 " core %" PRIx64 " %s: %s\n",
-	    node->cells->now / GB_MSEC, node->incarnation & 0xffff, part, text);
+	    node->cells->now / GB_MSEC, node->incarnation & 0xffff, partition,
+	    text);
 }
 
 static void
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -278,13 +278,13 @@
 
 /** The store takes the writes of a part one after another. */
 static gb_time
-part_wait(struct pool_cell *cell, uint32_t part)
+partition_wait(struct pool_cell *cell, uint32_t partition)
 {
-	gb_time wait = cell->part_free[part] - cell->now;
+	gb_time wait = cell->partition_free[partition] - cell->now;
 
 	if (wait < 0)
 		wait = 0;
-	cell->part_free[part] =
+	cell->partition_free[partition] =
 	    cell->now + wait + CELL_TXN + 2 * cell->faults.store_slow;
 	return wait;
 }
@@ -295,7 +295,7 @@
 	const struct cell_node *from = data;
 	struct pool_cell *cell = from->cell;
 	gb_time wait = link_wait(from, GB_TRAFFIC_STORE_WRITE, txn_bytes(txn)) +
-		       part_wait(cell, txn->part);
+		       partition_wait(cell, txn->partition);
 	bool late = chance(cell, cell->faults.txn_late);
 	bool lost = late || chance(cell, cell->faults.txn_lost);
 	struct pool_event *event = event_add(from, EVENT_TXN, lost ? 0 : call,
@@ -334,8 +334,9 @@
 op_read(void *data, uint64_t call, const struct gb_pool_read *read)
 {
 	const struct cell_node *from = data;
-	bool fails = read->table == GB_POOL_OWNERS && read->limit > 1 &&
-		     (from->cell->faults.set_reads_fail >> read->part & 1) != 0;
+	bool fails =
+	    read->table == GB_POOL_OWNERS && read->limit > 1 &&
+	    (from->cell->faults.set_reads_fail >> read->partition & 1) != 0;
 	gb_time wait = link_wait(from, GB_TRAFFIC_STORE_READ, CELL_HEAD);
 	gb_time takes =
 	    CELL_TXN + from->cell->faults.store_slow + answer_wait(from, read);
@@ -562,10 +563,10 @@
 }
 
 static bool
-part_is_unavailable(const struct pool_cell *cell, uint32_t part)
+partition_is_unavailable(const struct pool_cell *cell, uint32_t partition)
 {
 	return cell->faults.store_down ||
-	       (cell->faults.parts_down >> part & 1) != 0;
+	       (cell->faults.partitions_down >> partition & 1) != 0;
 }
 
 static void
@@ -576,7 +577,7 @@
 
 	if (cell->faults.store_resets)
 		res.status = GB_STORE_UNKNOWN;
-	else if (part_is_unavailable(cell, event->txn.part))
+	else if (partition_is_unavailable(cell, event->txn.partition))
 		res.status = GB_STORE_REFUSED;
 	else
 		world_txn(cell->world, &event->txn, &res);
@@ -595,7 +596,8 @@
 		return;
 	if (cell->faults.store_resets || event->given_up)
 		res.status = GB_STORE_UNKNOWN;
-	else if (event->fails || part_is_unavailable(cell, event->read.part))
+	else if (event->fails ||
+		 partition_is_unavailable(cell, event->read.partition))
 		res.status = GB_STORE_REFUSED;
 	else
 		world_read(cell->world, &event->read, &res);
--- a/tests/pool_cell.h
+++ b/tests/pool_cell.h
@@ -31,7 +31,8 @@
 	bool store_down;
 	bool store_resets;  /**< calls are not carried out, without an answer */
 	gb_time store_slow; /**< added to each read, and twice to each write */
-	uint32_t parts_down; /**< parts of the tables that are out, as bits */
+	uint32_t
+	    partitions_down; /**< parts of the tables that are out, as bits */
 	/** Parts whose set of workers is read for 0.4 s, and then not. */
 	uint32_t set_reads_fail;
 };
@@ -81,7 +82,8 @@
 	char org[GB_NAME_MAX + 1]; /**< of the flows that are submitted next */
 	struct gb_pool_org orgs[CELL_ORGS];
 	size_t org_count;
-	gb_time part_free[GB_POOL_PARTS]; /**< when its writes are over */
+	gb_time
+	    partition_free[GB_POOL_PARTITIONS]; /**< when its writes are over */
 	/** Connections to workers end with each call, and nodes tick rarely. */
 	bool closes;
 	/** Processes of workers that nodes have connections to, by number. */
--- a/tests/pool_random.c
+++ b/tests/pool_random.c
@@ -100,10 +100,10 @@
 		cell->faults.heartbeat_lost = n % 5 * 5;
 		break;
 	case 11:
-		cell->faults.parts_down =
-		    (uint32_t)(n / 64 % (1U << GB_POOL_PARTS));
+		cell->faults.partitions_down =
+		    (uint32_t)(n / 64 % (1U << GB_POOL_PARTITIONS));
 		cell->faults.set_reads_fail =
-		    (uint32_t)(n / 4096 % (1U << GB_POOL_PARTS));
+		    (uint32_t)(n / 4096 % (1U << GB_POOL_PARTITIONS));
 		break;
 	default:
 		if (cell->flow_count > 0)
--- a/tests/test_contention.c
+++ b/tests/test_contention.c
@@ -157,20 +157,20 @@
 	static const struct pool_cell_setup setup = {
 	    .seed = 5, .workers = 8, .capacity = {16000, 64000, 0}};
 	struct pool_cell *cell = pool_cell_begin(&setup);
-	uint64_t serials[GB_POOL_PARTS];
+	uint64_t serials[GB_POOL_PARTITIONS];
 	unsigned int i;
 	int round;
 
 	(void)state;
-	for (i = 0; i < GB_POOL_PARTS; i++)
-		serials[i] = cell->nodes[0]->parts[i].serial;
+	for (i = 0; i < GB_POOL_PARTITIONS; i++)
+		serials[i] = cell->nodes[0]->partitions[i].serial;
 	for (round = 0; round < 200; round++) {
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 30 * GB_MSEC);
 	}
-	for (i = 0; i < GB_POOL_PARTS_SHOWN; i++)
+	for (i = 0; i < GB_POOL_PARTITIONS_RENEWED; i++)
 		assert_in_range(
-		    cell->nodes[0]->parts[i].serial - serials[i], 8, 24);
+		    cell->nodes[0]->partitions[i].serial - serials[i], 8, 24);
 	pool_cell_free(cell);
 }
 
--- a/tests/test_crash.c
+++ b/tests/test_crash.c
@@ -249,7 +249,7 @@
 	gb_flow_state state = {0};
 	char to[GB_KEY_MAX];
 	const struct gb_pool_read read = {
-	    gb_pool_part(id), GB_POOL_STATES, id, to, 1, 0};
+	    gb_pool_partition(id), GB_POOL_STATES, id, to, 1, 0};
 
 	snprintf(to, sizeof(to), "%s0", id);
 	world_read(cell->world, &read, &res);
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -489,7 +489,7 @@
 stored_version(const struct cell *cell, const char *id)
 {
 	const struct gb_pool_read read = {
-	    gb_pool_part(id), GB_POOL_FLOWS, id, "~", 1, 0};
+	    gb_pool_partition(id), GB_POOL_FLOWS, id, "~", 1, 0};
 	struct gb_pool_read_res res = {0};
 	gb_flow_row row = {0};
 	uint64_t version;
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -509,7 +509,7 @@
 	size_t i;
 
 	(void)state;
-	cell->faults.parts_down = 3;
+	cell->faults.partitions_down = 3;
 	pool_cell_submit_lookup(cell);
 	pool_cell_run(cell, GB_SEC);
 	for (i = 0; i < 30; i++)
@@ -517,7 +517,7 @@
 	pool_cell_run(cell, 300 * GB_MSEC);
 	for (i = 1; i < 31; i++) {
 		const struct pool_cell_flow *flow = &cell->flows[i];
-		bool down = gb_pool_part(flow->spec.id) < 2;
+		bool down = gb_pool_partition(flow->spec.id) < 2;
 
 		out += down;
 		assert_true(flow->answered);
@@ -525,7 +525,7 @@
 		    down ? GB_FLOW_CANT_STORE : GB_FLOW_ACCEPTED);
 	}
 	assert_in_range(out, 1, 29);
-	cell->faults.parts_down = 0;
+	cell->faults.partitions_down = 0;
 	pool_cell_run(cell, GB_SEC);
 	for (i = 1; i < 31; i++)
 		pool_cell_submit_again(cell, i);
@@ -553,18 +553,18 @@
 		flow[i] = pool_cell_submit(cell, "lookup", "ms=1500");
 	}
 	pool_cell_run(cell, 500 * GB_MSEC);
-	cell->faults.parts_down = 3;
+	cell->faults.partitions_down = 3;
 	pool_cell_kill(cell, 0);
 	pool_cell_take(cell, 1);
 	pool_cell_run(cell, GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 1);
 	again = pool_cell_submit_lookup(cell);
-	while (gb_pool_part(cell->flows[again].spec.id) < 2)
+	while (gb_pool_partition(cell->flows[again].spec.id) < 2)
 		again = pool_cell_submit_lookup(cell);
 	pool_cell_run(cell, 3 * GB_SEC);
 	assert_int_equal(cell->flows[again].answer.verdict, GB_FLOW_ACCEPTED);
 	for (i = 0; i < 30; i++) {
-		bool down = gb_pool_part(cell->flows[flow[i]].spec.id) < 2;
+		bool down = gb_pool_partition(cell->flows[flow[i]].spec.id) < 2;
 
 		/* Nothing is said of a flow that can't be read. */
 		assert_int_equal(pool_cell_verdict(cell, flow[i]),
@@ -573,7 +573,7 @@
 			assert_int_equal(
 			    pool_cell_state(cell, flow[i]), GB_FLOW_SUCCEEDED);
 	}
-	cell->faults.parts_down = 0;
+	cell->faults.partitions_down = 0;
 	pool_cell_run(cell, 5 * GB_SEC);
 	for (i = 0; i < 30; i++)
 		assert_int_equal(
@@ -593,12 +593,12 @@
 
 	(void)state;
 	pool_cell_run(cell, 200 * GB_MSEC);
-	cell->faults.parts_down = 7;
+	cell->faults.partitions_down = 7;
 	pool_cell_kill(cell, 0);
 	pool_cell_take(cell, 1);
 	pool_cell_run(cell, GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), CELL_NODES);
-	cell->faults.parts_down = 0;
+	cell->faults.partitions_down = 0;
 	pool_cell_take(cell, 1);
 	pool_cell_run(cell, 8 * GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 1);
@@ -641,13 +641,13 @@
 
 	(void)state;
 	pool_cell_kill(cell, 0);
-	cell->faults.parts_down = 3;
+	cell->faults.partitions_down = 3;
 	pool_cell_take(cell, 2);
 	pool_cell_run(cell, 5 * GB_MSEC);
 	pool_cell_take(cell, 1);
 	/* The reads of the first come to nothing for two parts. */
 	pool_cell_run(cell, 5 * GB_MSEC);
-	cell->faults.parts_down = 0;
+	cell->faults.partitions_down = 0;
 	pool_cell_run(cell, GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 2);
 	epoch = gb_pool_epoch(cell->nodes[2]);
@@ -672,13 +672,13 @@
 	for (i = 0; i < 20; i++)
 		pool_cell_submit_lookup(cell);
 	pool_cell_run(cell, 800 * GB_MSEC);
-	cell->faults.parts_down = 16;
+	cell->faults.partitions_down = 16;
 	pool_cell_run(cell, GB_SEC);
 	gb_pool_release(cell->nodes[0], cell->now);
 	pool_cell_run(cell, 200 * GB_MSEC);
 	assert_false(gb_pool_acquiring(cell->nodes[0]));
 	pool_cell_take(cell, 1);
-	cell->faults.parts_down = 0;
+	cell->faults.partitions_down = 0;
 	pool_cell_run(cell, 10 * GB_SEC);
 	for (i = 0; i < 20; i++)
 		assert_int_equal(
@@ -1008,7 +1008,8 @@
 	gb_flow_state state = {.org = spec->org};
 	struct gb_pool_row cond = {0};
 	struct gb_pool_row puts[3] = {0};
-	struct gb_pool_txn txn = {gb_pool_part(spec->id), &cond, 1, puts, 3};
+	struct gb_pool_txn txn = {
+	    gb_pool_partition(spec->id), &cond, 1, puts, 3};
 	struct gb_pool_txn_res res;
 
 	cond.table = puts[0].table = GB_POOL_STATES;
