--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -2,24 +2,25 @@
  * @file crash.c
  * Tasks that crash the workers that start them.
  *
- * Load: a task takes its worker down within moments of its start, again and
- * again, and with it all else that runs there (eight runs on a pool that is
- * four fifths full).  Its neighbours must not be taken for it, nor whoever
- * stands on a rack that is lost; and a worker that is only cut off has not
- * crashed, though what it ran was lost with its lease.
+ * Problem: a task may crash its worker within moments of its start, again and
+ * again, and each crash ends everything else that runs there (eight runs on a
+ * pool that is four fifths full). Other tasks on the worker must not be blamed,
+ * nor tasks on a rack that is lost. A worker that is only disconnected has not
+ * crashed, although its runs are lost when its lease lapses.
  *
- * A worker has crashed under its runs when another lifetime answers in its
- * place and it was not about to leave.  Of these runs, those that were started
- * so short a time before that the worker was not seen alive since are blamed.
- * A task that a worker has crashed under is suspect: it starts only once that
- * is stored, on the emptiest worker, where nothing else is started until the
- * worker is seen alive after it.  So the second crash tells it from its
- * neighbours, and it is given up.
+ * A worker counts as crashed under its runs when another incarnation answers in
+ * its place and the worker had not reported that it was leaving. The crash is
+ * attributed to those runs that were started so shortly before it that the
+ * worker was not seen alive since. A task that ran on a crashed worker becomes
+ * a crash suspect. It is started again only once that is stored, on the
+ * emptiest worker, and nothing else is started there until the worker has been
+ * seen alive after it. The second crash therefore tells the task from its
+ * neighbours, and its flow fails.
  *
- * Load: owners are killed as well, each before it has missed the worker.  What
- * a new owner finds lost, without knowing what ran there, makes it store the
- * starts of all that may have run there before it sends them, so that its own
- * successor knows of them.
+ * Owners may be killed as well, before they notice that the worker does not
+ * answer. A new owner that finds a worker lost without knowing what ran there
+ * stores the starts of all flows that may have run there before it sends them,
+ * so that its own successor knows of them.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -28,67 +29,73 @@
 
 #include "crash.h"
 
-/** A worker that answers this much after a start has survived it: a task that
- * crashes its worker does so within some 10 ms, and busy workers are heard each
+/** A worker that answers this long after a start has survived it: a task that
+ * crashes its worker does so within some 10 ms, and busy workers answer every
  * 0.4 s. */
-#define CRASH_SOON (500 * GB_MSEC)
-/** Crashes soon after a start that give a task up, if nothing else was new on
- * the worker at one of them.  With one, whoever stands on a lost rack would
- * fail. */
-#define CRASH_BLAMED_MOST 2
-/** The same with workers that came back only after the task's lease, and may
- * have crashed when it had been killed. */
-#define CRASH_SOON_MOST 3
-/** Workers that are missed within so short a time were lost together, with a
- * rack or a zone: nothing that ran there is blamed.  It is seen of a busy
- * worker within 0.6 s that it is silent. */
-#define CRASH_TOGETHER (600 * GB_MSEC)
-#define CRASH_TOGETHER_WORKERS 3
-/** Workers that crash under a task, at whatever time and for whatever reason,
- * before it is given up: more than chance brings, and a start less than are
- * allowed, since what an owner has not stored yet is forgotten with it. */
-#define CRASH_MOST 4
-/** One less if so many surely crashed while they ran it, one of them soon. */
-#define CRASH_SURE_LEAST 2
-/** How long it is waited for a word of a worker that is away with a task:
- * workers come back after some seconds. */
-#define CRASH_EVIDENCE_KEEP (10 * GB_SEC)
-
-/** A worker that is away and may have crashed under a task. */
+#define CRASH_EARLY_TIME (500 * GB_MSEC)
+/** Early crashes attributed to a task at which its flow fails, if the task was
+ * the sole suspect at one of them. A limit of one would fail every task on a
+ * lost rack. */
+#define CRASH_ATTRIBUTED_LIMIT 2
+/** The same limit for all early crashes, including workers that came back only
+ * after the lease had expired. These may have crashed after the task was
+ * killed. */
+#define CRASH_EARLY_LIMIT 3
+/** Workers that stop answering within this time of each other were lost
+ * together, with a rack or a zone, and the loss is attributed to no task. The
+ * silence of a busy worker is noticed within 0.6 s. */
+#define CRASH_GROUP_TIME (600 * GB_MSEC)
+#define CRASH_GROUP_WORKERS_MIN 3
+/** Crashes of workers under a task, whenever and for whatever reason, at which
+ * its flow fails. It is above what chance brings, and one start below what is
+ * allowed, because an owner that is lost takes with it what it has not
+ * stored. */
+#define CRASH_LIMIT 4
+/** The limit is one lower if at least this many crashes are confirmed and one
+ * of them was early. */
+#define CRASH_CONFIRMED_MIN 2
+/** How long to wait for the answer of an unreachable worker that may still run
+ * a task: workers come back after some seconds. */
+#define CRASH_EVIDENCE_TIMEOUT (10 * GB_SEC)
+
+/** An unreachable worker that may have crashed under a task. */
 struct pool_unreachable {
-	char worker[GB_NAME_MAX + 1]; /**< its id */
-	int64_t incarnation;	      /**< that it had then, 0: unknown */
-	bool begun;		      /**< it had said that it runs the task */
-	bool early;		      /**< fell silent soon after that */
-	bool sole_suspect; /**< and no other flow's start was as new */
-	bool lapsed;	   /**< the lease was over before it was heard of */
-	bool linked; /**< the worker is known, and has the task in its losses */
+	char worker[GB_NAME_MAX + 1]; /**< id of the worker */
+	int64_t incarnation; /**< incarnation that ran the task, 0: unknown */
+	bool begun;	     /**< the worker confirmed the start of the task */
+	bool early;	     /**< stopped answering soon after the start */
+	bool sole_suspect;   /**< and had no new run of another flow */
+	bool lapsed;	     /**< the lease expired before it answered */
+	bool linked; /**< the task is in the list of losses of the worker */
 };
 
-/** What is known of a task that was lost with workers. */
+/** Crashes of workers under a task, and workers that may have crashed. */
 struct pool_crash_suspect {
-	uint32_t crashes;    /**< workers that crashed under it */
-	uint32_t confirmed;  /**< of these, surely while they ran it */
-	uint32_t early;	     /**< soon after they had begun it */
-	uint32_t attributed; /**< of these, surely while they ran it */
-	bool sole_suspect;   /**< once no other flow's start was as new */
+	uint32_t crashes; /**< workers that crashed while they ran it */
+	uint32_t
+	    confirmed; /**< of these, workers whose crash under it is certain */
+	uint32_t early;	     /**< of all crashes, those soon after the start */
+	uint32_t attributed; /**< early crashes that are certain */
+	bool sole_suspect;   /**< at one early crash no other flow had a new run
+				there */
 	uint32_t unreachable_count;
 	struct pool_unreachable unreachable[GB_UNREACHABLE_MAX];
-	gb_time keep_until; /**< what is away by then counts as crashed */
-	uint64_t change;    /**< of the flow, with which this must be stored */
+	gb_time
+	    keep_until;	 /**< workers still unreachable then count as crashed */
+	uint64_t change; /**< change of the flow that stores this */
 };
 
 /** A start that is stored before it is sent. */
 struct pool_plan {
-	uint32_t worker; /**< handle */
+	uint32_t worker; /**< handle of the worker */
 	char worker_id[GB_NAME_MAX + 1];
-	int64_t incarnation; /**< of the worker */
-	uint64_t change;     /**< of the flow, with which it is stored */
-	bool room;	     /**< its room is kept */
+	int64_t incarnation;	/**< incarnation of the worker */
+	uint64_t change;	/**< change of the flow that stores the start */
+	bool claimed_on_worker; /**< its capacity is claimed on the worker */
 };
 
-/** A task that was lost with a worker that is away: its next answer tells
- * whether it crashed. */
+/** A task that was lost with an unreachable worker. The next answer of the
+ * worker shows whether it crashed. */
 struct pool_loss {
 	STAILQ_ENTRY(pool_loss) next;
 	char flow[GB_NAME_MAX + 1];
@@ -110,7 +117,8 @@
 	return task->suspect;
 }
 
-/** Nothing is held against the task any more. */
+/** Frees the record of a task that has no crashes and no unreachable
+ * workers. */
 static void
 suspect_clear(struct pool_flow *flow, uint32_t step, uint32_t index)
 {
@@ -136,7 +144,8 @@
 	return NULL;
 }
 
-/** Take a worker off; false when it does not stand there. */
+/** Removes a worker from the record and copies it to `out`. Returns false if it
+ * is not in the record. */
 static bool
 unreachable_remove(struct pool_crash_suspect *suspect, const char *worker,
     struct pool_unreachable *out)
@@ -151,7 +160,8 @@
 	return true;
 }
 
-/** The next answer of the worker tells what became of the task. */
+/** Adds the task to the losses of the worker, whose next answer shows whether
+ * it crashed. */
 static void
 unreachable_link(struct pool_flow *flow, uint32_t step, uint32_t index,
     struct pool_unreachable *unreachable, struct pool_worker *worker)
@@ -165,8 +175,8 @@
 	unreachable->linked = true;
 }
 
-/** A worker is away with a task; returns what is known of that, or null when
- * there are too many. */
+/** Records that a worker is unreachable and may still run a task. Returns the
+ * record, or null if there are too many. */
 static struct pool_unreachable *
 unreachable_add(
     struct pool_flow *flow, uint32_t step, uint32_t index, const char *worker)
@@ -185,7 +195,7 @@
 	return unreachable;
 }
 
-/** The same of a run, whose worker is known. */
+/** The same for a run, whose worker is known to this owner. */
 static struct pool_unreachable *
 unreachable_add_run(const struct pool_run *run)
 {
@@ -230,7 +240,7 @@
 		unreachable->sole_suspect = row->sole_suspect;
 		unreachable->lapsed = row->lapsed;
 	}
-	suspect->keep_until = pool->now + CRASH_EVIDENCE_KEEP;
+	suspect->keep_until = pool->now + CRASH_EVIDENCE_TIMEOUT;
 }
 
 bool
@@ -239,10 +249,10 @@
 	return (task->suspect != NULL || task->plan != NULL) && !task->done;
 }
 
-/** A start that may have been sent stands among the workers that are away: a
- * successor finds out what became of it. */
+/** Stores a start that may have been sent as an unreachable worker, so that a
+ * successor finds out whether the worker crashed. */
 static void
-plan_fill(const struct pool_plan *plan, gb_task_crashes *out)
+plan_fill_unreachable(const struct pool_plan *plan, gb_task_crashes *out)
 {
 	if (plan == NULL ||
 	    out->unreachable.unreachable_len == GB_UNREACHABLE_MAX)
@@ -279,10 +289,11 @@
 		row->sole_suspect = unreachable->sole_suspect;
 		row->lapsed = unreachable->lapsed;
 	}
-	plan_fill(task->plan, out);
+	plan_fill_unreachable(task->plan, out);
 }
 
-/** The lives of the workers that pool_crash_fill names, in the same order. */
+/** Adds the incarnations of the workers that pool_crash_fill adds, in the same
+ * order. */
 void
 pool_crash_fill_incarnations(const struct pool_task *task, gb_flow_state *out)
 {
@@ -341,7 +352,7 @@
 	plan->incarnation = worker->incarnation;
 	snprintf(
 	    plan->worker_id, sizeof(plan->worker_id), "%s", worker->entry.id);
-	plan->room = true;
+	plan->claimed_on_worker = true;
 	gb_res_add(&worker->claimed, &flow->steps[step].spec->res);
 	flow->steps[step].tasks[index].plan = plan;
 	flow->steps[step].plans++;
@@ -361,9 +372,9 @@
 {
 	struct pool_task *task = &step->tasks[index];
 
-	if (!task->plan->room)
+	if (!task->plan->claimed_on_worker)
 		return;
-	task->plan->room = false;
+	task->plan->claimed_on_worker = false;
 	gb_res_sub(
 	    &pool_crash_plan_worker(pool, task)->claimed, &step->spec->res);
 }
@@ -407,17 +418,19 @@
 
 /* Runs that are new on their worker --------------------------------------- */
 
-/** Whether a worker has not been seen alive since a run was started on it. */
+/** Whether the worker has not been seen alive long enough after the start of
+ * the run. Runs of earlier owners are never new. */
 static bool
 run_is_new(const struct pool_run *run)
 {
 	return !run->adopted &&
-	       run->started + CRASH_SOON > run->worker->clock_at;
+	       run->started + CRASH_EARLY_TIME > run->worker->clock_at;
 }
 
-/** A worker that did not answer the order may have gone before it came. */
+/** Whether the worker confirmed the start. A worker that did not answer the
+ * order may have terminated before it arrived. */
 static bool
-run_begun(const struct pool_run *run)
+run_is_confirmed(const struct pool_run *run)
 {
 	return run->confirmed != 0;
 }
@@ -456,17 +469,17 @@
 worker_lost_with_others(
     const struct gb_pool *pool, const struct pool_worker *worker)
 {
-	unsigned int together = 0;
+	unsigned int lost_together = 0;
 	uint32_t i;
 
 	for (i = 0; i < pool->worker_count; i++) {
 		const struct pool_worker *other = pool->workers[i];
 
-		together +=
+		lost_together +=
 		    other->missed != 0 &&
-		    llabs(other->missed - worker->missed) <= CRASH_TOGETHER;
+		    llabs(other->missed - worker->missed) <= CRASH_GROUP_TIME;
 	}
-	return together >= CRASH_TOGETHER_WORKERS;
+	return lost_together >= CRASH_GROUP_WORKERS_MIN;
 }
 
 /* Counting ---------------------------------------------------------------- */
@@ -475,77 +488,80 @@
 suspect_over_limit(const struct pool_crash_suspect *suspect)
 {
 	bool confirmed =
-	    suspect->confirmed >= CRASH_SURE_LEAST && suspect->early > 0;
+	    suspect->confirmed >= CRASH_CONFIRMED_MIN && suspect->early > 0;
 
 	if (suspect->sole_suspect &&
-	    (suspect->attributed >= CRASH_BLAMED_MOST ||
-		suspect->early >= CRASH_SOON_MOST))
+	    (suspect->attributed >= CRASH_ATTRIBUTED_LIMIT ||
+		suspect->early >= CRASH_EARLY_LIMIT))
 		return true;
-	return suspect->crashes >= (confirmed ? CRASH_MOST - 1 : CRASH_MOST);
+	return suspect->crashes >= (confirmed ? CRASH_LIMIT - 1 : CRASH_LIMIT);
 }
 
 static void
-suspect_count(
-    struct pool_crash_suspect *suspect, const struct pool_unreachable *how)
+suspect_count_crash(
+    struct pool_crash_suspect *suspect, const struct pool_unreachable *evidence)
 {
 	suspect->crashes++;
-	suspect->confirmed += how->begun && !how->lapsed;
-	suspect->early += how->early;
-	suspect->attributed += how->early && !how->lapsed;
-	suspect->sole_suspect =
-	    suspect->sole_suspect || (how->early && how->sole_suspect);
+	suspect->confirmed += evidence->begun && !evidence->lapsed;
+	suspect->early += evidence->early;
+	suspect->attributed += evidence->early && !evidence->lapsed;
+	suspect->sole_suspect = suspect->sole_suspect ||
+				(evidence->early && evidence->sole_suspect);
 }
 
-/** Whether it is over the limit if all workers that are away have crashed. */
+/** Whether the task is over the limit if all unreachable workers have
+ * crashed. */
 static bool
 suspect_may_be_over_limit(const struct pool_crash_suspect *suspect)
 {
-	struct pool_crash_suspect worst = *suspect;
+	struct pool_crash_suspect worst_case = *suspect;
 	uint32_t i;
 
 	for (i = 0; i < suspect->unreachable_count; i++)
-		suspect_count(&worst, &suspect->unreachable[i]);
-	return suspect_over_limit(&worst);
+		suspect_count_crash(&worst_case, &suspect->unreachable[i]);
+	return suspect_over_limit(&worst_case);
 }
 
 static void
-flow_give_up(struct gb_pool *pool, struct pool_flow *flow)
+flow_fail_crashing(struct gb_pool *pool, struct pool_flow *flow)
 {
 	pool->stats.given_up++;
 	pool_flow_fail(pool, flow, "a task crashes the workers that start it");
 }
 
-/** A worker crashed under a task. */
+/** Counts a crash of a worker under a task, and fails the flow if the task is
+ * over the limit. */
 static void
 task_crashed(struct gb_pool *pool, struct pool_flow *flow, uint32_t step,
-    uint32_t index, const struct pool_unreachable *how)
+    uint32_t index, const struct pool_unreachable *evidence)
 {
 	struct pool_crash_suspect *suspect = suspect_get(flow, step, index);
 
-	suspect_count(suspect, how);
+	suspect_count_crash(suspect, evidence);
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "task_crashed_worker",
 	    "{s:s, s:I, s:I, s:I, s:I, s:b, s:b, s:b}", "flow", flow->spec.id,
 	    "step", (json_int_t)step, "index", (json_int_t)index, "workers",
 	    (json_int_t)suspect->crashes, "blamed",
-	    (json_int_t)suspect->attributed, "soon", how->early, "alone",
-	    how->sole_suspect, "lapsed", how->lapsed);
+	    (json_int_t)suspect->attributed, "soon", evidence->early, "alone",
+	    evidence->sole_suspect, "lapsed", evidence->lapsed);
 	pool_flow_changed(pool, flow, true);
 	suspect->change = flow->change;
 	if (suspect_over_limit(suspect))
-		flow_give_up(pool, flow);
+		flow_fail_crashing(pool, flow);
 }
 
 static struct pool_task *
-task_of(const struct pool_run *run)
+run_task(const struct pool_run *run)
 {
 	return &run->flow->steps[run->step].tasks[run->index];
 }
 
-/** Whether what becomes of a run's task still matters. */
+/** Whether crashes under a run still count: its flow and its task are not
+ * finished. */
 static bool
-run_counts(const struct pool_run *run)
+run_is_relevant(const struct pool_run *run)
 {
-	return run->flow->status < GB_FLOW_SUCCEEDED && !task_of(run)->done;
+	return run->flow->status < GB_FLOW_SUCCEEDED && !run_task(run)->done;
 }
 
 void
@@ -556,32 +572,33 @@
 
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		if (!run_counts(run) || !run_is_new(run) || worker->leaving)
+		if (!run_is_relevant(run) || !run_is_new(run) ||
+		    worker->leaving)
 			continue;
 		unreachable = unreachable_add_run(run);
 		if (unreachable == NULL)
 			continue;
-		unreachable->begun = run_begun(run);
-		unreachable->early = run_begun(run);
+		unreachable->begun = run_is_confirmed(run);
+		unreachable->early = run_is_confirmed(run);
 		unreachable->sole_suspect =
 		    !pool_crash_has_new(worker, run->flow);
-		task_of(run)->suspect->keep_until =
-		    pool->now + CRASH_EVIDENCE_KEEP;
+		run_task(run)->suspect->keep_until =
+		    pool->now + CRASH_EVIDENCE_TIMEOUT;
 		pool_flow_changed(pool, run->flow, true);
-		task_of(run)->suspect->change = run->flow->change;
+		run_task(run)->suspect->change = run->flow->change;
 	}
 }
 
 void
 pool_crash_classify(const struct gb_pool *pool, struct pool_worker *worker)
 {
-	bool together = worker_lost_with_others(pool, worker);
+	bool lost_together = worker_lost_with_others(pool, worker);
 	struct pool_run *run;
 
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
 		run->lost_early =
-		    !together && run_begun(run) && run_is_new(run);
+		    !lost_together && run_is_confirmed(run) && run_is_new(run);
 		run->lost_sole_suspect = !pool_crash_has_new(worker, run->flow);
 	}
 }
@@ -589,15 +606,16 @@
 void
 pool_crash_run_ended(struct gb_pool *pool, const struct pool_run *run)
 {
-	struct pool_unreachable how = {0};
+	struct pool_unreachable evidence = {0};
 
-	if (!run_counts(run) || run->worker->leaving)
+	if (!run_is_relevant(run) || run->worker->leaving)
 		return;
-	unreachable_remove(task_of(run)->suspect, run->worker->entry.id, &how);
-	how.begun = run_begun(run);
-	how.early = run->lost_early;
-	how.sole_suspect = run->lost_sole_suspect;
-	task_crashed(pool, run->flow, run->step, run->index, &how);
+	unreachable_remove(
+	    run_task(run)->suspect, run->worker->entry.id, &evidence);
+	evidence.begun = run_is_confirmed(run);
+	evidence.early = run->lost_early;
+	evidence.sole_suspect = run->lost_sole_suspect;
+	task_crashed(pool, run->flow, run->step, run->index, &evidence);
 }
 
 void
@@ -605,19 +623,19 @@
 {
 	struct pool_unreachable *unreachable;
 
-	if (!run_counts(run) || run->worker->leaving)
+	if (!run_is_relevant(run) || run->worker->leaving)
 		return;
 	unreachable = unreachable_add_run(run);
 	if (unreachable != NULL) {
-		unreachable->begun = run_begun(run);
+		unreachable->begun = run_is_confirmed(run);
 		unreachable->lapsed = true;
 	}
-	task_of(run)->suspect->keep_until = pool->now + CRASH_EVIDENCE_KEEP;
+	run_task(run)->suspect->keep_until = pool->now + CRASH_EVIDENCE_TIMEOUT;
 	pool_flow_changed(pool, run->flow, false);
 }
 
-/** A worker that was away with a task has answered, as itself or as another
- * lifetime. */
+/** An unreachable worker that may have crashed under a task has answered, as
+ * the same incarnation or as another. */
 static void
 unreachable_resolve(struct gb_pool *pool, struct pool_flow *flow, uint32_t step,
     uint32_t index, const struct pool_worker *worker, bool crashed)
@@ -689,7 +707,8 @@
 		return true;
 	if (suspect == NULL)
 		return false;
-	/* Not by the clock: when the wait is over, the sweep counts first. */
+	/* Does not depend on the time: the sweep first counts the workers that
+	 * are still unreachable at the end of the wait. */
 	return flow->stored < suspect->change ||
 	       suspect_may_be_over_limit(suspect);
 }
@@ -711,10 +730,10 @@
 	return count;
 }
 
-/** The wait is over: workers that are still away count as crashed, though
- * nothing says that the task was to blame. */
+/** Counts workers that are still unreachable at the end of the wait as crashed,
+ * although nothing shows that the task caused it. */
 static void
-task_waited(
+task_count_unreachable(
     struct gb_pool *pool, struct pool_flow *flow, uint32_t step, uint32_t index)
 {
 	static const struct pool_unreachable unknown;
@@ -730,9 +749,10 @@
 	}
 }
 
-/** What was read of a task names workers that may have become known since. */
+/** Links the unreachable workers that were read from the store with workers
+ * that have become known since. */
 static void
-task_link(
+task_link_workers(
     struct gb_pool *pool, struct pool_flow *flow, uint32_t step, uint32_t index)
 {
 	struct pool_crash_suspect *suspect =
@@ -755,7 +775,7 @@
 			continue;
 		}
 		unreachable_resolve(pool, flow, step, index, worker, true);
-		return; /* the rest with the next sweep */
+		return; /* the next sweep handles the rest */
 	}
 }
 
@@ -765,12 +785,13 @@
 {
 	const struct pool_task *task = &flow->steps[step].tasks[index];
 
-	task_link(pool, flow, step, index);
-	task_waited(pool, flow, step, index);
-	/* As it was read, perhaps by another limit. */
+	task_link_workers(pool, flow, step, index);
+	task_count_unreachable(pool, flow, step, index);
+	/* What was read from the store may be over the limit: the owner that
+	 * stored it may have had another. */
 	if (flow->status < GB_FLOW_SUCCEEDED && task->suspect != NULL &&
 	    !task->done && suspect_over_limit(task->suspect))
-		flow_give_up(pool, flow);
+		flow_fail_crashing(pool, flow);
 }
 
 void
