--- a/libgooseberry/pool/fit.c
+++ b/libgooseberry/pool/fit.c
@@ -2,10 +2,10 @@
  * @file fit.c
  * Placement: which workers run the tasks of a step.
  *
- * Load: gangs of up to 48 tasks that only a quarter of the workers may run
- * stand beside single small tasks that most may run.  Workers are therefore
- * filled one after the other, the fullest that still fits first, so that
- * whole workers stay free for the gangs.
+ * Problem: gangs of up to 48 tasks that only a quarter of the workers may run
+ * compete with small single tasks that most workers may run. Workers are
+ * therefore filled one after the other, starting with the fullest one that
+ * still has capacity, so that whole workers stay free for the gangs.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,31 +13,34 @@
 #include "crash.h"
 #include "state.h"
 
-/** A ticket must still hold when the order reaches the worker: a round trip
- * between data centres and a queue of orders before it. */
-#define FIT_TICKET_MARGIN (60 * GB_MSEC)
-/** Work away from its data counts as if the worker were this much fuller. */
-#define FIT_REMOTE_PENALTY 4.0
-/** Speeds of workers differ by half.  A flow with more to spare than this share
- * of its work is put on the slow ones first, others on the fast ones; the
- * weights are against the share of a worker that stays free. */
-#define FIT_SPARE 1.0
-#define FIT_SLOW_FIRST 0.5
-#define FIT_FAST_FIRST 2.0
-/** So does room that a gang waits for: others are used first. */
+/** A ticket must remain valid for this long, until the order reaches the
+ * worker: a round trip between data centres and a queue of orders before it. */
+#define FIT_TICKET_VALID_MIN (60 * GB_MSEC)
+/** Added to the score of a worker outside the rack that the step names. The
+ * score is otherwise about the share of the worker that stays free, so such
+ * workers are used last. */
+#define FIT_OTHER_RACK_PENALTY 4.0
+/** Speeds of workers differ by half. A flow whose spare time is more than this
+ * share of its remaining work prefers slow workers, others prefer fast ones.
+ * Both weights are relative to the share of a worker that stays free. */
+#define FIT_SPARE_RATIO 1.0
+#define FIT_SLOW_WEIGHT 0.5
+#define FIT_FAST_WEIGHT 2.0
+/** Added to the score of a worker with capacity reserved for a waiting gang:
+ * other workers are used first. */
 #define FIT_RESERVED_PENALTY 0.5
-/** A task that was lost with a worker is put where nothing else is new, so that
- * a second crash tells which of them it was. */
-#define FIT_NEW_PENALTY 10.0
+/** Added to the score of a worker with a new run of another flow, if the step
+ * has crash suspects: a second crash then shows which task caused it. */
+#define FIT_NEW_RUN_PENALTY 10.0
 
 gb_res
 pool_fit_free(const struct pool_worker *worker)
 {
-	gb_res room = worker->entry.capacity;
+	gb_res avail = worker->entry.capacity;
 
-	gb_res_sub(&room, &worker->used);
-	gb_res_sub(&room, &worker->claimed);
-	return room;
+	gb_res_sub(&avail, &worker->used);
+	gb_res_sub(&avail, &worker->claimed);
+	return avail;
 }
 
 bool
@@ -53,7 +56,7 @@
 }
 
 static bool
-fit_label(const struct pool_worker *worker, const char *label)
+fit_has_label(const struct pool_worker *worker, const char *label)
 {
 	uint32_t i;
 
@@ -78,7 +81,7 @@
 	if (strcmp(worker->entry.service, fit_service(flow)) != 0)
 		return false;
 	return step->spec->label[0] == '\0' ||
-	       fit_label(worker, step->spec->label);
+	       fit_has_label(worker, step->spec->label);
 }
 
 static const struct pool_approval *
@@ -99,30 +102,30 @@
 {
 	const struct pool_approval *a = fit_approval(step, worker);
 
-	if (a == NULL || a->expires < pool->now + FIT_TICKET_MARGIN ||
+	if (a == NULL || a->expires < pool->now + FIT_TICKET_VALID_MIN ||
 	    a->incarnation != pool_worker_get(pool, worker)->incarnation)
 		return NULL;
 	return a;
 }
 
-/** Tasks of a step that may run on one worker together, by its room. */
+/** How many tasks fit into the free resources of one worker. */
 static uint32_t
-fit_times(const gb_res *need, const gb_res *room)
+fit_task_count(const gb_res *need, const gb_res *avail)
 {
-	int64_t times = INT32_MAX;
+	int64_t tasks = INT32_MAX;
 
 	if (need->cpu > 0)
-		times = room->cpu / need->cpu;
-	if (need->mem > 0 && room->mem / need->mem < times)
-		times = room->mem / need->mem;
-	if (need->accel > 0 && room->accel / need->accel < times)
-		times = room->accel / need->accel;
-	return times < 0 ? 0 : (uint32_t)times;
+		tasks = avail->cpu / need->cpu;
+	if (need->mem > 0 && avail->mem / need->mem < tasks)
+		tasks = avail->mem / need->mem;
+	if (need->accel > 0 && avail->accel / need->accel < tasks)
+		tasks = avail->accel / need->accel;
+	return tasks < 0 ? 0 : (uint32_t)tasks;
 }
 
-/** Runs of a step that a worker has already, or is about to be given. */
+/** Runs of a step that a worker has, and starts that are planned on it. */
 static uint32_t
-fit_on_worker(const struct pool_flow *flow, const struct pool_step *step,
+fit_count_on_worker(const struct pool_flow *flow, const struct pool_step *step,
     const struct pool_worker *worker)
 {
 	const struct pool_run *run;
@@ -136,11 +139,11 @@
 	return count + pool_crash_planned_on(step, worker);
 }
 
-/** A worker that may take tasks of the step. */
+/** A worker that can run tasks of the step. */
 struct pool_candidate {
 	uint32_t worker;
-	uint32_t times;
-	double score; /**< the lowest goes first */
+	uint32_t tasks;
+	double score; /**< the lowest is used first */
 };
 
 static int
@@ -154,9 +157,9 @@
 	return x->worker < y->worker ? -1 : x->worker > y->worker;
 }
 
-/** Time that a flow has to spare, over the work that it has left. */
+/** Spare time of a flow divided by its remaining work. */
 static double
-fit_spare(const struct gb_pool *pool, const struct pool_flow *flow)
+fit_spare_ratio(const struct gb_pool *pool, const struct pool_flow *flow)
 {
 	gb_time spare = flow->due - flow->remaining - pool->now;
 
@@ -167,33 +170,33 @@
 static double
 fit_score(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, const struct pool_worker *worker,
-    const gb_res *room)
+    const gb_res *avail)
 {
-	double left = (double)(room->cpu - step->spec->res.cpu) /
-		      (double)(worker->entry.capacity.cpu + 1);
+	double free_share = (double)(avail->cpu - step->spec->res.cpu) /
+			    (double)(worker->entry.capacity.cpu + 1);
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
-	double score = left;
+	double score = free_share;
 
-	/* It may take its worker down with all that runs there: the emptiest
-	 * first. */
+	/* A suspect may crash its worker and end all that runs there: the
+	 * emptiest worker first. */
 	if (step->suspects > 0 && !gang)
-		score = -left;
+		score = -free_share;
 	if (step->suspects > 0 && pool_crash_has_new(worker, flow))
-		score += FIT_NEW_PENALTY;
+		score += FIT_NEW_RUN_PENALTY;
 	if (step->spec->rack[0] != '\0' &&
 	    strcmp(step->spec->rack, worker->rack) != 0)
-		score += FIT_REMOTE_PENALTY;
+		score += FIT_OTHER_RACK_PENALTY;
 	if (worker->was_reserved)
 		score += FIT_RESERVED_PENALTY;
 	if (worker->failures > 0)
 		score += 1.0;
 	if (!POOL_USES(pool, GB_FEATURE_FAST_WORKERS))
 		return score;
-	/* Whoever has time to spare leaves the fast workers to the others. */
-	if (fit_spare(pool, flow) > FIT_SPARE)
-		score -= FIT_SLOW_FIRST * (worker->slowness - 1.0);
+	/* Flows with spare time leave the fast workers to the others. */
+	if (fit_spare_ratio(pool, flow) > FIT_SPARE_RATIO)
+		score -= FIT_SLOW_WEIGHT * (worker->slowness - 1.0);
 	else
-		score += FIT_FAST_FIRST * (worker->slowness - 1.0);
+		score += FIT_FAST_WEIGHT * (worker->slowness - 1.0);
 	return score;
 }
 
@@ -202,8 +205,8 @@
     const struct pool_step *step, bool tickets, struct pool_worker *worker,
     const char *rack, struct pool_candidate *out)
 {
-	gb_res room;
-	uint32_t already;
+	gb_res avail;
+	uint32_t present;
 
 	if (worker == NULL ||
 	    worker->entry.capacity.cpu - worker->used.cpu < step->spec->res.cpu)
@@ -216,26 +219,26 @@
 	if (tickets && POOL_ADVICE_NEEDED(flow) &&
 	    pool_fit_ticket(pool, step, worker->handle) == NULL)
 		return false;
-	room = pool_fit_free(worker);
+	avail = pool_fit_free(worker);
 	if (worker->reserved_at != 0 &&
 	    pool->now + pool_rank_estimate(pool, flow, step) >
 		worker->reserved_at)
-		gb_res_sub(&room, &worker->reserved);
+		gb_res_sub(&avail, &worker->reserved);
 	out->worker = worker->handle;
-	out->times = fit_times(&step->spec->res, &room);
+	out->tasks = fit_task_count(&step->spec->res, &avail);
 	if (step->spec->per_worker > 0) {
-		already = fit_on_worker(flow, step, worker);
-		if (already >= step->spec->per_worker)
+		present = fit_count_on_worker(flow, step, worker);
+		if (present >= step->spec->per_worker)
 			return false;
-		if (out->times > step->spec->per_worker - already)
-			out->times = step->spec->per_worker - already;
+		if (out->tasks > step->spec->per_worker - present)
+			out->tasks = step->spec->per_worker - present;
 	}
-	out->score = fit_score(pool, flow, step, worker, &room);
-	return out->times > 0;
+	out->score = fit_score(pool, flow, step, worker, &avail);
+	return out->tasks > 0;
 }
 
-/** All workers that may take tasks: the approved ones where advice is needed,
- * else all of the pool. */
+/** All workers that can run tasks: the approved ones if advice is needed, else
+ * any in the pool. */
 static size_t
 fit_candidates(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, bool tickets, const char *rack,
@@ -272,13 +275,14 @@
 	size_t i;
 
 	for (i = 0; i < count && placed < wanted; i++) {
-		for (j = 0; j < candidates[i].times && placed < wanted; j++)
+		for (j = 0; j < candidates[i].tasks && placed < wanted; j++)
 			out[placed++] = candidates[i].worker;
 	}
 	return placed;
 }
 
-/** One task a worker at a time, so that each goes where it fits best. */
+/** Places one task on each worker in turn, so that each goes where it fits
+ * best. */
 static uint32_t
 fit_spread(struct pool_candidate *candidates, size_t count, uint32_t wanted,
     uint32_t *out)
@@ -290,9 +294,9 @@
 		uint32_t before = placed;
 
 		for (i = 0; i < count && placed < wanted; i++) {
-			if (candidates[i].times == 0)
+			if (candidates[i].tasks == 0)
 				continue;
-			candidates[i].times--;
+			candidates[i].tasks--;
 			out[placed++] = candidates[i].worker;
 		}
 		if (placed == before)
@@ -301,11 +305,12 @@
 	return placed;
 }
 
-/** A gang whose tasks slow down across racks: the first rack that fits it. */
+/** Places a gang whose tasks slow down across racks: the first rack that fits
+ * it. */
 static uint32_t
 fit_same_rack(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, uint32_t wanted, bool tickets,
-    struct pool_candidate *room, uint32_t *out)
+    struct pool_candidate *candidates, uint32_t *out)
 {
 	uint32_t i;
 	size_t count;
@@ -313,9 +318,9 @@
 	for (i = 0; i < pool->worker_count; i++) {
 		if (pool->workers[i] == NULL)
 			continue;
-		count = fit_candidates(
-		    pool, flow, step, tickets, pool->workers[i]->rack, room);
-		if (fit_fill(room, count, wanted, out) == wanted)
+		count = fit_candidates(pool, flow, step, tickets,
+		    pool->workers[i]->rack, candidates);
+		if (fit_fill(candidates, count, wanted, out) == wanted)
 			return wanted;
 	}
 	return 0;
@@ -358,7 +363,7 @@
     const struct pool_step *step)
 {
 	uint64_t slots = 0;
-	uint32_t here;
+	uint32_t fitting;
 	uint32_t i;
 
 	(void)flow;
@@ -369,10 +374,12 @@
 		if (!pool_worker_offered(worker) || worker->over ||
 		    worker->entry.draining)
 			continue;
-		here = fit_times(&step->spec->res, &worker->entry.capacity);
-		if (step->spec->per_worker > 0 && here > step->spec->per_worker)
-			here = step->spec->per_worker;
-		slots += here;
+		fitting =
+		    fit_task_count(&step->spec->res, &worker->entry.capacity);
+		if (step->spec->per_worker > 0 &&
+		    fitting > step->spec->per_worker)
+			fitting = step->spec->per_worker;
+		slots += fitting;
 	}
 	return slots;
 }
