--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -1,6 +1,6 @@
 /**
  * @file flow.c
- * Life of a flow: its steps and tasks, what has ended, what must be stored.
+ * Flows: their steps and tasks, what has ended and what must be stored.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,9 +10,9 @@
 #include "crash.h"
 #include "state.h"
 
-/** A finished flow is forgotten this much later than its state must be
- * answered, for callers that are late. */
-#define FLOW_KEEP_MARGIN (30 * GB_SEC)
+/** A finished flow is removed this long after the time for which its state must
+ * be answered, for late callers. */
+#define FLOW_REMOVE_DELAY (30 * GB_SEC)
 
 struct pool_flow *
 pool_flow_find(struct gb_pool *pool, const char *id)
@@ -43,7 +43,7 @@
 }
 
 static void
-task_clear(struct pool_task *task)
+task_free_fields(struct pool_task *task)
 {
 	free(task->checkpoint);
 	free(task->failed_runs);
@@ -58,7 +58,7 @@
 
 	for (i = 0; i < flow->step_count; i++) {
 		for (j = 0; j < flow->steps[i].spec->count; j++)
-			task_clear(&flow->steps[i].tasks[j]);
+			task_free_fields(&flow->steps[i].tasks[j]);
 		free(flow->steps[i].tasks);
 		free(flow->steps[i].approved);
 		free(flow->steps[i].asked);
@@ -88,7 +88,7 @@
 	flow->partition = gb_pool_partition(flow->spec.id);
 	STAILQ_INIT(&flow->waiters);
 	flow_steps_new(flow);
-	/* Clocks of nodes differ and jump: an age that cannot be is none. */
+	/* Clocks of nodes differ and jump: an impossible age counts as 0. */
 	if (age < 0 || age > pool->cfg.limits.keep_us)
 		age = 0;
 	flow->submitted = pool->now - age;
@@ -134,7 +134,7 @@
 
 	while ((waiter = STAILQ_FIRST(&flow->waiters)) != NULL) {
 		STAILQ_REMOVE_HEAD(&flow->waiters, next);
-		/* The change may have been written, or may yet be. */
+		/* The change may have been written, or may be written later. */
 		flow_answer(pool, waiter, GB_FLOW_MAYBE);
 		free(waiter);
 	}
@@ -187,7 +187,7 @@
 	STAILQ_INSERT_TAIL(&flow->waiters, waiter, next);
 }
 
-/** Answer all that wait for a flow. */
+/** Sends an answer to all callers that wait for a flow. */
 static void
 flow_answer_all(
     struct gb_pool *pool, struct pool_flow *flow, const gb_flow_answer *answer)
@@ -216,9 +216,9 @@
 	pool_flow_free(pool, flow);
 }
 
-/** Callers look often once the last task has ended, before its end is stored:
- * an answer that waits for the 30 to 60 ms that this takes is the final one,
- * and saves them a look and its interval. */
+/** Callers ask often between the end of the last task and the time it is
+ * stored. An answer that waits for the 30 to 60 ms that this takes is the final
+ * one, and saves them another question and its interval. */
 void
 pool_flow_ask(struct gb_pool *pool, struct pool_flow *flow, uint64_t token)
 {
@@ -257,23 +257,24 @@
 	}
 }
 
-/** Free what was submitted, but for the names. */
+/** Frees what was submitted, except the names. */
 static void
 flow_trim(struct pool_flow *flow)
 {
-	gb_flow rest = flow->spec;
+	gb_flow submitted = flow->spec;
 
 	memset(&flow->spec, 0, sizeof(flow->spec));
-	flow->spec.id = rest.id;
-	flow->spec.queue = rest.queue;
-	flow->spec.org = rest.org;
-	rest.id = NULL;
-	rest.queue = NULL;
-	rest.org = NULL;
-	xdr_free((xdrproc_t)xdr_gb_flow, (char *)&rest);
+	flow->spec.id = submitted.id;
+	flow->spec.queue = submitted.queue;
+	flow->spec.org = submitted.org;
+	submitted.id = NULL;
+	submitted.queue = NULL;
+	submitted.org = NULL;
+	xdr_free((xdrproc_t)xdr_gb_flow, (char *)&submitted);
 }
 
-/** Everything of the flow is over: keep its state alone. */
+/** All runs of the flow have ended and its state is stored: keeps only the
+ * state. */
 static void
 flow_close(struct gb_pool *pool, struct pool_flow *flow)
 {
@@ -322,7 +323,7 @@
 /* Steps and tasks --------------------------------------------------------- */
 
 static bool
-step_whole(const struct pool_flow *flow, const struct pool_step *step)
+step_is_stored(const struct pool_flow *flow, const struct pool_step *step)
 {
 	return step->done == step->spec->count &&
 	       flow->stored >= step->done_change;
@@ -337,7 +338,7 @@
 	    !flow->created || flow->stored == 0 || !flow->owned)
 		return false;
 	for (i = 0; i < step->spec->after.after_len; i++) {
-		if (!step_whole(
+		if (!step_is_stored(
 			flow, &flow->steps[step->spec->after.after_val[i]]))
 			return false;
 	}
@@ -348,10 +349,10 @@
 pool_flow_waiting(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step)
 {
-	uint32_t left = step->spec->count - step->done;
-	uint32_t held;
+	uint32_t remaining = step->spec->count - step->done;
+	uint32_t blocked;
 
-	if (left == 0 || !pool_flow_step_ready(flow, step))
+	if (remaining == 0 || !pool_flow_step_ready(flow, step))
 		return 0;
 	if (!pool->partitions[flow->partition].reconciled && !flow->fresh &&
 	    !step->fresh)
@@ -359,11 +360,12 @@
 	if ((step->spec->flags & GB_STEP_GANG) != 0)
 		return step->active > 0 || pool_crash_held_count(flow, step) > 0
 			   ? 0
-			   : left;
-	/* Tasks that are done may have a run that is still being stopped. */
-	left = left > step->active_open ? left - step->active_open : 0;
-	held = pool_crash_held_count(flow, step);
-	return left > held ? left - held : 0;
+			   : remaining;
+	/* Finished tasks may have a run that is still being stopped. */
+	remaining =
+	    remaining > step->active_open ? remaining - step->active_open : 0;
+	blocked = pool_crash_held_count(flow, step);
+	return remaining > blocked ? remaining - blocked : 0;
 }
 
 void
@@ -392,7 +394,7 @@
 }
 
 static void
-flow_over(struct gb_pool *pool, struct pool_flow *flow, gb_flow_status status,
+flow_finish(struct gb_pool *pool, struct pool_flow *flow, gb_flow_status status,
     const char *why)
 {
 	uint32_t i;
@@ -403,7 +405,7 @@
 	for (i = 0; i < flow->step_count; i++) {
 		pool_advice_claims_drop(pool, &flow->steps[i]);
 		pool_crash_plans_drop(pool, &flow->steps[i]);
-		/* The members of a gang end with the one that is done. */
+		/* The members of a gang end with the first one that is done. */
 		if (status != GB_FLOW_SUCCEEDED)
 			pool_flow_stop_step(pool, flow, i, NULL, why);
 	}
@@ -425,7 +427,7 @@
 pool_flow_fail(struct gb_pool *pool, struct pool_flow *flow, const char *why)
 {
 	if (flow->status < GB_FLOW_SUCCEEDED)
-		flow_over(pool, flow, GB_FLOW_FAILED, why);
+		flow_finish(pool, flow, GB_FLOW_FAILED, why);
 }
 
 void
@@ -434,11 +436,11 @@
 	if (flow->status >= GB_FLOW_SUCCEEDED)
 		return;
 	flow->cancelled = true;
-	flow_over(pool, flow, GB_FLOW_CANCELLED, "cancelled by its caller");
+	flow_finish(pool, flow, GB_FLOW_CANCELLED, "cancelled by its caller");
 }
 
 static struct pool_run *
-task_run(const struct pool_task *task, uint64_t number,
+task_find_run(const struct pool_task *task, uint64_t number,
     const struct pool_worker *worker)
 {
 	struct pool_run *run;
@@ -452,7 +454,7 @@
 }
 
 static void
-step_task_done(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
+step_finish_task(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
     uint32_t index)
 {
 	struct pool_step *step = &flow->steps[number];
@@ -460,7 +462,7 @@
 	uint32_t i;
 
 	if ((step->spec->flags & GB_STEP_GANG) != 0) {
-		/* The end of one member stands for all. */
+		/* The end of one member counts for all. */
 		for (i = 0; i < step->spec->count; i++)
 			step->tasks[i].done = true;
 		step->done = step->spec->count;
@@ -481,27 +483,28 @@
 		if (flow->steps[i].done < flow->steps[i].spec->count)
 			return;
 	}
-	flow_over(pool, flow, GB_FLOW_SUCCEEDED, "all tasks are done");
+	flow_finish(pool, flow, GB_FLOW_SUCCEEDED, "all tasks are done");
 }
 
 static uint32_t
 flow_attempts(const struct pool_flow *flow)
 {
-	uint32_t most = flow->queue == NULL ? flow->spec.max_attempts
-					    : flow->queue->max_attempts;
+	uint32_t attempts = flow->queue == NULL ? flow->spec.max_attempts
+						: flow->queue->max_attempts;
 
-	return most == 0 ? 1 : most;
+	return attempts == 0 ? 1 : attempts;
 }
 
 static void
-step_task_failed(struct gb_pool *pool, struct pool_flow *flow,
+step_fail_task(struct gb_pool *pool, struct pool_flow *flow,
     struct pool_task *task, uint64_t run)
 {
 	if (!pool_task_failed_once(task, run))
-		return; /* counted before, or another member of the gang */
+		return; /* already counted, perhaps for another member of the
+			   gang */
 	pool_flow_changed(pool, flow, false);
 	if (task->failures >= flow_attempts(flow))
-		flow_over(pool, flow, GB_FLOW_FAILED,
+		flow_finish(pool, flow, GB_FLOW_FAILED,
 		    "a task failed as often as it may");
 }
 
@@ -512,44 +515,46 @@
 	struct pool_step *step = &flow->steps[seen->step];
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
 	struct pool_task *task = &step->tasks[seen->index];
-	struct pool_task *carrier = gang ? &step->tasks[0] : task;
-	struct pool_run *run = task_run(task, seen->run, worker);
-	bool over = flow->status >= GB_FLOW_SUCCEEDED;
-	gb_time ran = 0;
+	/* The first task keeps the failures and the checkpoint of a gang. */
+	struct pool_task *state_task = gang ? &step->tasks[0] : task;
+	struct pool_run *run = task_find_run(task, seen->run, worker);
+	bool finished = flow->status >= GB_FLOW_SUCCEEDED;
+	gb_time run_time = 0;
 
 	if (run != NULL) {
-		ran = pool->now - run->started;
+		run_time = pool->now - run->started;
 		pool_health_ended(pool, worker, run, seen->outcome);
 		pool_run_free(pool, run);
 	}
 	pool->work_changed = true;
-	if (over || task->done)
+	if (finished || task->done)
 		return;
 	if (seen->checkpoint[0] != '\0' &&
 	    (step->spec->flags & GB_STEP_CHECKPOINT) != 0 &&
 	    seen->outcome != GB_POOL_DONE) {
-		pool_task_checkpoint(carrier, seen->checkpoint);
+		pool_task_checkpoint(state_task, seen->checkpoint);
 		pool_flow_changed(pool, flow, false);
 	}
 	if (seen->outcome == GB_POOL_DONE) {
-		step_task_done(pool, flow, seen->step, seen->index);
+		step_finish_task(pool, flow, seen->step, seen->index);
 		return;
 	}
-	if (seen->outcome == GB_POOL_FAILED && ran > step->failed_took)
-		step->failed_took = ran;
+	if (seen->outcome == GB_POOL_FAILED && run_time > step->failed_took)
+		step->failed_took = run_time;
 	if (seen->outcome == GB_POOL_FAILED)
-		step_task_failed(pool, flow, carrier, seen->run);
+		step_fail_task(pool, flow, state_task, seen->run);
 	pool_flow_gang_broken(
 	    pool, flow, seen->step, "a member of the gang ended");
 }
 
-/** Flows that are over: let go of what is no longer needed. */
+/** Checks unfinished flows for tasks that crash workers, and frees what is no
+ * longer needed of finished ones. */
 void
 pool_flow_sweep(struct gb_pool *pool)
 {
 	struct pool_flow *flow;
 	struct pool_flow *next;
-	gb_time keep = pool->cfg.limits.keep_us + FLOW_KEEP_MARGIN;
+	gb_time keep = pool->cfg.limits.keep_us + FLOW_REMOVE_DELAY;
 
 	HASH_ITER(hh, pool->flows, flow, next)
 	{
