--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -454,10 +454,10 @@
 }
 
 static void
-step_finish_task(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
-    uint32_t index)
+step_finish_task(struct gb_pool *pool, struct pool_flow *flow,
+    uint32_t step_number, uint32_t index)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 	struct pool_run *run;
 	uint32_t i;
 
@@ -516,6 +516,7 @@
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
 	struct pool_task *task = &step->tasks[seen->index];
 	/* The first task keeps the failures and the checkpoint of a gang. */
+	/* The first task keeps the failures and the checkpoint of a gang. */
 	struct pool_task *state_task = gang ? &step->tasks[0] : task;
 	struct pool_run *run = task_find_run(task, seen->run, worker);
 	bool finished = flow->status >= GB_FLOW_SUCCEEDED;
