--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -1,7 +1,7 @@
 /**
  * @file dispatch.c
- * Starts what can start: goes through the flows in the order of waiting, asks
- * for advice, places tasks.
+ * Starts what can be started: goes through the waiting flows in their order,
+ * asks for advice and places tasks.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -11,28 +11,29 @@
 #include "crash.h"
 #include "state.h"
 
-/** A new copy of a straggler is started when its run takes this many times as
- * long as was expected. */
-#define DISPATCH_STRAGGLER 2.0
-/** Steps that find no room in one pass before the rest is left for the next:
- * each costs about 4 us at 350 workers. */
-#define DISPATCH_MISSES 80
-/** Room on approved workers, were they empty, over what a step needs: with less
- * a gang waits for nearly all of them to be free at once. */
-#define DISPATCH_CHOICE 3
-/** Gangs that room is booked for in one pass: each costs about 20 us, and what
- * is booked for the tenth is seconds away. */
-#define DISPATCH_RESERVATIONS 10
-/** On the way to the advice service and back, by way of a member. */
-#define DISPATCH_ADVICE_TRAVEL (60 * GB_MSEC)
-/** Room that is made is kept for this long after the stops: reports of workers
- * come within 0.1 s. */
-#define DISPATCH_STOPS (300 * GB_MSEC)
-/** Workers named beside those that are needed when tickets are renewed. */
-#define DISPATCH_SPARE 2
+/** A speculative copy of a task is started when its run has taken this many
+ * times as long as expected. */
+#define DISPATCH_STRAGGLER_RATIO 2.0
+/** Steps without free capacity in one pass, after which the other steps are
+ * left for the next pass: each costs about 4 us with 350 workers. */
+#define DISPATCH_MISSES_MAX 80
+/** A step asks about more workers if the approved ones, were they empty, could
+ * run less than this many times its tasks: with less a gang waits for nearly
+ * all of them to be free at once. */
+#define DISPATCH_SLOTS_RATIO_MIN 3
+/** Gangs for which capacity is reserved in one pass: each costs about 20 us,
+ * and what the tenth gang reserves is seconds away. */
+#define DISPATCH_RESERVATIONS_MAX 10
+/** Time to the advice service and back, through a member. */
+#define DISPATCH_ADVICE_ROUND_TRIP (60 * GB_MSEC)
+/** Capacity freed by preemption stays claimed for this long after the time for
+ * stops: reports of workers arrive within 0.1 s. */
+#define DISPATCH_STOP_REPORT_TIME (300 * GB_MSEC)
+/** Workers named in addition to the needed ones when tickets are renewed. */
+#define DISPATCH_SPARE_WORKERS 2
 
 static uint64_t
-run_number_next(const struct gb_pool *pool, const struct pool_step *step)
+step_next_run_number(const struct gb_pool *pool, const struct pool_step *step)
 {
 	uint64_t base = (pool->epoch - 1) * POOL_RUNS_PER_EPOCH;
 
@@ -40,7 +41,7 @@
 }
 
 static const char *
-ticket_of(
+step_worker_ticket(
     const struct gb_pool *pool, const struct pool_step *step, uint32_t worker)
 {
 	const struct pool_approval *a = pool_fit_ticket(pool, step, worker);
@@ -48,102 +49,107 @@
 	return a == NULL ? NULL : a->ticket;
 }
 
-/** Whether the worker of a start that is stored still takes it; its room is
- * kept, but the worker may have shrunk. */
+/** Whether the worker of a planned start can still take it. Its capacity is
+ * claimed, but the capacity of the worker may have shrunk. */
 static bool
-plan_holds(const struct gb_pool *pool, const struct pool_flow *flow,
+plan_is_startable(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, uint32_t index)
 {
 	const struct pool_worker *worker =
 	    pool_crash_plan_worker(pool, &step->tasks[index]);
-	gb_res room = pool_fit_free(worker);
+	gb_res avail = pool_fit_free(worker);
 
 	return pool_fit_usable(pool, worker, flow->partition) &&
-	       room.cpu >= 0 && room.mem >= 0 && room.accel >= 0 &&
+	       avail.cpu >= 0 && avail.mem >= 0 && avail.accel >= 0 &&
 	       (!POOL_ADVICE_NEEDED(flow) ||
 		   pool_fit_ticket(pool, step, worker->handle) != NULL);
 }
 
 static void
-plan_start(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
+plan_start(struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number,
     uint32_t index, uint64_t run)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 	struct pool_worker *worker =
 	    pool_crash_plan_worker(pool, &step->tasks[index]);
 
 	pool_crash_plans_left(pool, step, index);
-	pool_run_start(pool, flow, number, index, run, worker,
-	    ticket_of(pool, step, worker->handle));
+	pool_run_start(pool, flow, step_number, index, run, worker,
+	    step_worker_ticket(pool, step, worker->handle));
 }
 
-/** Whether a start waits only for its order. */
+/** Whether a planned start is stored and only has to be sent. */
 static bool
-plan_due(const struct pool_flow *flow, const struct pool_task *task)
+plan_is_due(const struct pool_flow *flow, const struct pool_task *task)
 {
 	return task->plan != NULL && !task->done && TAILQ_EMPTY(&task->runs) &&
 	       !pool_crash_held(flow, task);
 }
 
-/** Send the starts of a gang that are stored, all or none. */
+/** Sends the planned starts of a gang once all are stored. Drops them if a
+ * worker can no longer take its task or the quota does not allow them. */
 static void
 gang_start_planned(
-    struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+    struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 	uint32_t count = step->spec->count;
-	bool holds;
+	bool startable;
 	uint64_t run;
 	uint32_t i;
 
 	if (step->active > 0 || step->plans == 0 ||
 	    pool_crash_held_count(flow, step) > 0)
 		return;
-	holds = step->plans == count && pool_quota_fits(pool, flow->org,
-					    &step->spec->res, count) == count;
-	for (i = 0; i < count && holds; i++)
-		holds = plan_holds(pool, flow, step, i);
-	if (!holds) {
+	startable =
+	    step->plans == count &&
+	    pool_quota_fits(pool, flow->org, &step->spec->res, count) == count;
+	for (i = 0; i < count && startable; i++)
+		startable = plan_is_startable(pool, flow, step, i);
+	if (!startable) {
 		pool_crash_plans_drop(pool, step);
 		return;
 	}
-	run = run_number_next(pool, step);
+	run = step_next_run_number(pool, step);
 	for (i = 0; i < count; i++)
-		plan_start(pool, flow, number, i, run);
+		plan_start(pool, flow, step_number, i, run);
 }
 
-/** Send the starts that are stored: their room is kept for them. */
+/** Sends the planned starts that are stored, and drops those whose worker can't
+ * take them or that the quota does not allow. */
 static void
 step_start_planned(
-    struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+    struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 	uint32_t i;
 
 	if ((step->spec->flags & GB_STEP_GANG) != 0) {
-		gang_start_planned(pool, flow, number);
+		gang_start_planned(pool, flow, step_number);
 		return;
 	}
 	for (i = 0; step->plans > 0 && i < step->spec->count; i++) {
-		if (!plan_due(flow, &step->tasks[i]))
+		if (!plan_is_due(flow, &step->tasks[i]))
 			continue;
-		if (plan_holds(pool, flow, step, i) &&
+		if (plan_is_startable(pool, flow, step, i) &&
 		    pool_quota_fits(pool, flow->org, &step->spec->res, 1) == 1)
-			plan_start(
-			    pool, flow, number, i, run_number_next(pool, step));
+			plan_start(pool, flow, step_number, i,
+			    step_next_run_number(pool, step));
 		else
 			pool_crash_plan_drop(pool, step, i);
 	}
 }
 
-/** Start the next waiting tasks on the workers that were found for them. */
+/** Starts the next waiting tasks on the workers found for them. Starts of a
+ * flow that an earlier owner may have begun on lost workers are only planned,
+ * to be stored first. */
 static void
-step_start(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
+step_start(struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number,
     const uint32_t *workers, uint32_t count)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
-	uint64_t run = run_number_next(pool, step);
+	uint64_t run = step_next_run_number(pool, step);
 	uint32_t placed = 0;
 	uint32_t i;
 
@@ -154,14 +160,14 @@
 		    pool_crash_held(flow, task))
 			continue;
 		if (flow->watched) {
-			pool_crash_plan(pool, flow, number, i,
+			pool_crash_plan(pool, flow, step_number, i,
 			    pool->workers[workers[placed++]]);
 			continue;
 		}
-		pool_run_start(pool, flow, number, i,
-		    gang ? run : run_number_next(pool, step),
+		pool_run_start(pool, flow, step_number, i,
+		    gang ? run : step_next_run_number(pool, step),
 		    pool->workers[workers[placed]],
-		    ticket_of(pool, step, workers[placed]));
+		    step_worker_ticket(pool, step, workers[placed]));
 		placed++;
 	}
 }
@@ -175,8 +181,8 @@
 	return *x < *y ? -1 : *x > *y;
 }
 
-/** Keep the room that a placement uses, until the tickets are there or what
- * stands in it has been stopped; ordered by worker. */
+/** Claims the capacity that a placement uses until the tickets arrive or the
+ * preempted runs have ended. The workers must be sorted. */
 static void
 step_claim(struct gb_pool *pool, struct pool_step *step,
     const uint32_t *workers, uint32_t count)
@@ -196,10 +202,11 @@
 	}
 }
 
-/** Whether room that is kept waits for something.  Once all that was stopped
- * for it has ended, or too late, it is given back, to be used at once. */
+/** Whether the claims of a step still wait for tickets or for preempted runs to
+ * end. Once the runs have ended, or it takes too long, the claims are dropped
+ * so that the capacity can be used at once. */
 static bool
-step_claims_wait(struct gb_pool *pool, struct pool_step *step)
+step_waits_for_claims(struct gb_pool *pool, struct pool_step *step)
 {
 	uint32_t i;
 
@@ -209,23 +216,24 @@
 		return true;
 	for (i = 0; i < step->claim_count && pool->now < step->claim_until;
 	     i++) {
-		gb_res room =
+		gb_res avail =
 		    pool_fit_free(pool->workers[step->claims[i].worker]);
 
-		/* What is claimed has been taken off. */
-		if (room.cpu < 0 || room.mem < 0 || room.accel < 0)
+		/* Free capacity excludes what is claimed. */
+		if (avail.cpu < 0 || avail.mem < 0 || avail.accel < 0)
 			return true;
 	}
 	pool_advice_claims_drop(pool, step);
 	return false;
 }
 
-/** Renew tickets for the workers that a placement uses and a few more. */
+/** Renews the tickets for the workers that a placement uses and for a few
+ * more. */
 static void
-step_renew(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
-    uint32_t *workers, uint32_t count, bool claim)
+step_renew_tickets(struct gb_pool *pool, struct pool_flow *flow,
+    uint32_t step_number, uint32_t *workers, uint32_t count, bool claim)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 	uint32_t *names =
 	    gb_calloc(count + step->approved_count, sizeof(*names));
 	uint32_t distinct = 0;
@@ -238,7 +246,8 @@
 		if (distinct == 0 || names[distinct - 1] != workers[i])
 			names[distinct++] = workers[i];
 	}
-	for (i = 0; i < step->approved_count && spare < DISPATCH_SPARE; i++) {
+	for (i = 0; i < step->approved_count && spare < DISPATCH_SPARE_WORKERS;
+	     i++) {
 		const struct pool_worker *worker =
 		    pool_worker_get(pool, step->approved[i].worker);
 
@@ -252,13 +261,13 @@
 		names[distinct++] = worker->handle;
 		spare++;
 	}
-	if (pool_advice_ask(pool, flow, number, names, distinct) && claim &&
-	    (step->spec->flags & GB_STEP_GANG) != 0)
+	if (pool_advice_ask(pool, flow, step_number, names, distinct) &&
+	    claim && (step->spec->flags & GB_STEP_GANG) != 0)
 		step_claim(pool, step, workers, count);
 	free(names);
 }
 
-/** Time that renewing the tickets of a gang takes. */
+/** Expected time to renew the tickets of a gang. */
 static gb_time
 step_advice_time(const struct pool_flow *flow, const struct pool_step *step)
 {
@@ -266,12 +275,12 @@
 
 	return advice->decide_us +
 	       advice->per_item_us * (gb_time)step->spec->count / 2 +
-	       DISPATCH_ADVICE_TRAVEL;
+	       DISPATCH_ADVICE_ROUND_TRIP;
 }
 
-/** Whether all tickets will hold when the booked room is there. */
+/** Whether there is a valid ticket for every worker of a placement. */
 static bool
-step_tickets_hold(const struct gb_pool *pool, const struct pool_step *step,
+step_has_tickets(const struct gb_pool *pool, const struct pool_step *step,
     const uint32_t *workers)
 {
 	uint32_t i;
@@ -283,16 +292,18 @@
 	return true;
 }
 
-/** The gang found no room: keep it for later, and renew the tickets just before
- * it is there, so that the room does not wait for them. */
+/** Handles a gang for which there is not enough free capacity: preempts other
+ * runs or reserves capacity for later. Tickets are renewed just before the
+ * capacity is free, so that it does not wait for them. */
 static void
-step_reserve(struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+step_preempt_or_reserve(
+    struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 
 	uint32_t *workers;
 
-	if (pool->reservations >= DISPATCH_RESERVATIONS)
+	if (pool->reservations >= DISPATCH_RESERVATIONS_MAX)
 		return;
 	pool->reservations++;
 	workers = gb_calloc(step->spec->count, sizeof(*workers));
@@ -301,13 +312,13 @@
 		qsort(workers, step->spec->count, sizeof(*workers),
 		    worker_compare);
 		step_claim(pool, step, workers, step->spec->count);
-		step->claim_until =
-		    pool->now + pool->cfg.limits.stop_us + DISPATCH_STOPS;
+		step->claim_until = pool->now + pool->cfg.limits.stop_us +
+				    DISPATCH_STOP_REPORT_TIME;
 		free(workers);
 		return;
 	case POOL_PREEMPT_TICKETS:
-		step_renew(
-		    pool, flow, number, workers, step->spec->count, false);
+		step_renew_tickets(
+		    pool, flow, step_number, workers, step->spec->count, false);
 		break;
 	case POOL_PREEMPT_NONE:
 		break;
@@ -318,31 +329,32 @@
 	else if (POOL_USES(pool, GB_FEATURE_TICKET_RENEWAL) &&
 		 POOL_ADVICE_NEEDED(flow) && step->renews_in_flight == 0 &&
 		 flow->wait < step_advice_time(flow, step) &&
-		 !step_tickets_hold(pool, step, workers))
-		step_renew(
-		    pool, flow, number, workers, step->spec->count, false);
+		 !step_has_tickets(pool, step, workers))
+		step_renew_tickets(
+		    pool, flow, step_number, workers, step->spec->count, false);
 	free(workers);
 }
 
-/** Too few workers are approved for the step to find room soon: ask about
- * others. */
+/** Asks about more workers if too few are approved for the step to find
+ * capacity soon. */
 static void
-step_ask_more(struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+step_ask_more_workers(
+    struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 
 	if (step->asks_in_flight > 0 ||
 	    step->asked_count >= pool->worker_count ||
 	    pool_fit_slots(pool, flow, step) >=
-		(uint64_t)step->spec->count * DISPATCH_CHOICE)
+		(uint64_t)step->spec->count * DISPATCH_SLOTS_RATIO_MIN)
 		return;
-	pool_advice_ask(pool, flow, number, NULL, 0);
+	pool_advice_ask(pool, flow, step_number, NULL, 0);
 }
 
-/** The quota of its organisation does not admit the step now: it keeps no
- * room from others meanwhile. */
+/** The quota of the organisation does not allow the step now: it drops its
+ * claims meanwhile. */
 static void
-step_quota_waits(
+step_wait_for_quota(
     struct gb_pool *pool, struct pool_flow *flow, struct pool_step *step)
 {
 	flow->wait = 0;
@@ -361,11 +373,13 @@
 	pool_advice_claims_drop(pool, step);
 }
 
-/** Returns whether the step waits for want of room. */
+/** Starts what can be started of a step. Returns whether the step waits for
+ * free capacity. */
 static bool
-step_dispatch(struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+step_dispatch(
+    struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
 	bool advice = POOL_ADVICE_NEEDED(flow);
 	uint32_t wanted = pool_flow_waiting(pool, flow, step);
@@ -374,11 +388,11 @@
 	uint32_t placed = 0;
 	uint32_t *workers;
 
-	if (wanted == 0 || step_claims_wait(pool, step))
+	if (wanted == 0 || step_waits_for_claims(pool, step))
 		return false;
 	allowed = pool_quota_fits(pool, flow->org, &step->spec->res, wanted);
 	if (allowed == 0 || (gang && allowed < wanted)) {
-		step_quota_waits(pool, flow, step);
+		step_wait_for_quota(pool, flow, step);
 		return false;
 	}
 	wanted = allowed;
@@ -389,29 +403,30 @@
 	}
 	if (advice && step->advice == POOL_ADVICE_NONE) {
 		if (step->advice_retry_at <= pool->now)
-			pool_advice_ask(pool, flow, number, NULL, 0);
+			pool_advice_ask(pool, flow, step_number, NULL, 0);
 		return false;
 	}
 	workers = gb_calloc(wanted, sizeof(*workers));
 	started = pool_fit_place(pool, flow, step, wanted, true, workers);
-	step_start(pool, flow, number, workers, started);
+	step_start(pool, flow, step_number, workers, started);
 	if (started < wanted && step->renews_in_flight == 0)
 		placed = pool_fit_place(
 		    pool, flow, step, wanted - started, false, workers);
 	if (placed > 0 && advice && pool_advice_channel_free(pool))
-		step_renew(pool, flow, number, workers, placed, true);
+		step_renew_tickets(
+		    pool, flow, step_number, workers, placed, true);
 	if (advice && started + placed == 0)
-		step_ask_more(pool, flow, number);
+		step_ask_more_workers(pool, flow, step_number);
 	if (gang && started > 0)
 		flow->wait = 0;
 	if (gang && started == 0 && step->claim_count == 0)
-		step_reserve(pool, flow, number);
+		step_preempt_or_reserve(pool, flow, step_number);
 	free(workers);
 	return started + placed == 0;
 }
 
-/** Time until the steps before a step are expected to be done, or a negative
- * number when some of their tasks have not begun. */
+/** Time until the steps before this step are expected to be done, or a negative
+ * number if some of their tasks have no run. */
 static gb_time
 step_ready_in(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step)
@@ -440,12 +455,13 @@
 	return longest;
 }
 
-/** Ask for advice before the step can begin: while its flow is being stored, or
- * while the last tasks before it run. */
+/** Asks for advice before the step can begin: while its flow is being stored,
+ * or while the last tasks before it run. */
 static void
-step_foresee(struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+step_prefetch_advice(
+    struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 	gb_time in;
 
 	if (!POOL_USES(pool, GB_FEATURE_ADVICE_PREFETCH) ||
@@ -456,14 +472,16 @@
 		return;
 	in = step_ready_in(pool, flow, step);
 	if (in >= 0 && in < step_advice_time(flow, step))
-		pool_advice_ask(pool, flow, number, NULL, 0);
+		pool_advice_ask(pool, flow, step_number, NULL, 0);
 }
 
-/** A gang of which an earlier owner left only a part can't go on. */
+/** Stops the runs of a gang of which an earlier owner left only some: it can't
+ * go on. */
 static void
-step_mend(struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+step_stop_incomplete_gang(
+    struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 
 	if ((step->spec->flags & GB_STEP_GANG) == 0 ||
 	    !pool->partitions[flow->partition].reconciled ||
@@ -471,15 +489,16 @@
 	    step->active == step->spec->count)
 		return;
 	pool_flow_stop_step(
-	    pool, flow, number, NULL, "the gang is not complete");
+	    pool, flow, step_number, NULL, "the gang is not complete");
 }
 
-/** Start copies of stragglers where copies are allowed. */
+/** Starts speculative copies of stragglers. */
 static void
-step_copies(struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+step_copy_stragglers(
+    struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
-	struct pool_step *step = &flow->steps[number];
-	gb_time usual;
+	struct pool_step *step = &flow->steps[step_number];
+	gb_time expected;
 	uint32_t worker;
 	uint32_t i;
 
@@ -488,7 +507,7 @@
 	    (step->spec->flags & GB_STEP_GANG) != 0 ||
 	    !pool_flow_step_ready(flow, step))
 		return;
-	usual = pool_rank_estimate(pool, flow, step);
+	expected = pool_rank_estimate(pool, flow, step);
 	for (i = 0; i < step->spec->count; i++) {
 		struct pool_run *run = TAILQ_FIRST(&step->tasks[i].runs);
 
@@ -496,16 +515,16 @@
 		    step->tasks[i].done || run->state == POOL_RUN_STOPPING ||
 		    step->tasks[i].suspect != NULL ||
 		    (double)(pool->now - run->started) <
-			DISPATCH_STRAGGLER * (double)usual)
+			DISPATCH_STRAGGLER_RATIO * (double)expected)
 			continue;
 		if (pool_quota_fits(pool, flow->org, &step->spec->res, 1) ==
 			0 ||
 		    pool_fit_place(pool, flow, step, 1, true, &worker) == 0 ||
 		    pool->workers[worker] == run->worker)
 			continue;
-		pool_run_start(pool, flow, number, i,
-		    run_number_next(pool, step), pool->workers[worker],
-		    ticket_of(pool, step, worker));
+		pool_run_start(pool, flow, step_number, i,
+		    step_next_run_number(pool, step), pool->workers[worker],
+		    step_worker_ticket(pool, step, worker));
 	}
 }
 
@@ -513,7 +532,7 @@
 pool_dispatch_step(struct gb_pool *pool, struct pool_flow *flow, uint32_t step)
 {
 	step_dispatch(pool, flow, step);
-	/* A lane has become free for the next. */
+	/* A channel has become free for the next question. */
 	pool->work_changed = true;
 }
 
@@ -524,10 +543,11 @@
 	    *(const struct pool_flow *const *)b);
 }
 
-/** Whether a flow may begin.  An owner that has not got the version that let
- * the flow in may not know its queue, whose workers need tickets. */
+/** Whether a flow may be dispatched. An owner without the configuration version
+ * by which the flow was accepted may not know its queue, whose workers may need
+ * tickets. */
 static bool
-flow_dispatched(const struct gb_pool *pool, const struct pool_flow *flow)
+flow_is_dispatchable(const struct gb_pool *pool, const struct pool_flow *flow)
 {
 	uint64_t version = pool->config == NULL ? 0 : pool->config->version;
 
@@ -536,9 +556,10 @@
 	       flow->config <= version;
 }
 
-/** What gangs wait for, and what there is. */
+/** Counts the processors that gangs wait for and those of the workers. */
 static void
-crowd_count(struct gb_pool *pool, struct pool_flow **flows, uint32_t count)
+count_gang_demand(
+    struct gb_pool *pool, struct pool_flow **flows, uint32_t count)
 {
 	uint32_t i;
 
@@ -565,25 +586,25 @@
 
 	TAILQ_FOREACH(flow, &pool->open, open_next)
 	{
-		if (!flow_dispatched(pool, flow))
+		if (!flow_is_dispatchable(pool, flow))
 			continue;
 		pool_rank_flow(pool, flow);
 		flows[count++] = flow;
 	}
-	crowd_count(pool, flows, count);
+	count_gang_demand(pool, flows, count);
 	pool_quota_doubt(pool);
 	qsort(flows, count, sizeof(*flows), flow_compare);
 	pool_reservations_clear(pool);
 	pool->waiting_bytes = 0;
 	for (i = 0; i < count; i++) {
 		for (j = 0; j < flows[i]->step_count; j++) {
-			step_mend(pool, flows[i], j);
+			step_stop_incomplete_gang(pool, flows[i], j);
 			step_start_planned(pool, flows[i], j);
-			step_foresee(pool, flows[i], j);
-			if (misses < DISPATCH_MISSES &&
+			step_prefetch_advice(pool, flows[i], j);
+			if (misses < DISPATCH_MISSES_MAX &&
 			    step_dispatch(pool, flows[i], j))
 				misses++;
-			step_copies(pool, flows[i], j);
+			step_copy_stragglers(pool, flows[i], j);
 		}
 	}
 	free(flows);
