--- a/libgooseberry/pool/preempt.c
+++ b/libgooseberry/pool/preempt.c
@@ -1,17 +1,18 @@
 /**
  * @file preempt.c
- * Room made for a gang by stopping work that can wait.
+ * Preemption: capacity is freed for a gang by stopping work that can wait.
  *
- * Load: the pool is four fifths full or more, two fifths of it with imports
- * that have four times their length to end in.  A gang needs room for all its
- * tasks at one moment and has about its own length to spare; booked room comes
- * too late for one in six even on calm days.  A worker saves what a stopped
- * task has done if the task makes checkpoints, so that stopping it costs the
- * time of a stop and of taking the work up again.
+ * Problem: the pool is four fifths full or more, and two fifths of it run
+ * imports that have four times their run time to finish. A gang needs capacity
+ * for all its tasks at one moment and can spare about its own run time. A
+ * reservation comes too late for one gang in six even on quiet days. A worker
+ * saves the state of a stopped task that makes checkpoints, so that stopping it
+ * costs only the time of the stop and of resuming the work.
  *
- * Limits: only a gang that would otherwise miss its objective stops others, and
- * only those that keep theirs by a margin, or can earn nothing any more; a task
- * is stopped for others once, so that nobody is driven from place to place.
+ * Limits: only a gang that would otherwise miss its objective preempts others,
+ * and only tasks of flows that still meet their own by a margin, or can earn
+ * nothing any more. A task is preempted once, so that none is moved from worker
+ * to worker.
  */
 #include <stdlib.h>
 
@@ -19,46 +20,49 @@
 
 #include "state.h"
 
-/** Time that a task must be able to spare to be stopped: the stop, the work
- * taken up again (0.1 to 0.6 s) and a wait for room, 1.4 s for 95 in 100. */
-#define PREEMPT_SLACK (4 * GB_SEC)
-/** Stops that may take longer leave the room idle for too long: with 0.2 s
- * gangs gain, with 0.9 s they do not. */
-#define PREEMPT_STOP_MOST (400 * GB_MSEC)
-/** A task that is expected to end within this is waited for. */
-#define PREEMPT_ENDS_SOON (500 * GB_MSEC)
-/** From the end of a stop until the gang's orders arrive: the worker's report
- * and the next dispatch. */
-#define PREEMPT_DELAY (250 * GB_MSEC)
-/** Pause before the same gang stops more, when others took the room. */
-#define PREEMPT_AGAIN (700 * GB_MSEC)
-/** Pause before it is worked out again whether room could be made: costs up to
- * 0.2 ms for a gang on 350 workers. */
-#define PREEMPT_LOOK (40 * GB_MSEC)
-/** Tasks of one gang, and victims, that are counted on one worker. */
-#define PREEMPT_WORKER_MOST 32
+/** Time that a task must be able to spare to be preempted: the stop, resuming
+ * the work (0.1 to 0.6 s) and a wait for capacity, which is up to 1.4 s in 95
+ * of 100 cases. */
+#define PREEMPT_SPARE_TIME_MIN (4 * GB_SEC)
+/** No preemption if a stop may take longer than this, because the capacity is
+ * idle meanwhile: with 0.2 s gangs gain, with 0.9 s they do not. */
+#define PREEMPT_STOP_TIME_MAX (400 * GB_MSEC)
+/** A task that is expected to end within this time is waited for. */
+#define PREEMPT_TIME_LEFT_MIN (500 * GB_MSEC)
+/** Time from the end of a stop until the start orders of the gang arrive: the
+ * report of the worker and the next dispatch. */
+#define PREEMPT_START_DELAY (250 * GB_MSEC)
+/** Pause before the same gang preempts more, if others took the capacity. */
+#define PREEMPT_RETRY_DELAY (700 * GB_MSEC)
+/** Pause before it is checked again whether preemption could free enough
+ * capacity: a check costs up to 0.2 ms for a gang on 350 workers. */
+#define PREEMPT_CHECK_INTERVAL (40 * GB_MSEC)
+/** Most tasks of one gang, and most victims, that are counted on one worker. */
+#define PREEMPT_WORKER_SLOTS_MAX 32
 
-/** Room for one more task of the gang on a worker, and what it takes. */
+/** Capacity for one more task of the gang on a worker, and the cost of freeing
+ * it. */
 struct preempt_slot {
-	int64_t cost; /**< thousandths of cores that are stopped */
+	int64_t
+	    cost; /**< processors of the runs to be stopped, in thousandths */
 	uint32_t worker;
 };
 
 /** Time that a flow can lose without earning less. */
 static gb_time
-flow_spare(const struct gb_pool *pool, const struct pool_flow *flow)
+flow_spare_time(const struct gb_pool *pool, const struct pool_flow *flow)
 {
-	gb_time until = pool->now + flow->chain;
+	gb_time finish = pool->now + flow->chain;
 
-	if (until <= flow->due)
-		return flow->due - until;
-	if (until <= flow->late_due)
-		return flow->late_due - until;
-	return PREEMPT_SLACK;
+	if (finish <= flow->due)
+		return flow->due - finish;
+	if (finish <= flow->late_due)
+		return flow->late_due - finish;
+	return PREEMPT_SPARE_TIME_MIN;
 }
 
 static bool
-run_may_stop(const struct gb_pool *pool, const struct pool_flow *gang,
+run_is_preemptible(const struct gb_pool *pool, const struct pool_flow *gang,
     const struct pool_run *run)
 {
 	const struct pool_step *step = &run->flow->steps[run->step];
@@ -69,8 +73,8 @@
 	       (step->spec->flags & GB_STEP_GANG) == 0 &&
 	       !step->tasks[run->index].preempted &&
 	       run->flow->status < GB_FLOW_SUCCEEDED &&
-	       pool_run_time_left(pool, run) > PREEMPT_ENDS_SOON &&
-	       flow_spare(pool, run->flow) >= PREEMPT_SLACK;
+	       pool_run_time_left(pool, run) > PREEMPT_TIME_LEFT_MIN &&
+	       flow_spare_time(pool, run->flow) >= PREEMPT_SPARE_TIME_MIN;
 }
 
 static int
@@ -82,9 +86,9 @@
 	return x->res.cpu < y->res.cpu ? -1 : x->res.cpu > y->res.cpu;
 }
 
-/** Runs of a worker that may be stopped, the smallest first. */
+/** Finds the runs of a worker that may be stopped, the smallest first. */
 static uint32_t
-worker_victims(const struct gb_pool *pool, const struct pool_flow *gang,
+worker_find_victims(const struct gb_pool *pool, const struct pool_flow *gang,
     const struct pool_worker *worker, struct pool_run **out)
 {
 	struct pool_run *run;
@@ -92,43 +96,45 @@
 
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		if (count < PREEMPT_WORKER_MOST &&
-		    run_may_stop(pool, gang, run))
+		if (count < PREEMPT_WORKER_SLOTS_MAX &&
+		    run_is_preemptible(pool, gang, run))
 			out[count++] = run;
 	}
 	qsort(out, count, sizeof(*out), run_compare);
 	return count;
 }
 
-/** Room for `most` tasks of a step on a worker; fills in what each takes, and
- * stops what has to be stopped if that is asked for. */
+/** Finds capacity for up to `limit` tasks of a step on a worker and fills in
+ * the cost of each, unless `slots` is null. Stops the runs that must be stopped
+ * for it if `stop` is set. */
 static uint32_t
-worker_free_capacity(struct gb_pool *pool, struct pool_flow *flow,
-    const struct pool_step *step, struct pool_worker *worker, uint32_t most,
+worker_find_slots(struct gb_pool *pool, struct pool_flow *flow,
+    const struct pool_step *step, struct pool_worker *worker, uint32_t limit,
     struct preempt_slot *slots, bool stop)
 {
-	struct pool_run *victims[PREEMPT_WORKER_MOST];
-	uint32_t victim_count = worker_victims(pool, flow, worker, victims);
-	gb_res room = pool_fit_free(worker);
+	struct pool_run *victims[PREEMPT_WORKER_SLOTS_MAX];
+	uint32_t victim_count =
+	    worker_find_victims(pool, flow, worker, victims);
+	gb_res avail = pool_fit_free(worker);
 	int64_t cost = 0;
 	uint32_t next = 0;
 	uint32_t count = 0;
 
-	gb_res_sub(&room, &worker->reserved);
-	while (count < most) {
-		if (gb_res_fits(&step->spec->res, &room)) {
+	gb_res_sub(&avail, &worker->reserved);
+	while (count < limit) {
+		if (gb_res_fits(&step->spec->res, &avail)) {
 			if (slots != NULL) {
 				slots[count].cost = cost;
 				slots[count].worker = worker->handle;
 			}
 			count++;
-			gb_res_sub(&room, &step->spec->res);
+			gb_res_sub(&avail, &step->spec->res);
 			continue;
 		}
 		if (next == victim_count)
 			break;
 		cost += victims[next]->res.cpu;
-		gb_res_add(&room, &victims[next]->res);
+		gb_res_add(&avail, &victims[next]->res);
 		if (stop) {
 			const struct pool_run *run = victims[next];
 
@@ -155,9 +161,10 @@
 	return x->worker < y->worker ? -1 : x->worker > y->worker;
 }
 
-/** Whether the step's orders could go to a worker once the stops are over. */
+/** Whether start orders of the step could be sent to a worker once the stops
+ * are done. */
 static bool
-worker_fits(const struct gb_pool *pool, const struct pool_flow *flow,
+worker_is_eligible(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, const struct pool_worker *worker,
     bool tickets)
 {
@@ -171,42 +178,42 @@
 	ticket = pool_fit_ticket(pool, step, worker->handle);
 	return ticket != NULL &&
 	       ticket->expires >
-		   pool->now + pool->cfg.limits.stop_us + PREEMPT_DELAY;
+		   pool->now + pool->cfg.limits.stop_us + PREEMPT_START_DELAY;
 }
 
-/** All slots that there could be, the cheapest first; the array is freed by the
- * caller. */
+/** Finds all possible slots, the cheapest first. The caller frees the array. */
 static uint32_t
-step_slots(struct gb_pool *pool, struct pool_flow *flow,
+step_find_slots(struct gb_pool *pool, struct pool_flow *flow,
     const struct pool_step *step, bool tickets, struct preempt_slot **out)
 {
 	bool advice = POOL_ADVICE_NEEDED(flow);
-	uint32_t choice = advice ? step->approved_count : pool->worker_count;
-	uint32_t most = step->spec->per_worker == 0 ? step->spec->count
-						    : step->spec->per_worker;
+	uint32_t worker_count =
+	    advice ? step->approved_count : pool->worker_count;
+	uint32_t limit = step->spec->per_worker == 0 ? step->spec->count
+						     : step->spec->per_worker;
 	struct preempt_slot *slots;
 	uint32_t count = 0;
 	uint32_t i;
 
-	if (most > PREEMPT_WORKER_MOST)
-		most = PREEMPT_WORKER_MOST;
-	slots = gb_calloc((size_t)choice * most, sizeof(*slots));
-	for (i = 0; i < choice; i++) {
+	if (limit > PREEMPT_WORKER_SLOTS_MAX)
+		limit = PREEMPT_WORKER_SLOTS_MAX;
+	slots = gb_calloc((size_t)worker_count * limit, sizeof(*slots));
+	for (i = 0; i < worker_count; i++) {
 		struct pool_worker *worker = pool_worker_get(
 		    pool, advice ? step->approved[i].worker : i);
 
-		if (worker_fits(pool, flow, step, worker, tickets))
-			count += worker_free_capacity(pool, flow, step, worker,
-			    most, &slots[count], false);
+		if (worker_is_eligible(pool, flow, step, worker, tickets))
+			count += worker_find_slots(pool, flow, step, worker,
+			    limit, &slots[count], false);
 	}
 	qsort(slots, count, sizeof(*slots), slot_compare);
 	*out = slots;
 	return count;
 }
 
-/** Stop what stands in the way of the cheapest slots. */
+/** Stops the runs that use the capacity of these slots. */
 static void
-slots_clear(struct gb_pool *pool, struct pool_flow *flow,
+slots_stop_runs(struct gb_pool *pool, struct pool_flow *flow,
     const struct pool_step *step, const struct preempt_slot *slots,
     uint32_t count)
 {
@@ -217,14 +224,14 @@
 		tasks[slots[i].worker]++;
 	for (i = 0; i < pool->worker_count; i++) {
 		if (tasks[i] > 0)
-			worker_free_capacity(pool, flow, step, pool->workers[i],
+			worker_find_slots(pool, flow, step, pool->workers[i],
 			    tasks[i], NULL, true);
 	}
 	free(tasks);
 }
 
 static void
-slots_workers(
+slots_fill_workers(
     const struct preempt_slot *slots, uint32_t count, uint32_t *workers)
 {
 	uint32_t i;
@@ -239,33 +246,34 @@
 {
 	gb_time spare = flow->due - flow->chain - pool->now;
 	uint32_t wanted = step->spec->count;
-	enum pool_preempt_result room = POOL_PREEMPT_NONE;
+	enum pool_preempt_result result = POOL_PREEMPT_NONE;
 	struct preempt_slot *slots;
 
 	if (!POOL_USES(pool, GB_FEATURE_PREEMPTION) ||
-	    pool->cfg.limits.stop_us > PREEMPT_STOP_MOST || spare < 0 ||
+	    pool->cfg.limits.stop_us > PREEMPT_STOP_TIME_MAX || spare < 0 ||
 	    step->preempt_at > pool->now || step->renews_in_flight > 0 ||
 	    (step->spec->flags & GB_STEP_SAME_RACK) != 0)
 		return POOL_PREEMPT_NONE;
-	if (step_slots(pool, flow, step, true, &slots) >= wanted) {
-		room = POOL_PREEMPT_STOPPED;
-		slots_workers(slots, wanted, workers);
-		slots_clear(pool, flow, step, slots, wanted);
+	if (step_find_slots(pool, flow, step, true, &slots) >= wanted) {
+		result = POOL_PREEMPT_STOPPED;
+		slots_fill_workers(slots, wanted, workers);
+		slots_stop_runs(pool, flow, step, slots, wanted);
 		gb_event(pool->cfg.events, GB_EVENT_NORMAL, "room_made",
 		    "{s:s, s:I, s:I}", "flow", flow->spec.id, "tasks",
 		    (json_int_t)wanted, "spare_ms",
 		    (json_int_t)(spare / GB_MSEC));
 	} else if (POOL_ADVICE_NEEDED(flow)) {
 		free(slots);
-		if (step_slots(pool, flow, step, false, &slots) >= wanted) {
-			room = POOL_PREEMPT_TICKETS;
-			slots_workers(slots, wanted, workers);
+		if (step_find_slots(pool, flow, step, false, &slots) >=
+		    wanted) {
+			result = POOL_PREEMPT_TICKETS;
+			slots_fill_workers(slots, wanted, workers);
 		}
 	}
 	free(slots);
 	step->preempt_at =
-	    pool->now + (room == POOL_PREEMPT_STOPPED
-				? pool->cfg.limits.stop_us + PREEMPT_AGAIN
-				: PREEMPT_LOOK);
-	return room;
+	    pool->now + (result == POOL_PREEMPT_STOPPED
+				? pool->cfg.limits.stop_us + PREEMPT_RETRY_DELAY
+				: PREEMPT_CHECK_INTERVAL);
+	return result;
 }
