--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -516,7 +516,6 @@
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
 	struct pool_task *task = &step->tasks[seen->index];
 	/* The first task keeps the failures and the checkpoint of a gang. */
-	/* The first task keeps the failures and the checkpoint of a gang. */
 	struct pool_task *state_task = gang ? &step->tasks[0] : task;
 	struct pool_run *run = task_find_run(task, seen->run, worker);
 	bool finished = flow->status >= GB_FLOW_SUCCEEDED;
