--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -14,8 +14,8 @@
  * worker was not seen alive since. A task that ran on a crashed worker becomes
  * a crash suspect. It is started again only once that is stored, on the
  * emptiest worker, and nothing else is started there until the worker has been
- * seen alive after it. The second crash therefore tells the task from its
- * neighbours, and its flow fails.
+ * seen alive after it. The second crash therefore distinguishes the task from
+ * the others, and its flow fails.
  *
  * Owners may be killed as well, before they notice that the worker does not
  * answer. A new owner that finds a worker lost without knowing what ran there
