--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -1,10 +1,11 @@
 /**
  * @file worker.c
- * Workers: their entries, clocks and leases, and the holds that renew these.
+ * Workers: their entries, clocks and leases, and the heartbeats that renew the
+ * leases.
  *
- * A worker's lease is counted on its own clock, which may be 2% slow; the owner
- * knows a reading of that clock and when it came, and so a time by which every
- * lease that it sent is surely over.
+ * The lease of a worker is counted on its own clock, which may be 2% slow. The
+ * owner knows one reading of that clock and when it arrived, and derives a time
+ * by which every lease that it sent has certainly expired.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,40 +15,48 @@
 #include "crash.h"
 #include "state.h"
 
-/** Lease given with each order and hold; as long as a worker grants, but no
- * longer than this: what a lost worker runs can start anew only after it, and
- * a takeover must come well before it. */
-#define LEASE_MOST (3500 * GB_MSEC)
-/** Longest wait of a hold for an end: of a worker with work, so that progress
- * is seen and a lost answer is missed soon, and without. */
+/** Longest lease given with an order or heartbeat, even if the worker would
+ * grant a longer one: tasks of a lost worker can start again only after it, and
+ * a takeover must be done well before it ends. */
+#define LEASE_MAX (3500 * GB_MSEC)
+/** How long the answer to a heartbeat may wait for the end of a run. It is
+ * short for a worker with runs, so that progress is seen and a lost answer is
+ * noticed soon. */
 #define HEARTBEAT_WAIT_BUSY (400 * GB_MSEC)
 #define HEARTBEAT_WAIT_IDLE (1800 * GB_MSEC)
-/** Where answers of workers were lost lately, a hold of one with work ends this
- * much after the next run is expected to, but is no shorter than the least. */
-#define HEARTBEAT_PAST_END (60 * GB_MSEC)
-#define HEARTBEAT_WAIT_LEAST (150 * GB_MSEC)
-/** Answers that are lost come in spells of some seconds. */
-#define HEARTBEAT_LOST_LATELY (5 * GB_SEC)
-/** Pause after a hold that told of ends: gathers the next ones, because each
- * look at a worker is paid for, and lets the store confirm these, since the
- * worker answers at once as long as one is not acknowledged. */
-#define HEARTBEAT_GAP (60 * GB_MSEC)
-/** Where workers are asked in turn, a busy one waits this much, in
- * microseconds, for each worker there is, which bounds the calls of all. */
-#define HEARTBEAT_TURNAROUND 250
-/** Pause after a hold without answer, times the number of those before it: the
- * first is asked again at once, since ends may wait behind a lost answer. */
-#define HEARTBEAT_RETRY (100 * GB_MSEC)
-#define HEARTBEAT_RETRY_MOST (800 * GB_MSEC)
-/** Holds without answer in a row after which the lease is left to lapse. */
+/** If answers of workers were lost recently, a heartbeat to a worker with runs
+ * waits until this long after the next expected end of a run, but at least for
+ * the minimum. */
+#define HEARTBEAT_END_DELAY (60 * GB_MSEC)
+#define HEARTBEAT_WAIT_MIN (150 * GB_MSEC)
+/** How long after a lost answer this applies: answers are lost in periods of
+ * some seconds. */
+#define HEARTBEAT_LOSS_PERIOD (5 * GB_SEC)
+/** Pause after a heartbeat whose answer reported ends. It collects the next
+ * ends, because every heartbeat uses a part of the link, and lets the store
+ * confirm these, since the worker answers at once while an end is not
+ * acknowledged. */
+#define HEARTBEAT_PAUSE (60 * GB_MSEC)
+/** Where workers are asked in turn, the pause before the next heartbeat to a
+ * worker with runs is this long, in microseconds, times the number of workers.
+ * This limits the rate of all heartbeats. */
+#define HEARTBEAT_PAUSE_PER_WORKER_US 250
+/** Pause after a heartbeat without answer, times the number of unanswered ones
+ * before it. The first is retried at once, since ends may wait behind a lost
+ * answer. */
+#define HEARTBEAT_RETRY_DELAY (100 * GB_MSEC)
+#define HEARTBEAT_RETRY_DELAY_MAX (800 * GB_MSEC)
+/** Heartbeats without answer in a row after which the lease is no longer
+ * renewed and may lapse. */
 #define HEARTBEAT_RENEW_TRIES 2
-/** A worker that answered so short a time ago has not started again since. */
-#define HEARTBEAT_PROOF (20 * GB_MSEC)
-/** Answers to mere questions in a row after which that is not waited for:
- * connections to the worker may never stand for two calls. */
-#define HEARTBEAT_QUESTIONS 2
-/** A worker that is not listed is asked this often before it is left alone: its
- * entry may come back for 2 s after an outage of the store. */
+/** A worker that answered within this time has not restarted since. */
+#define HEARTBEAT_CONFIRMED_TIME (20 * GB_MSEC)
+/** Answers in a row that only reported, without renewing the lease, after which
+ * a heartbeat counts as confirmed without a recent answer: connections to the
+ * worker may never stay open for two calls. */
+#define HEARTBEAT_REPORTS_ONLY_MAX 2
+/** Heartbeats without answer after which a worker that is not listed gets no
+ * more: its entry may come back for 2 s after an outage of the store. */
 #define HEARTBEAT_UNLISTED_TRIES 8
 
 struct pool_worker *
@@ -68,13 +77,12 @@
 gb_time
 pool_worker_lease_most(const struct gb_pool *pool)
 {
-	return pool->cfg.limits.lease_us < LEASE_MOST
-		   ? pool->cfg.limits.lease_us
-		   : LEASE_MOST;
+	return pool->cfg.limits.lease_us < LEASE_MAX ? pool->cfg.limits.lease_us
+						     : LEASE_MAX;
 }
 
-/** End of a lease that begins now, on the worker's clock; 0 while the clock is
- * not known.  Remembers when it is surely over. */
+/** Returns the end of a lease that begins now, on the worker's clock, or 0
+ * while the clock is unknown. Records when the lease has certainly expired. */
 int64_t
 pool_worker_lease(
     struct gb_pool *pool, struct pool_worker *worker, gb_time *lapse)
@@ -82,23 +90,25 @@
 	gb_time lease = pool_worker_lease_most(pool);
 	gb_time since = pool->now - worker->clock_at;
 	int64_t end_ms = worker->clock_ms + (since + lease) / GB_MSEC;
-	gb_time over;
+	gb_time expiry;
 
 	if (worker->clock_ms == 0)
 		return 0;
-	over = worker->clock_at + (since + lease) * 1000 / POOL_CLOCK_SLOWEST +
-	       POOL_LEASE_MARGIN;
-	if (over > worker->lapse_at)
-		worker->lapse_at = over;
+	expiry = worker->clock_at +
+		 (since + lease) * 1000 / POOL_CLOCK_SLOWEST +
+		 POOL_LEASE_MARGIN;
+	if (expiry > worker->lapse_at)
+		worker->lapse_at = expiry;
 	if (lapse != NULL)
-		*lapse = over;
+		*lapse = expiry;
 	if (end_ms > worker->lease_end_ms)
 		worker->lease_end_ms = end_ms;
 	return end_ms;
 }
 
-/** Which task was lost with which worker, and how long it had run: tells a task
- * that crashes its workers from one that was on a worker that crashed. */
+/** Records which task was lost with which worker and how long it had run. This
+ * distinguishes a task that crashes its workers from one that only ran on a
+ * worker that crashed. */
 static void
 run_lost_event(struct gb_pool *pool, const struct pool_run *run, bool crashed)
 {
@@ -119,7 +129,7 @@
 pool_worker_run_lost(struct gb_pool *pool, struct pool_run *run, bool crashed)
 {
 	struct pool_flow *flow = run->flow;
-	uint32_t number = run->step;
+	uint32_t step = run->step;
 
 	run_lost_event(pool, run, crashed);
 	if (crashed) {
@@ -131,14 +141,15 @@
 	}
 	pool_run_free(pool, run);
 	pool_flow_gang_broken(
-	    pool, flow, number, "the worker of a member was lost");
+	    pool, flow, step, "the worker of a member was lost");
 }
 
-/** All that a worker ran is over, and nothing can begin on it any more.  Of a
- * run whose order is still out the answer tells whether it was there at all:
- * starts that met the next lifetime are no crashes. */
+/** Drops the runs of a worker: all have ended and none can begin any more. Only
+ * a run whose single start order is in flight is kept, if the worker has ended,
+ * because the answer shows whether the run ever began. Starts that reached the
+ * next incarnation are no crashes. */
 static void
-worker_runs_drop(
+worker_lose_runs(
     struct gb_pool *pool, struct pool_worker *worker, const char *why)
 {
 	struct pool_run *run;
@@ -171,12 +182,12 @@
 		worker->missed = pool->now;
 	pool->stats.workers_ended++;
 	pool_worker_set_mark(pool, worker);
-	worker_runs_drop(pool, worker, why);
+	worker_lose_runs(pool, worker, why);
 	pool_crash_worker_known(pool, worker, true);
 }
 
 static void
-worker_silent(struct gb_pool *pool, struct pool_worker *worker)
+worker_heartbeat_missed(struct gb_pool *pool, struct pool_worker *worker)
 {
 	gb_time pause;
 
@@ -185,10 +196,10 @@
 		pool_incarnation_fence(worker);
 		pool_crash_worker_missed(pool, worker);
 	}
-	pause = HEARTBEAT_RETRY * (gb_time)(worker->silent - 1);
-	worker->heartbeat_at =
-	    pool->now +
-	    (pause < HEARTBEAT_RETRY_MOST ? pause : HEARTBEAT_RETRY_MOST);
+	pause = HEARTBEAT_RETRY_DELAY * (gb_time)(worker->silent - 1);
+	worker->heartbeat_at = pool->now + (pause < HEARTBEAT_RETRY_DELAY_MAX
+						   ? pause
+						   : HEARTBEAT_RETRY_DELAY_MAX);
 	if (worker->silent == 1)
 		gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "worker_silent",
 		    "{s:s, s:I, s:I}", "worker", worker->entry.id, "runs",
@@ -196,26 +207,27 @@
 		    (json_int_t)((pool->now - worker->answered) / GB_MSEC));
 }
 
-/** A hold that waits keeps a connection, and orders need another: with many
- * workers there are not enough for both, and they are asked in turn. */
+/** Whether there are too few connections for heartbeats that wait. Such a
+ * heartbeat keeps a connection, and orders need another one; with many workers
+ * they are asked in turn instead. */
 static bool
-heartbeats_are_short(const struct gb_pool *pool)
+connections_are_short(const struct gb_pool *pool)
 {
 	return pool->cfg.limits.connections > 0 &&
 	       pool->worker_count * 2 > pool->cfg.limits.connections;
 }
 
-/** Pause after a hold that was answered. */
+/** Pause after a heartbeat that was answered. */
 static gb_time
 heartbeat_pause(
     const struct gb_pool *pool, const struct pool_worker *worker, size_t ended)
 {
-	if (heartbeats_are_short(pool))
-		return worker->run_count > 0
-			   ? HEARTBEAT_TURNAROUND * (gb_time)pool->worker_count
-			   : HEARTBEAT_WAIT_IDLE;
+	if (connections_are_short(pool))
+		return worker->run_count > 0 ? HEARTBEAT_PAUSE_PER_WORKER_US *
+						   (gb_time)pool->worker_count
+					     : HEARTBEAT_WAIT_IDLE;
 	return pool_pace_heartbeat_delay(
-	    pool, ended == 0 ? GB_MSEC : HEARTBEAT_GAP);
+	    pool, ended == 0 ? GB_MSEC : HEARTBEAT_PAUSE);
 }
 
 void
@@ -232,7 +244,7 @@
 		return;
 	if (report == NULL || report->status == GB_POOL_ORDER_LOST ||
 	    report->status == GB_POOL_ORDER_REFUSED) {
-		worker_silent(pool, worker);
+		worker_heartbeat_missed(pool, worker);
 		return;
 	}
 	if (pool_incarnation_fenced_off(pool, call, report->status))
@@ -247,7 +259,7 @@
 		return;
 	}
 	if (report->status != GB_POOL_ORDER_DONE) {
-		worker_silent(pool, worker);
+		worker_heartbeat_missed(pool, worker);
 		return;
 	}
 	if (worker->silent > 0) {
@@ -273,7 +285,7 @@
 						report->ended_count));
 }
 
-/** How long a hold may wait for an end. */
+/** How long the answer to a heartbeat may wait for the end of a run. */
 static gb_time
 heartbeat_wait(const struct gb_pool *pool, const struct pool_worker *worker)
 {
@@ -284,19 +296,19 @@
 	if (worker->run_count == 0)
 		return HEARTBEAT_WAIT_IDLE;
 	if (pool->answer_lost == 0 ||
-	    pool->now - pool->answer_lost > HEARTBEAT_LOST_LATELY)
+	    pool->now - pool->answer_lost > HEARTBEAT_LOSS_PERIOD)
 		return wait;
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		left = pool_run_time_left(pool, run) + HEARTBEAT_PAST_END;
+		left = pool_run_time_left(pool, run) + HEARTBEAT_END_DELAY;
 		if (left < wait)
 			wait = left;
 	}
-	return wait > HEARTBEAT_WAIT_LEAST ? wait : HEARTBEAT_WAIT_LEAST;
+	return wait > HEARTBEAT_WAIT_MIN ? wait : HEARTBEAT_WAIT_MIN;
 }
 
 static void
-worker_heartbeat(struct gb_pool *pool, struct pool_worker *worker)
+worker_heartbeat_send(struct gb_pool *pool, struct pool_worker *worker)
 {
 	struct pool_call *call = pool_call_new(pool, POOL_CALL_HEARTBEAT);
 	struct gb_pool_heartbeat heartbeat = {0};
@@ -310,27 +322,28 @@
 	heartbeat.worker = worker->entry.id;
 	heartbeat.addr = worker->entry.addr;
 	heartbeat.token = pool_incarnation_token(pool, worker);
-	/* A hold without answer may still renew the lease: a worker that stays
-	 * silent is asked without doing so, or its runs would never lapse. */
+	/* A heartbeat without answer may still renew the lease. A worker that
+	 * stays silent is asked without renewing it, or its runs would never
+	 * lapse. */
 	if (worker->silent < HEARTBEAT_RENEW_TRIES)
 		heartbeat.lease_end_ms = pool_worker_lease(pool, worker, NULL);
 	heartbeat.cursor = worker->acked;
 	heartbeat.incarnation = worker->incarnation;
 	heartbeat.confirmed =
 	    pool_incarnation_confirmed(worker) &&
-	    (pool->now - worker->answered <= HEARTBEAT_PROOF ||
-		worker->questions >= HEARTBEAT_QUESTIONS);
+	    (pool->now - worker->answered <= HEARTBEAT_CONFIRMED_TIME ||
+		worker->questions >= HEARTBEAT_REPORTS_ONLY_MAX);
 	call->token = heartbeat.token;
 	call->lease = heartbeat.lease_end_ms != 0;
 	if (worker->fenced && worker->silent == 0 && !worker->maybe_restarted &&
-	    !heartbeats_are_short(pool))
+	    !connections_are_short(pool))
 		heartbeat.wait_us = heartbeat_wait(pool, worker);
 	pool->stats.heartbeats++;
 	pool->ops.heartbeat(pool->ops.data, call->id, &heartbeat);
 }
 
 static void
-runs_tick(struct gb_pool *pool, struct pool_worker *worker)
+worker_runs_tick(struct gb_pool *pool, struct pool_worker *worker)
 {
 	struct pool_run *run;
 
@@ -346,10 +359,11 @@
 	}
 }
 
-/** Whether a worker is asked what it runs.  One that was never offered for
- * work, and that no owner has recorded, has nothing to tell. */
+/** Whether a worker gets heartbeats. A worker that was never offered for work,
+ * and that no owner has recorded, has nothing to report. */
 static bool
-worker_held(const struct gb_pool *pool, const struct pool_worker *worker)
+worker_needs_heartbeat(
+    const struct gb_pool *pool, const struct pool_worker *worker)
 {
 	if (pool_worker_offered(worker) || worker->run_count > 0 ||
 	    !STAILQ_EMPTY(&worker->losses))
@@ -359,7 +373,8 @@
 		   !pool_owner_reconciled(pool));
 }
 
-/** Returns false when the link left no room for a look at the worker. */
+/** Does what is due for a worker. Returns false if the link has no capacity for
+ * its heartbeat. */
 static bool
 worker_tick(struct gb_pool *pool, struct pool_worker *worker)
 {
@@ -367,18 +382,18 @@
 		pool_worker_set_mark(pool, worker);
 	if (worker->over)
 		return true;
-	runs_tick(pool, worker);
+	worker_runs_tick(pool, worker);
 	if (worker->silent > 0 && worker->run_count > 0 &&
 	    worker->lapse_at < pool->now)
-		worker_runs_drop(pool, worker, "its lease has lapsed");
+		worker_lose_runs(pool, worker, "its lease has lapsed");
 	if (worker->heartbeat_call != 0 || worker->heartbeat_at > pool->now ||
-	    !worker_held(pool, worker))
+	    !worker_needs_heartbeat(pool, worker))
 		return true;
 	if (!pool_pace_may_send_heartbeat(pool) ||
 	    (!worker->fenced &&
 		pool->first_heartbeats >= pool_pace_first_heartbeats(pool)))
 		return false;
-	worker_heartbeat(pool, worker);
+	worker_heartbeat_send(pool, worker);
 	return true;
 }
 
@@ -388,16 +403,16 @@
 	uint32_t count = pool->worker_count;
 	uint32_t from = count == 0 ? 0 : pool->tick_from % count;
 	uint64_t term = pool->term;
-	bool left = false;
+	bool deferred = false;
 	uint32_t i;
 
 	for (i = 0; i < count && pool->term == term; i++) {
-		uint32_t number = (from + i) % count;
+		uint32_t handle = (from + i) % count;
 
-		if (worker_tick(pool, pool->workers[number]) || left)
+		if (worker_tick(pool, pool->workers[handle]) || deferred)
 			continue;
-		left = true;
-		pool->tick_from = number;
+		deferred = true;
+		pool->tick_from = handle;
 	}
 }
 
@@ -422,7 +437,7 @@
 	return worker;
 }
 
-/** A new term: nothing is known of what the workers run. */
+/** Begins a new term: nothing is known of what the workers run. */
 void
 pool_workers_reset(struct gb_pool *pool)
 {
