--- a/libgooseberry/pool/incarnation.c
+++ b/libgooseberry/pool/incarnation.c
@@ -1,14 +1,15 @@
 /**
  * @file incarnation.c
- * Lives of workers.  A worker may start again under its id: it then runs
+ * Incarnations of workers. A worker may restart under its id. It then runs
  * nothing, has seen no fencing token, and its clock and the numbers of its ends
- * begin anew, so that nothing that is known of one life holds for another.
+ * begin anew, so that nothing known of one incarnation holds for another.
  *
- * A life is told by the time of day of its start, which jumps: two numbers say
- * that two lives differ, not which of them came first.  Reports tell that,
- * since only one hold is out at a time: what answers a hold was alive after
- * what answered the one before it.  Entries of the list and answers to orders
- * may be older than that, and only make the owner ask.
+ * An incarnation is identified by the time of day of its start, and that clock
+ * may jump: two numbers show that two incarnations differ, but not which came
+ * first. Reports do show it, since only one heartbeat is in flight at a time:
+ * what answers a heartbeat was alive after what answered the one before.
+ * Entries of the list and answers to orders may be older than that, and only
+ * make the owner send a heartbeat.
  */
 #include <stdlib.h>
 
@@ -17,8 +18,8 @@
 #include "crash.h"
 #include "state.h"
 
-/** Readings of one clock differ from what is expected by the time that answers
- * are on their way. */
+/** Readings of one clock may differ from the expected value by this much,
+ * because of the time that answers take. */
 #define INCARNATION_CLOCK_SLACK_MS 2000
 
 uint64_t
@@ -31,9 +32,10 @@
 void
 pool_incarnation_fence(struct pool_worker *worker)
 {
-	bool told = worker->incarnation != 0 || worker->entry.incarnation != 0;
+	bool has_incarnation =
+	    worker->incarnation != 0 || worker->entry.incarnation != 0;
 
-	if (told && worker->fence + 1 < POOL_FENCES_PER_EPOCH)
+	if (has_incarnation && worker->fence + 1 < POOL_FENCES_PER_EPOCH)
 		worker->fence++;
 }
 
@@ -74,7 +76,7 @@
 		return;
 	worker->maybe_restarted = true;
 	pool_incarnation_fence(worker);
-	/* A hold that is out may wait on a connection that has ended. */
+	/* A heartbeat in flight may wait on a connection that has ended. */
 	worker->heartbeat_call = 0;
 	worker->heartbeat_at = pool->now;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_doubted",
@@ -86,9 +88,9 @@
 
 /* Clocks ------------------------------------------------------------------ */
 
-/** Whether a reading can be of the clock that was read before. */
+/** Whether a reading can come from the clock that was read before. */
 static bool
-clock_fits(const struct gb_pool *pool, const struct pool_worker *worker,
+clock_is_plausible(const struct gb_pool *pool, const struct pool_worker *worker,
     int64_t clock_ms)
 {
 	int64_t passed = (pool->now - worker->clock_at) / GB_MSEC;
@@ -100,7 +102,7 @@
 }
 
 static void
-clock_take(struct gb_pool *pool, struct pool_worker *worker, int64_t clock_ms)
+clock_set(struct gb_pool *pool, struct pool_worker *worker, int64_t clock_ms)
 {
 	if (clock_ms <= 0)
 		return;
@@ -114,14 +116,14 @@
 {
 	struct pool_worker *worker = pool_worker_get(pool, call->worker);
 
-	/* The life before this one may have answered. */
+	/* The previous incarnation may have answered. */
 	if (worker == NULL || worker->over ||
 	    call->sent <= worker->incarnation_since)
 		return;
 	if ((res->incarnation == 0 ||
 		res->incarnation == worker->incarnation) &&
-	    clock_fits(pool, worker, res->clock_ms)) {
-		clock_take(pool, worker, res->clock_ms);
+	    clock_is_plausible(pool, worker, res->clock_ms)) {
+		clock_set(pool, worker, res->clock_ms);
 		return;
 	}
 	if (res->clock_ms <= 0)
@@ -130,7 +132,7 @@
 	incarnation_suspect_restart(pool, worker, "the answer to an order");
 }
 
-/* A new life -------------------------------------------------------------- */
+/* A new incarnation ------------------------------------------------------- */
 
 static void
 incarnation_event(struct gb_pool *pool, const struct pool_worker *worker,
@@ -147,8 +149,9 @@
 	    "clock_before_ms", (json_int_t)worker->clock_ms);
 }
 
-/** Whether a run was surely one of the life before: its start was answered
- * before the new life told what it runs, and that is not among it. */
+/** Whether a run certainly belonged to the previous incarnation: its start was
+ * confirmed before the heartbeat was sent that the new incarnation answered,
+ * and the report does not list the run. */
 static bool
 run_of_earlier_incarnation(const struct pool_run *run, gb_time sent,
     const struct gb_pool_report *report)
@@ -158,8 +161,8 @@
 	       (report == NULL || !pool_report_names(report, run));
 }
 
-/** Runs of the life before are lost with it.  Others may have reached the new
- * one; copies of their orders that are still on their way are fenced off. */
+/** Loses the runs of the previous incarnation. Others may have reached the new
+ * one; copies of their orders that are still in flight are fenced off. */
 static void
 incarnation_runs_lost(struct gb_pool *pool, struct pool_worker *worker,
     gb_time sent, const struct gb_pool_report *report)
@@ -179,26 +182,27 @@
 	}
 }
 
-/** A lease that was counted on the clock of the life before lies anywhere on
- * the new one, and never shortens. */
+/** Works out until when the new incarnation may have a lease. The end of a
+ * lease that was sent to the previous one may be at any distance on the new
+ * clock, and workers never shorten a lease. */
 static void
 incarnation_lease_begin(struct gb_pool *pool, struct pool_worker *worker,
     const struct pool_call *call, const struct gb_pool_report *report)
 {
-	bool reached = (call->lease && !report->question) ||
-		       worker->lease_uncertain || report->running_count > 0 ||
-		       report->ended_count > 0;
+	bool maybe_leased =
+	    (call->lease && !report->question) || worker->lease_uncertain ||
+	    report->running_count > 0 || report->ended_count > 0;
 	int64_t left = worker->lease_end_ms - report->clock_ms;
 
 	worker->lapse_at = pool->now;
-	if (reached && left > 0)
+	if (maybe_leased && left > 0)
 		worker->lapse_at += left * GB_MSEC * 1000 / POOL_CLOCK_SLOWEST +
 				    POOL_LEASE_MARGIN;
 	else
 		worker->lease_end_ms = 0;
 }
 
-/** Nothing is known of a life. */
+/** Clears what was known of an incarnation. */
 static void
 incarnation_clear(struct pool_worker *worker)
 {
@@ -225,16 +229,17 @@
 	worker->leaving =
 	    worker->entry.draining && pool_incarnation_listed(worker);
 	pool_incarnation_fence(worker);
-	/* A successor compares the life that answers it with the stored one. */
+	/* A successor compares the incarnation that answers it with the stored
+	 * one. */
 	pool_worker_set_mark(pool, worker);
 	pool->work_changed = true;
 }
 
-/** Whether a report is of another life than the one that answered before.  Two
- * starts may fall on the same time of day, once that has jumped: then the clock
- * tells. */
+/** Whether a report comes from another incarnation than the one that answered
+ * before. After a jump of the clock two starts may have the same time of day:
+ * then the worker's clock shows it. */
 static bool
-report_is_anothers(
+report_is_other_incarnation(
     const struct pool_worker *worker, const struct gb_pool_report *report)
 {
 	return report->incarnation != worker->incarnation ||
@@ -243,7 +248,7 @@
 		       worker->clock_ms - INCARNATION_CLOCK_SLACK_MS);
 }
 
-/** The first answer to this owner. */
+/** Applies the first answer to this owner. */
 static void
 incarnation_first(
     struct gb_pool *pool, struct pool_worker *worker, int64_t incarnation)
@@ -267,7 +272,7 @@
 {
 	if (!worker->fenced) {
 		incarnation_first(pool, worker, report->incarnation);
-	} else if (report_is_anothers(worker, report)) {
+	} else if (report_is_other_incarnation(worker, report)) {
 		incarnation_event(pool, worker, report->incarnation, report);
 		pool->stats.workers_ended++;
 		incarnation_runs_lost(pool, worker, call->sent, report);
@@ -275,15 +280,15 @@
 		incarnation_begin(pool, worker, report->incarnation);
 	}
 	worker->maybe_restarted = false;
-	clock_take(pool, worker, report->clock_ms);
+	clock_set(pool, worker, report->clock_ms);
 }
 
 /* Entries ----------------------------------------------------------------- */
 
-/** Reports don't tell lives, entries do: these come in the order in which they
- * were written. */
+/** Applies an entry where reports do not name the incarnation but entries do:
+ * entries arrive in the order in which they were written. */
 static void
-entry_begins(struct gb_pool *pool, struct pool_worker *worker,
+entry_begin_incarnation(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_entry *entry)
 {
 	if (!worker->fenced || worker->incarnation != 0 ||
@@ -297,9 +302,10 @@
 	incarnation_begin(pool, worker, 0);
 }
 
-/** The life that was over is not the one that is listed. */
+/** Takes the worker into use again: the listed incarnation is not the one that
+ * has ended. */
 static void
-entry_revives(struct gb_pool *pool, struct pool_worker *worker,
+entry_revive_worker(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_entry *entry)
 {
 	incarnation_clear(worker);
@@ -324,10 +330,10 @@
 		return;
 	if (worker->over) {
 		if (entry->incarnation != worker->ended_incarnation)
-			entry_revives(pool, worker, entry);
+			entry_revive_worker(pool, worker, entry);
 		return;
 	}
-	entry_begins(pool, worker, entry);
+	entry_begin_incarnation(pool, worker, entry);
 	if (worker->incarnation != 0 &&
 	    entry->incarnation != worker->incarnation)
 		incarnation_suspect_restart(pool, worker, "its entry");
