--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -2,9 +2,10 @@
  * @file run.c
  * Runs of tasks on workers: orders to start and to stop them.
  *
- * An order without answer may be carried out seconds later: it is followed by a
- * stop, which also refuses a start that comes later, or by its own lease end.
- * Room is given back only when the end of a run is proved.
+ * An order without answer may be carried out seconds later. It is followed by a
+ * stop, which also makes the worker refuse a start that arrives later, or by
+ * the end of its own lease. Capacity is released only when the end of a run is
+ * certain.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,13 +15,13 @@
 #include "crash.h"
 #include "state.h"
 
-/** Orders to start that are sent before a run is given up: each is waited for
- * 0.3 s, and a gang for 3 s. */
-#define START_TRIES 4
-/** A stop without answer is sent again after this. */
-#define STOP_RETRY (500 * GB_MSEC)
-/** A worker that refuses orders is given none for this long. */
-#define REFUSED_QUARANTINE (700 * GB_MSEC)
+/** Start orders that are sent before a run is given up: each is waited for
+ * 0.3 s, and the members of a gang for 3 s. */
+#define START_TRIES_MAX 4
+/** A stop without answer is sent again after this time. */
+#define STOP_RETRY_DELAY (500 * GB_MSEC)
+/** A worker that refuses orders is quarantined for this long. */
+#define REFUSED_QUARANTINE_TIME (700 * GB_MSEC)
 
 struct pool_run *
 pool_run_new(struct gb_pool *pool, struct pool_flow *flow, uint32_t step,
@@ -64,7 +65,8 @@
 	pool_call_forget(pool, run->start_call);
 	pool_call_forget(pool, run->stop_call);
 	if (task->plan != NULL) {
-		/* Or a successor would take a later loss for one under it. */
+		/* Otherwise a successor would take a later loss of the worker
+		 * for one with this run. */
 		pool_crash_plan_drop(pool, step, run->index);
 		pool_flow_changed(pool, run->flow, false);
 	}
@@ -86,7 +88,7 @@
 }
 
 static void
-run_order(const struct gb_pool *pool, const struct pool_run *run,
+run_fill_order(const struct gb_pool *pool, const struct pool_run *run,
     struct gb_pool_order *order)
 {
 	memset(order, 0, sizeof(*order));
@@ -99,7 +101,7 @@
 	order->token = pool_incarnation_token(pool, run->worker);
 }
 
-/** Send the order to start a run; the worker takes the same order twice as
+/** Sends the order to start a run. The worker treats a repeated order as
  * one. */
 static void
 run_start_send(struct gb_pool *pool, struct pool_run *run, const char *ticket)
@@ -114,7 +116,7 @@
 	run->start_call = call->id;
 	run->state = POOL_RUN_STARTING;
 	run->tries++;
-	run_order(pool, run, &order);
+	run_fill_order(pool, run, &order);
 	order.spec = run->flow->spec.spec;
 	order.lease_end_ms =
 	    pool_worker_lease(pool, run->worker, &run->lapse_at);
@@ -162,8 +164,8 @@
 	call->run = run;
 	call->worker = run->worker->handle;
 	run->stop_call = call->id;
-	run->stop_at = pool->now + STOP_RETRY;
-	run_order(pool, run, &order);
+	run->stop_at = pool->now + STOP_RETRY_DELAY;
+	run_fill_order(pool, run, &order);
 	call->token = order.token;
 	pool->stats.stops++;
 	pool->ops.stop(pool->ops.data, call->id, &order);
@@ -183,7 +185,7 @@
 	pool_run_stop_send(pool, run);
 }
 
-/** The start was certainly not carried out and never will be. */
+/** Handles a start that was certainly not carried out and never will be. */
 static void
 run_refused(struct gb_pool *pool, struct pool_run *run,
     const struct gb_pool_order_res *res)
@@ -191,7 +193,7 @@
 	struct pool_worker *worker = run->worker;
 	struct pool_flow *flow = run->flow;
 	struct pool_step *step = &flow->steps[run->step];
-	uint32_t number = run->step;
+	uint32_t step_number = run->step;
 	uint32_t i;
 
 	pool->stats.starts_refused++;
@@ -201,9 +203,9 @@
 	    (json_int_t)run->number, "worker", worker->entry.id, "status",
 	    (int)res->status);
 	if (res->status == GB_POOL_ORDER_REFUSED)
-		worker->quarantined_until = pool->now + REFUSED_QUARANTINE;
+		worker->quarantined_until = pool->now + REFUSED_QUARANTINE_TIME;
 	if (res->status == GB_POOL_ORDER_NO_TICKET) {
-		/* This owner may never have known the queue. */
+		/* This owner may not know the queue. */
 		flow->advice.needed = true;
 		for (i = 0; i < step->approved_count; i++) {
 			if (step->approved[i].worker == worker->handle)
@@ -211,13 +213,14 @@
 		}
 	}
 	pool_run_free(pool, run);
-	pool_flow_gang_broken(pool, flow, number, "a member was refused");
+	pool_flow_gang_broken(pool, flow, step_number, "a member was refused");
 }
 
-/** It is not known whether the run began or will: it must be stopped, which
- * also refuses a start that comes later. */
+/** Handles a start of which it is unknown whether it was or will be carried
+ * out. The run must be stopped, which also makes the worker refuse a start that
+ * arrives later. */
 static void
-run_unsure(struct gb_pool *pool, struct pool_run *run)
+run_start_uncertain(struct gb_pool *pool, struct pool_run *run)
 {
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "run_unsure",
 	    "{s:s, s:I, s:I, s:I, s:s, s:I}", "flow", run->flow->spec.id,
@@ -229,10 +232,11 @@
 	pool_run_stop_send(pool, run);
 }
 
-/** Whether an order may be sent to a worker again.  Since the first one its
- * room may have shrunk, it may be about to leave, or its entry turned bad. */
+/** Whether an order may be sent to a worker again. Since the first one its
+ * capacity may have shrunk, it may have begun to leave, or its entry may have
+ * become invalid. */
 static bool
-worker_takes_again(const struct pool_worker *worker)
+worker_accepts_retry(const struct pool_worker *worker)
 {
 	return pool_worker_offered(worker) && !worker->entry.draining &&
 	       pool_incarnation_listed(worker) &&
@@ -246,22 +250,23 @@
 	const struct pool_approval *a =
 	    pool_fit_ticket(pool, step, run->worker->handle);
 
-	/* Another life might take it: wait until the worker has answered. */
+	/* Another incarnation might accept it: waits until the worker has
+	 * answered. */
 	run->again = !pool_incarnation_confirmed(run->worker);
 	if (run->again)
 		return;
 	if (run->confirmed != 0)
 		return;
-	if (run->tries < START_TRIES && worker_takes_again(run->worker) &&
+	if (run->tries < START_TRIES_MAX && worker_accepts_retry(run->worker) &&
 	    (a != NULL || !POOL_ADVICE_NEEDED(run->flow)))
 		run_start_send(pool, run, a == NULL ? NULL : a->ticket);
 	else
-		run_unsure(pool, run);
+		run_start_uncertain(pool, run);
 }
 
-/** An order without answer is sent again, as soon as the link takes it: what
- * the worker did with the first shows in the answer, and a gang waits for its
- * members only so long. */
+/** Retries an order without answer as soon as the link has capacity: the answer
+ * shows what the worker did with the first, and a gang waits for its members
+ * only for a limited time. */
 static void
 run_start_lost(struct gb_pool *pool, struct pool_run *run)
 {
@@ -273,7 +278,7 @@
 	else if (run->state == POOL_RUN_STARTING)
 		pool_run_start_retry(pool, run);
 	else
-		run_unsure(pool, run);
+		run_start_uncertain(pool, run);
 }
 
 bool
@@ -282,10 +287,11 @@
 	return run->start_call != 0 && run->tries == 1 && run->confirmed == 0;
 }
 
-/** The worker of a run is over, or another lifetime of it answered the only
- * order to start the run: the answer tells whether it ever began. */
+/** Handles the answer to the only order to start a run if its worker has ended
+ * or another incarnation of it answered. The answer shows whether the run ever
+ * began. */
 static void
-run_start_closed(struct gb_pool *pool, struct pool_run *run,
+run_start_resolved(struct gb_pool *pool, struct pool_run *run,
     const struct gb_pool_order_res *res)
 {
 	run->start_call = 0;
@@ -298,10 +304,10 @@
 		run_refused(pool, run, res);
 }
 
-/** What the answer to any order tells; returns the run that it is about, or
- * null when nothing is left to be done. */
+/** Applies the answer to any order. Returns the run, or null if nothing is left
+ * to be done. */
 static struct pool_run *
-order_answered(struct gb_pool *pool, const struct pool_call *call,
+order_apply_answer(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_order_res *res)
 {
 	struct pool_worker *worker = pool_worker_get(pool, call->worker);
@@ -322,16 +328,16 @@
     const struct gb_pool_order_res *res)
 {
 	struct pool_run *run = call->run;
-	bool closed =
+	bool resolved =
 	    run != NULL && pool_run_start_open(run) &&
 	    (run->worker->over || res->status == GB_POOL_ORDER_WRONG_WORKER);
 
 	gb_histogram_add(&pool->stats.start_us, pool->now - call->sent);
-	/* Before its worker is over, with which it would be lost. */
-	if (closed)
-		run_start_closed(pool, run, res);
-	run = order_answered(pool, call, res);
-	if (closed || run == NULL)
+	/* Done before the worker is ended, which would lose the run. */
+	if (resolved)
+		run_start_resolved(pool, run, res);
+	run = order_apply_answer(pool, call, res);
+	if (resolved || run == NULL)
 		return;
 	run->start_call = 0;
 	if (res->status == GB_POOL_ORDER_DONE) {
@@ -342,8 +348,9 @@
 	} else if (res->status == GB_POOL_ORDER_LOST) {
 		run_start_lost(pool, run);
 	} else if (run->tries > 1) {
-		/* The first order may have been carried out, or may yet be. */
-		run_unsure(pool, run);
+		/* The first order may have been carried out, or may be
+		 * later. */
+		run_start_uncertain(pool, run);
 	} else {
 		run_refused(pool, run, res);
 	}
@@ -353,7 +360,7 @@
 pool_run_stop_done(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_order_res *res)
 {
-	struct pool_run *run = order_answered(pool, call, res);
+	struct pool_run *run = order_apply_answer(pool, call, res);
 
 	if (run == NULL)
 		return;
