--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -314,7 +314,7 @@
 	out->worker_incarnations.worker_incarnations_len = at;
 }
 
-/* Starts that are stored first -------------------------------------------- */
+/* Planned starts ---------------------------------------------------------- */
 
 void
 pool_crash_unseen(struct gb_pool *pool, const struct pool_worker *worker)
@@ -416,7 +416,7 @@
 		pool_crash_plan_drop(pool, step, i);
 }
 
-/* Runs that are new on their worker --------------------------------------- */
+/* New runs ---------------------------------------------------------------- */
 
 /** Whether the worker has not been seen alive long enough after the start of
  * the run. Runs of earlier owners are never new. */
@@ -482,7 +482,7 @@
 	return lost_together >= CRASH_GROUP_WORKERS_MIN;
 }
 
-/* Counting ---------------------------------------------------------------- */
+/* Crash counts ------------------------------------------------------------ */
 
 static bool
 suspect_over_limit(const struct pool_crash_suspect *suspect)
@@ -696,7 +696,7 @@
 	}
 }
 
-/* Waiting ----------------------------------------------------------------- */
+/* Blocked starts ---------------------------------------------------------- */
 
 bool
 pool_crash_held(const struct pool_flow *flow, const struct pool_task *task)
--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -510,41 +510,41 @@
 
 void
 pool_flow_ended(struct gb_pool *pool, struct pool_flow *flow,
-    const struct gb_pool_run_report *seen, struct pool_worker *worker)
+    const struct gb_pool_run_report *report, struct pool_worker *worker)
 {
-	struct pool_step *step = &flow->steps[seen->step];
+	struct pool_step *step = &flow->steps[report->step];
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
-	struct pool_task *task = &step->tasks[seen->index];
+	struct pool_task *task = &step->tasks[report->index];
 	/* The first task keeps the failures and the checkpoint of a gang. */
 	struct pool_task *state_task = gang ? &step->tasks[0] : task;
-	struct pool_run *run = task_find_run(task, seen->run, worker);
+	struct pool_run *run = task_find_run(task, report->run, worker);
 	bool finished = flow->status >= GB_FLOW_SUCCEEDED;
 	gb_time run_time = 0;
 
 	if (run != NULL) {
 		run_time = pool->now - run->started;
-		pool_health_ended(pool, worker, run, seen->outcome);
+		pool_health_ended(pool, worker, run, report->outcome);
 		pool_run_free(pool, run);
 	}
 	pool->work_changed = true;
 	if (finished || task->done)
 		return;
-	if (seen->checkpoint[0] != '\0' &&
+	if (report->checkpoint[0] != '\0' &&
 	    (step->spec->flags & GB_STEP_CHECKPOINT) != 0 &&
-	    seen->outcome != GB_POOL_DONE) {
-		pool_task_checkpoint(state_task, seen->checkpoint);
+	    report->outcome != GB_POOL_DONE) {
+		pool_task_checkpoint(state_task, report->checkpoint);
 		pool_flow_changed(pool, flow, false);
 	}
-	if (seen->outcome == GB_POOL_DONE) {
-		step_finish_task(pool, flow, seen->step, seen->index);
+	if (report->outcome == GB_POOL_DONE) {
+		step_finish_task(pool, flow, report->step, report->index);
 		return;
 	}
-	if (seen->outcome == GB_POOL_FAILED && run_time > step->failed_took)
+	if (report->outcome == GB_POOL_FAILED && run_time > step->failed_took)
 		step->failed_took = run_time;
-	if (seen->outcome == GB_POOL_FAILED)
-		step_fail_task(pool, flow, state_task, seen->run);
+	if (report->outcome == GB_POOL_FAILED)
+		step_fail_task(pool, flow, state_task, report->run);
 	pool_flow_gang_broken(
-	    pool, flow, seen->step, "a member of the gang ended");
+	    pool, flow, report->step, "a member of the gang ended");
 }
 
 /** Checks unfinished flows for tasks that crash workers, and frees what is no
