--- a/libgooseberry/pool/health.c
+++ b/libgooseberry/pool/health.c
@@ -1,13 +1,13 @@
 /**
  * @file health.c
- * Health of workers, by what they do with their work.
+ * Health of workers, judged by the results of their runs.
  *
- * Load: a tenth of the workers fail whatever they start while their own health
- * answers are good, or let it stand still; and a failing worker is always
- * free, so that it draws more work than its like.  On the other side a tenth
- * of the flows fail by their own fault.  Several failures in a row, of
- * different flows, therefore set a worker aside for a time that doubles; a
- * single one only sends work elsewhere first.
+ * Problem: a tenth of the workers fail whatever they start although their own
+ * health answers are good, or make no progress with it. A failing worker is
+ * always free, so that it gets more work than others. On the other hand a tenth
+ * of the flows fail because of their own work. Several failures in a row, of
+ * different flows, therefore quarantine a worker for a time that doubles. After
+ * a single one other workers are only preferred.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,62 +16,65 @@
 
 #include "state.h"
 
-/** Failures in a row that set a worker aside.  A task's first failure alone
- * counts, so that of healthy workers' runs about 5% do, and two in a row come
- * once in 400 runs. */
-#define HEALTH_FAILURES 2
-/** First and longest time aside. */
-#define HEALTH_QUARANTINE (3 * GB_SEC)
-#define HEALTH_QUARANTINE_MOST (20 * GB_SEC)
-/** A run that makes no progress for this long stands still: the percent of the
- * longest tasks (12 s) moves each 0.12 s, seen each 0.9 s. */
-#define HEALTH_STANDSTILL (2200 * GB_MSEC)
-/** Percent from which a run only waits for others. */
-#define HEALTH_WHOLE 99
-/** Weight of the newest run in a worker's slowness: about ten runs count. */
-#define HEALTH_SLOW_WEIGHT 0.1
-/** Weight of the newest run in a queue's averages. */
-#define HEALTH_WEIGHT 0.05
+/** Failures in a row at which a worker is quarantined. Only the first failure
+ * of a task counts, so that about 5% of the runs of healthy workers do, and two
+ * in a row happen once in 400 runs. */
+#define HEALTH_FAILURES_MAX 2
+/** First and longest time of quarantine. */
+#define HEALTH_QUARANTINE_MIN (3 * GB_SEC)
+#define HEALTH_QUARANTINE_MAX (20 * GB_SEC)
+/** A run without progress for this long is stalled: the percent of the longest
+ * tasks (12 s) rises every 0.12 s and is seen every 0.9 s. */
+#define HEALTH_STALL_TIME (2200 * GB_MSEC)
+/** Percent of progress from which a run may only be waiting for others. */
+#define HEALTH_PERCENT_AT_END 99
+/** Weight of the newest run in the slowness of a worker: about ten runs
+ * count. */
+#define HEALTH_SLOWNESS_WEIGHT 0.1
+/** Weight of the newest run in the averages of a queue. */
+#define HEALTH_QUEUE_WEIGHT 0.05
 
 static void
 worker_quarantine(
     struct gb_pool *pool, struct pool_worker *worker, const char *why)
 {
 	worker->quarantine_length = worker->quarantine_length == 0
-					? HEALTH_QUARANTINE
+					? HEALTH_QUARANTINE_MIN
 					: worker->quarantine_length * 2;
-	if (worker->quarantine_length > HEALTH_QUARANTINE_MOST)
-		worker->quarantine_length = HEALTH_QUARANTINE_MOST;
+	if (worker->quarantine_length > HEALTH_QUARANTINE_MAX)
+		worker->quarantine_length = HEALTH_QUARANTINE_MAX;
 	if (POOL_USES(pool, GB_FEATURE_QUARANTINE))
 		worker->quarantined_until =
 		    pool->now + worker->quarantine_length;
-	worker->failures = HEALTH_FAILURES - 1;
+	worker->failures = HEALTH_FAILURES_MAX - 1;
 	pool->stats.quarantined++;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "worker_set_aside",
 	    "{s:s, s:s, s:I}", "worker", worker->entry.id, "why", why, "for_ms",
 	    (json_int_t)(worker->quarantine_length / GB_MSEC));
 }
 
-/** How long a run took against the runs of the same step before it: tasks of a
- * step are more alike (15% to 30%) than declared run times are true. */
+/** Updates the slowness of a worker by how long a run took compared with
+ * earlier runs of the same step. Tasks of a step differ less (by 15% to 30%)
+ * than declared run times differ from real ones. */
 static void
-worker_learn(
+worker_update_slowness(
     struct pool_worker *worker, const struct pool_run *run, gb_time took)
 {
 	struct pool_step *step = &run->flow->steps[run->step];
-	double like;
+	double expected;
 
 	if (step->took_runs > 0) {
-		like = (double)step->took / step->took_runs;
-		worker->slowness += HEALTH_SLOW_WEIGHT *
-				    ((double)took / like - worker->slowness);
+		expected = (double)step->took / step->took_runs;
+		worker->slowness +=
+		    HEALTH_SLOWNESS_WEIGHT *
+		    ((double)took / expected - worker->slowness);
 	}
 	step->took += took;
 	step->took_runs++;
 }
 
 static void
-queue_learn(struct gb_pool *pool, const struct pool_run *run)
+queue_update_averages(struct gb_pool *pool, const struct pool_run *run)
 {
 	struct pool_queue_stat *stat =
 	    pool_rank_queue(pool, run->flow->spec.queue);
@@ -82,23 +85,26 @@
 		return;
 	if ((run->flow->steps[run->step].spec->flags &
 		(GB_STEP_GANG | GB_STEP_CHECKPOINT)) == 0)
-		worker_learn(run->worker, run, pool->now - run->started);
+		worker_update_slowness(
+		    run->worker, run, pool->now - run->started);
 	stat->run_us =
 	    stat->run_us <= 0
 		? took
-		: stat->run_us + HEALTH_WEIGHT * (took - stat->run_us);
+		: stat->run_us + HEALTH_QUEUE_WEIGHT * (took - stat->run_us);
 	if (declared > 0)
-		stat->ratio += HEALTH_WEIGHT * (took / declared - stat->ratio);
+		stat->ratio +=
+		    HEALTH_QUEUE_WEIGHT * (took / declared - stat->ratio);
 }
 
-/** A task that has failed elsewhere fails by its own fault. */
+/** Whether the task has failed before: then the failure is attributed to the
+ * task and not to the worker. */
 static bool
 task_failed_before(const struct pool_run *run)
 {
 	const struct pool_step *step = &run->flow->steps[run->step];
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
 
-	/* A gang may have met another failing worker. */
+	/* The failure of a gang may come from another worker that fails. */
 	return !gang && step->tasks[run->index].failures > 0;
 }
 
@@ -109,7 +115,7 @@
 	uint64_t flow = gb_hash(run->flow->spec.id, strlen(run->flow->spec.id));
 
 	if (outcome == GB_POOL_DONE) {
-		queue_learn(pool, run);
+		queue_update_averages(pool, run);
 		worker->failures = 0;
 		worker->quarantine_length = 0;
 		worker->failed_flow = 0;
@@ -120,23 +126,25 @@
 	if (task_failed_before(run))
 		return;
 	worker->failed_flow = flow;
-	if (++worker->failures >= HEALTH_FAILURES)
+	if (++worker->failures >= HEALTH_FAILURES_MAX)
 		worker_quarantine(
 		    pool, worker, "its runs fail one after the other");
 }
 
-/** A run that has come to its end waits for the others of its gang. */
+/** Whether a run is stalled. A run at the end of its work may only be waiting
+ * for the others of its gang. */
 static bool
-run_still(const struct gb_pool *pool, const struct pool_run *run)
+run_is_stalled(const struct gb_pool *pool, const struct pool_run *run)
 {
 	return run->state == POOL_RUN_RUNNING && run->confirmed != 0 &&
-	       run->percent < HEALTH_WHOLE &&
-	       pool->now - run->moved >= HEALTH_STANDSTILL;
+	       run->percent < HEALTH_PERCENT_AT_END &&
+	       pool->now - run->moved >= HEALTH_STALL_TIME;
 }
 
-/** Members of a gang work together: none of them moves. */
+/** Whether a gang is stalled. Its members work together, so all must be without
+ * progress. */
 static bool
-gang_still(const struct gb_pool *pool, const struct pool_step *step)
+gang_is_stalled(const struct gb_pool *pool, const struct pool_step *step)
 {
 	const struct pool_run *run;
 	uint32_t i;
@@ -144,7 +152,7 @@
 	for (i = 0; i < step->spec->count; i++) {
 		TAILQ_FOREACH(run, &step->tasks[i].runs, of_task)
 		{
-			if (!run_still(pool, run))
+			if (!run_is_stalled(pool, run))
 				return false;
 		}
 	}
@@ -161,7 +169,8 @@
 		struct pool_step *step = &run->flow->steps[run->step];
 		bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
 
-		if (!run_still(pool, run) || (gang && !gang_still(pool, step)))
+		if (!run_is_stalled(pool, run) ||
+		    (gang && !gang_is_stalled(pool, step)))
 			continue;
 		if (worker->quarantined_until <= pool->now && !gang)
 			worker_quarantine(pool, worker, "a run stands still");
