--- a/libgooseberry/pool/advice.c
+++ b/libgooseberry/pool/advice.c
@@ -1,13 +1,14 @@
 /**
  * @file advice.c
- * Asking which workers may run a step.
+ * Calls to the advice service, which approves workers for a step.
  *
- * Load: the advice service takes 12 to 560 ms a call and more for each worker
- * named, handles one call at a time for each calling node, and its tickets
- * last 1.5 to 2.5 s; all calls together take 3 seconds a second and more.  So
- * every node asks in its own name (a lane), one call at a time, in the order
- * in which flows wait.  Which workers are approved does not change: the first
- * call names all, later ones only those that are about to be used.
+ * Problem: the service takes 12 to 560 ms for a call and more for each worker
+ * named, handles one call at a time for each calling node, and its tickets last
+ * 1.5 to 2.5 s. All calls together take 3 seconds and more in each second.
+ * Every node therefore calls it in its own name (a channel), one call at a
+ * time, in the order in which the flows wait. The set of approved workers does
+ * not change: the first calls for a step name all workers that could run it,
+ * later calls only those that are about to be used.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,26 +17,29 @@
 
 #include "state.h"
 
-/** A member that was not heard of for this long has no lane. */
-#define CHANNEL_SILENCE (1200 * GB_MSEC)
-/** Pause of a lane after a refusal or a lost answer. */
-#define CHANNEL_PAUSE (300 * GB_MSEC)
-/** A ticket counts from when the service decided, before its answer came. */
-#define TICKET_TRAVEL (30 * GB_MSEC)
-/** A step whose workers were all turned down asks again after this. */
-#define ADVICE_AGAIN (2 * GB_SEC)
-/** A gang asks several lanes at once: each answer comes sooner, and more
- * workers are approved, of which enough must have room at one moment.  At most
- * so many calls, and one in so many of the free lanes. */
-#define ADVICE_BATCHES_MOST 4
-#define ADVICE_CHANNELS_SHARE 4
-/** Workers named for each that a gang would fill, were it empty: a quarter are
- * approved, and one in five of these can be had when it is wanted. */
-#define ADVICE_NAMES_FOR_ONE 20
-/** Workers named in all and in one of several calls, which then takes about 1 s
- * where a worker takes 8 ms. */
-#define ADVICE_NAMES_MOST 300
-#define ADVICE_NAMES_BATCH 60
+/** A member from which nothing was received for this long has no usable
+ * channel. */
+#define CHANNEL_SILENCE_MAX (1200 * GB_MSEC)
+/** Pause of a channel after a refusal or a lost answer. */
+#define CHANNEL_BACK_OFF (300 * GB_MSEC)
+/** A ticket is valid from the decision of the service, which is this long
+ * before its answer arrives. */
+#define TICKET_ANSWER_TIME (30 * GB_MSEC)
+/** A step without any approved worker asks again after this time. */
+#define ADVICE_RETRY_DELAY (2 * GB_SEC)
+/** A gang uses several channels at once: each answer arrives sooner, and more
+ * workers are approved, of which enough must have capacity at one moment. The
+ * first value limits the number of calls. The second says that they use at most
+ * one in so many of the free channels. */
+#define ADVICE_BATCHES_MAX 4
+#define ADVICE_CHANNELS_DIVISOR 4
+/** Workers to name for each worker that a gang would fill if it were empty: a
+ * quarter are approved, and one in five of these is available when needed. */
+#define ADVICE_NAMES_PER_WORKER 20
+/** Most workers to name in all calls, and workers to name in each of several
+ * calls, which then takes about 1 s if one worker takes 8 ms. */
+#define ADVICE_NAMES_MAX 300
+#define ADVICE_NAMES_PER_BATCH 60
 
 void
 pool_advice_channel(struct gb_pool *pool, const char *addr, bool usable)
@@ -61,20 +65,21 @@
 }
 
 static bool
-channel_is_free(const struct gb_pool *pool, const struct pool_channel *channel)
+channel_is_available(
+    const struct gb_pool *pool, const struct pool_channel *channel)
 {
 	return channel->usable && channel->call == 0 &&
 	       channel->back_off_until <= pool->now &&
-	       pool->now - channel->last_heard < CHANNEL_SILENCE;
+	       pool->now - channel->last_heard < CHANNEL_SILENCE_MAX;
 }
 
 static struct pool_channel *
-channel_free(const struct gb_pool *pool)
+channel_find_free(const struct gb_pool *pool)
 {
 	size_t i;
 
 	for (i = 0; i < pool->channel_count; i++) {
-		if (channel_is_free(pool, &pool->channels[i]))
+		if (channel_is_available(pool, &pool->channels[i]))
 			return &pool->channels[i];
 	}
 	return NULL;
@@ -83,11 +88,11 @@
 bool
 pool_advice_channel_free(const struct gb_pool *pool)
 {
-	return channel_free(pool) != NULL;
+	return channel_find_free(pool) != NULL;
 }
 
 static struct pool_channel *
-channel_of_call(const struct gb_pool *pool, uint64_t call)
+channel_find_call(const struct gb_pool *pool, uint64_t call)
 {
 	size_t i;
 
@@ -99,13 +104,13 @@
 }
 
 static bool
-step_asked(const struct pool_step *step, uint32_t worker)
+step_is_asked(const struct pool_step *step, uint32_t worker)
 {
 	return worker < step->asked_size && step->asked[worker] != 0;
 }
 
 static void
-step_asked_set(struct pool_step *step, uint32_t worker)
+step_set_asked(struct pool_step *step, uint32_t worker)
 {
 	uint32_t size = step->asked_size;
 
@@ -120,19 +125,20 @@
 
 /** Whether a worker could run the step and has not been asked about. */
 static bool
-ask_wants(const struct gb_pool *pool, const struct pool_flow *flow,
+ask_is_candidate(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, const struct pool_worker *worker)
 {
 	return pool_worker_offered(worker) && !worker->over &&
-	       !worker->entry.draining && !step_asked(step, worker->handle) &&
+	       !worker->entry.draining &&
+	       !step_is_asked(step, worker->handle) &&
 	       pool_fit_allows(pool, flow, step, worker);
 }
 
-/** Name workers that have not been asked about, from a random one on when there
- * are more than are to be named. */
+/** Names workers that have not been asked about, from a random one on if there
+ * are more than `limit`. */
 static void
-ask_all(struct gb_pool *pool, const struct pool_flow *flow,
-    struct pool_step *step, uint32_t most, gb_advice_ask *ask)
+ask_add_candidates(struct gb_pool *pool, const struct pool_flow *flow,
+    struct pool_step *step, uint32_t limit, gb_advice_ask *ask)
 {
 	uint32_t from =
 	    pool->worker_count == 0
@@ -144,18 +150,18 @@
 		struct pool_worker *worker =
 		    pool->workers[(from + i) % pool->worker_count];
 
-		if (ask->workers.workers_len >= most)
+		if (ask->workers.workers_len >= limit)
 			break;
-		if (!ask_wants(pool, flow, step, worker))
+		if (!ask_is_candidate(pool, flow, step, worker))
 			continue;
-		step_asked_set(step, worker->handle);
+		step_set_asked(step, worker->handle);
 		ask->workers.workers_val[ask->workers.workers_len++] =
 		    worker->entry.id;
 	}
 }
 
 static void
-ask_some(struct gb_pool *pool, const uint32_t *workers, uint32_t count,
+ask_add_workers(struct gb_pool *pool, const uint32_t *workers, uint32_t count,
     gb_advice_ask *ask)
 {
 	uint32_t i;
@@ -166,37 +172,38 @@
 }
 
 static void
-ask_send(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
+ask_send(struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number,
     struct pool_channel *channel, bool first, const gb_advice_ask *ask)
 {
 	struct pool_advice_call *call = gb_calloc(1, sizeof(*call));
 
 	call->id = ++pool->next_call;
 	call->channel = channel;
-	call->step = number;
+	call->step = step_number;
 	call->first = first;
 	call->sent = pool->now;
 	snprintf(call->flow, sizeof(call->flow), "%s", flow->spec.id);
 	HASH_ADD(hh, pool->advice_calls, id, sizeof(call->id), call);
 	channel->call = call->id;
 	if (first)
-		flow->steps[number].asks_in_flight++;
+		flow->steps[step_number].asks_in_flight++;
 	else
-		flow->steps[number].renews_in_flight++;
+		flow->steps[step_number].renews_in_flight++;
 	pool->stats.advice_calls++;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "advice_ask",
 	    "{s:s, s:I, s:s, s:I, s:b}", "flow", flow->spec.id, "step",
-	    (json_int_t)number, "lane", channel->addr, "workers",
+	    (json_int_t)step_number, "lane", channel->addr, "workers",
 	    (json_int_t)ask->workers.workers_len, "first", first);
 	pool->ops.advise(pool->ops.data, call->id, channel->addr, ask);
 }
 
-/** Ask one lane; with no worker named, about `most` others. */
+/** Calls the service through one channel. With `count` 0, asks about up to
+ * `limit` workers that have not been asked about. */
 static bool
-ask_channel(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
-    const uint32_t *workers, uint32_t count, uint32_t most)
+ask_channel(struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number,
+    const uint32_t *workers, uint32_t count, uint32_t limit)
 {
-	struct pool_channel *channel = channel_free(pool);
+	struct pool_channel *channel = channel_find_free(pool);
 	char *names[POOL_ADVICE_MOST];
 	char step_name[GB_NAME_MAX + 1];
 	gb_advice_ask ask = {0};
@@ -204,33 +211,34 @@
 	if (channel == NULL)
 		return false;
 	ask.workers.workers_val = names;
-	snprintf(
-	    step_name, sizeof(step_name), "%.40s.0.%u", flow->spec.id, number);
+	snprintf(step_name, sizeof(step_name), "%.40s.0.%u", flow->spec.id,
+	    step_number);
 	ask.step = step_name;
 	if (count == 0)
-		ask_all(pool, flow, &flow->steps[number], most, &ask);
+		ask_add_candidates(
+		    pool, flow, &flow->steps[step_number], limit, &ask);
 	else
-		ask_some(pool, workers, count, &ask);
+		ask_add_workers(pool, workers, count, &ask);
 	if (ask.workers.workers_len == 0)
 		return false;
-	ask_send(pool, flow, number, channel, count == 0, &ask);
+	ask_send(pool, flow, step_number, channel, count == 0, &ask);
 	return true;
 }
 
 static uint32_t
-channels_free(const struct gb_pool *pool)
+channels_count_free(const struct gb_pool *pool)
 {
 	uint32_t count = 0;
 	size_t i;
 
 	for (i = 0; i < pool->channel_count; i++)
-		count += channel_is_free(pool, &pool->channels[i]);
+		count += channel_is_available(pool, &pool->channels[i]);
 	return count;
 }
 
-/** Workers that a gang fills, were they empty. */
+/** Number of workers that a gang fills if they are empty. */
 static uint32_t
-gang_workers(const struct gb_pool *pool, const struct pool_step *step)
+gang_worker_count(const struct gb_pool *pool, const struct pool_step *step)
 {
 	const struct pool_worker *worker = pool->workers[0];
 	uint32_t tasks = 1;
@@ -242,100 +250,102 @@
 	return (step->spec->count + tasks - 1) / tasks;
 }
 
-/** How many workers to name, and in how many calls. */
+/** Returns how many workers to name, and in how many calls. */
 static uint32_t
-ask_names(const struct gb_pool *pool, const struct pool_flow *flow,
+ask_plan_batches(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, uint32_t *batches)
 {
 	const struct gb_pool_advice *advice = &flow->advice;
-	uint32_t most = channels_free(pool) / ADVICE_CHANNELS_SHARE;
+	uint32_t batch_limit =
+	    channels_count_free(pool) / ADVICE_CHANNELS_DIVISOR;
 	uint32_t names;
 
 	*batches = 1;
 	if (!POOL_USES(pool, GB_FEATURE_ADVICE_CHANNELS) ||
-	    (step->spec->flags & GB_STEP_GANG) == 0 || most < 2 ||
+	    (step->spec->flags & GB_STEP_GANG) == 0 || batch_limit < 2 ||
 	    advice->per_item_us * POOL_ADVICE_MOST < advice->decide_us / 2)
 		return POOL_ADVICE_MOST;
-	names = gang_workers(pool, step) * ADVICE_NAMES_FOR_ONE;
+	names = gang_worker_count(pool, step) * ADVICE_NAMES_PER_WORKER;
 	if (names < POOL_ADVICE_MOST)
 		names = POOL_ADVICE_MOST;
-	if (names > ADVICE_NAMES_MOST)
-		names = ADVICE_NAMES_MOST;
-	if (most > ADVICE_BATCHES_MOST)
-		most = ADVICE_BATCHES_MOST;
-	*batches = (names + ADVICE_NAMES_BATCH - 1) / ADVICE_NAMES_BATCH;
-	if (*batches > most)
-		*batches = most;
+	if (names > ADVICE_NAMES_MAX)
+		names = ADVICE_NAMES_MAX;
+	if (batch_limit > ADVICE_BATCHES_MAX)
+		batch_limit = ADVICE_BATCHES_MAX;
+	*batches =
+	    (names + ADVICE_NAMES_PER_BATCH - 1) / ADVICE_NAMES_PER_BATCH;
+	if (*batches > batch_limit)
+		*batches = batch_limit;
 	if (names > *batches * POOL_ADVICE_MOST)
 		names = *batches * POOL_ADVICE_MOST;
 	return names;
 }
 
-/** How many workers are left to be named, up to so many: no more are looked at,
- * or each question would cost a look at the whole pool. */
+/** Counts the workers that are still to be named, up to `limit`. It stops
+ * there, or each call would have to look at the whole pool. */
 static uint32_t
-ask_left(const struct gb_pool *pool, const struct pool_flow *flow,
-    const struct pool_step *step, uint32_t most)
+ask_count_candidates(const struct gb_pool *pool, const struct pool_flow *flow,
+    const struct pool_step *step, uint32_t limit)
 {
 	uint32_t left = 0;
 	uint32_t i;
 
-	for (i = 0; i < pool->worker_count && left < most; i++)
-		left += ask_wants(pool, flow, step, pool->workers[i]);
+	for (i = 0; i < pool->worker_count && left < limit; i++)
+		left += ask_is_candidate(pool, flow, step, pool->workers[i]);
 	return left;
 }
 
-/** Ask about workers that have not been asked about. */
+/** Asks about workers that have not been asked about. */
 static bool
-ask_others(struct gb_pool *pool, struct pool_flow *flow, uint32_t number)
+ask_others(struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
-	struct pool_step *step = &flow->steps[number];
+	struct pool_step *step = &flow->steps[step_number];
 	uint32_t batches;
 	uint32_t names;
 	uint32_t i;
 
 	if (pool->worker_count == 0)
 		return false;
-	names =
-	    ask_left(pool, flow, step, ask_names(pool, flow, step, &batches));
+	names = ask_count_candidates(
+	    pool, flow, step, ask_plan_batches(pool, flow, step, &batches));
 	if (names == 0)
 		return false;
 	names = (names + batches - 1) / batches;
 	for (i = 0; i < batches; i++) {
-		if (!ask_channel(pool, flow, number, NULL, 0, names))
+		if (!ask_channel(pool, flow, step_number, NULL, 0, names))
 			break;
 	}
 	return i > 0;
 }
 
 bool
-pool_advice_ask(struct gb_pool *pool, struct pool_flow *flow, uint32_t number,
-    const uint32_t *workers, uint32_t count)
+pool_advice_ask(struct gb_pool *pool, struct pool_flow *flow,
+    uint32_t step_number, const uint32_t *workers, uint32_t count)
 {
-	const struct pool_step *step = &flow->steps[number];
+	const struct pool_step *step = &flow->steps[step_number];
 
 	if (!pool_pace_advice(pool))
 		return false;
 	if (count == 0)
 		return step->asks_in_flight == 0 &&
-		       ask_others(pool, flow, number);
+		       ask_others(pool, flow, step_number);
 	return step->renews_in_flight == 0 &&
-	       ask_channel(pool, flow, number, workers, count, 0);
+	       ask_channel(pool, flow, step_number, workers, count, 0);
 }
 
 void
 pool_advice_claims_drop(struct gb_pool *pool, struct pool_step *step)
 {
 	struct pool_worker *worker;
-	gb_res room;
+	gb_res res;
 	uint32_t i;
 	uint32_t j;
 
 	for (i = 0; i < step->claim_count; i++) {
 		worker = pool_worker_get(pool, step->claims[i].worker);
-		room = step->spec->res;
+		res = step->spec->res;
 		for (j = 0; j < step->claims[i].tasks; j++)
-			gb_res_sub(&worker->claimed, &room);
+			gb_res_sub(&worker->claimed, &res);
 	}
 	free(step->claims);
 	step->claims = NULL;
@@ -368,9 +378,10 @@
 	snprintf(a->ticket, sizeof(a->ticket), "%s", ticket->ticket);
 }
 
-/** What was asked got no answer: all may be asked about again. */
+/** Marks all workers as not asked about, because the calls got no usable
+ * answer. */
 static void
-advice_unasked(struct pool_step *step)
+step_clear_asked(struct pool_step *step)
 {
 	if (step->asked != NULL)
 		memset(step->asked, 0, step->asked_size);
@@ -378,11 +389,11 @@
 }
 
 static void
-advice_take(struct gb_pool *pool, struct pool_flow *flow,
+advice_apply(struct gb_pool *pool, struct pool_flow *flow,
     const struct pool_advice_call *call, const gb_advice_res *res)
 {
 	struct pool_step *step = &flow->steps[call->step];
-	gb_time expires = pool->now + res->valid_us - TICKET_TRAVEL;
+	gb_time expires = pool->now + res->valid_us - TICKET_ANSWER_TIME;
 	uint32_t i;
 
 	step->advice = POOL_ADVICE_KNOWN;
@@ -391,8 +402,8 @@
 		    call->sent, expires);
 	if (step->approved_count == 0 && step->asks_in_flight == 0) {
 		step->advice = POOL_ADVICE_NONE;
-		step->advice_retry_at = pool->now + ADVICE_AGAIN;
-		advice_unasked(step);
+		step->advice_retry_at = pool->now + ADVICE_RETRY_DELAY;
+		step_clear_asked(step);
 	}
 }
 
@@ -406,22 +417,22 @@
 		step->asks_in_flight--;
 	} else {
 		step->renews_in_flight--;
-		/* Room that was kept for the tickets is used now, or given
-		 * back. */
+		/* Capacity that was claimed until the tickets arrive is used
+		 * now, or released. */
 		if (step->claim_until == 0)
 			pool_advice_claims_drop(pool, step);
 	}
 	if (res->status == GB_ADVICE_OK)
-		advice_take(pool, flow, call, res);
+		advice_apply(pool, flow, call, res);
 	else if (call->first && step->asks_in_flight == 0)
-		advice_unasked(step);
+		step_clear_asked(step);
 }
 
 struct pool_flow *
 pool_advice_done(
     struct gb_pool *pool, uint64_t id, const gb_advice_res *res, uint32_t *step)
 {
-	struct pool_channel *channel = channel_of_call(pool, id);
+	struct pool_channel *channel = channel_find_call(pool, id);
 	struct pool_advice_call *call;
 	struct pool_flow *flow;
 
@@ -434,7 +445,7 @@
 	if (channel != NULL) {
 		channel->call = 0;
 		if (res->status != GB_ADVICE_OK)
-			channel->back_off_until = pool->now + CHANNEL_PAUSE;
+			channel->back_off_until = pool->now + CHANNEL_BACK_OFF;
 	}
 	if (res->status == GB_ADVICE_BUSY)
 		pool->stats.advice_busy++;
@@ -455,7 +466,7 @@
 	return flow;
 }
 
-/** Forget what was asked by an earlier ownership. */
+/** Drops the calls of an earlier ownership. */
 void
 pool_advice_reset(struct gb_pool *pool)
 {
