--- a/libgooseberry/pool/flow_state.c
+++ b/libgooseberry/pool/flow_state.c
@@ -1,6 +1,6 @@
 /**
  * @file flow_state.c
- * Stored form of what has become of a flow.
+ * Stored form of the state of a flow.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -8,10 +8,10 @@
 #include "crash.h"
 #include "state.h"
 
-/** Units of the fields at the end of the types that the first programs did not
- * write. */
-#define STATE_FIELDS_LATER 3
-#define FLOW_FIELDS_LATER 4
+/** Size, in XDR units of 4 bytes, of the fields at the end of each type that
+ * the first programs did not write. */
+#define STATE_ADDED_UNITS 3
+#define FLOW_ADDED_UNITS 4
 
 static bool
 task_has_state(const struct pool_task *task)
@@ -51,7 +51,7 @@
 	}
 }
 
-/** Tasks under which workers have crashed. */
+/** Adds the crash suspects and planned starts of a step. */
 static void
 step_crashes_fill(
     const struct pool_step *step, uint32_t number, gb_flow_state *state)
@@ -108,14 +108,14 @@
 gb_flow_state_decode(const gb_body *row, gb_flow_state *state)
 {
 	return gb_xdr_decode_older((xdrproc_t)xdr_gb_flow_state, row, state,
-	    sizeof(*state), STATE_FIELDS_LATER);
+	    sizeof(*state), STATE_ADDED_UNITS);
 }
 
 bool
 gb_flow_decode(const gb_body *row, gb_flow_row *flow)
 {
 	return gb_xdr_decode_older((xdrproc_t)xdr_gb_flow_row, row, flow,
-	    sizeof(*flow), FLOW_FIELDS_LATER);
+	    sizeof(*flow), FLOW_ADDED_UNITS);
 }
 
 void
@@ -176,10 +176,11 @@
 		pool_task_checkpoint(task, state->checkpoint);
 }
 
-/** A step begins only when the ends of those before it are stored, so that one
- * that is not ready by what is stored has not been begun by anybody. */
+/** Marks the steps that certainly nobody has begun. A step begins only once the
+ * ends of the steps before it are stored, so a step that is not ready by the
+ * stored state was never begun. */
 static void
-flow_steps_fresh(struct pool_flow *flow)
+flow_mark_fresh_steps(struct pool_flow *flow)
 {
 	uint32_t i;
 	uint32_t j;
@@ -203,21 +204,21 @@
 {
 	const int64_t *incarnations =
 	    state->worker_incarnations.worker_incarnations_val;
-	u_int left = state->worker_incarnations.worker_incarnations_len;
+	u_int remaining = state->worker_incarnations.worker_incarnations_len;
 	uint32_t i;
 
 	for (i = 0; i < state->crashes.crashes_len; i++) {
 		const gb_task_crashes *stored = &state->crashes.crashes_val[i];
-		u_int known = stored->unreachable.unreachable_len < left
+		u_int known = stored->unreachable.unreachable_len < remaining
 				  ? stored->unreachable.unreachable_len
-				  : left;
+				  : remaining;
 
 		if (stored->step >= flow->step_count ||
 		    stored->index >= flow->steps[stored->step].spec->count)
 			return false;
 		pool_crash_load(pool, flow, stored, incarnations, known);
 		incarnations += known;
-		left -= known;
+		remaining -= known;
 		flow->begun = true;
 	}
 	return true;
@@ -247,7 +248,7 @@
 			return false;
 		flow->begun = flow->begun || flow->steps[i].done > 0;
 	}
-	flow_steps_fresh(flow);
+	flow_mark_fresh_steps(flow);
 	for (i = 0; i < state->tasks.tasks_len; i++) {
 		task = &state->tasks.tasks_val[i];
 		if (task->step >= flow->step_count ||
--- a/libgooseberry/pool/shape.c
+++ b/libgooseberry/pool/shape.c
@@ -1,31 +1,33 @@
 /**
  * @file shape.c
- * Whether a flow has a shape that can be served.
+ * Checks whether a submitted flow is valid.
  */
 #include "pool.h"
 
-#define SHAPE_TASKS_MOST 2000
+#define STEP_TASKS_MAX 2000
 
 static bool
-shape_step(const gb_step *step, uint32_t number, struct gb_error *err)
+step_check(const gb_step *step, uint32_t step_number, struct gb_error *err)
 {
 	uint32_t i;
 
-	if (step->count == 0 || step->count > SHAPE_TASKS_MOST) {
+	if (step->count == 0 || step->count > STEP_TASKS_MAX) {
 		gb_error_set(err, GB_E_INVALID,
-		    "step %u: count must be 1 to %d", number, SHAPE_TASKS_MOST);
+		    "step %u: count must be 1 to %d", step_number,
+		    STEP_TASKS_MAX);
 		return false;
 	}
 	if (step->res.cpu < 0 || step->res.mem < 0 || step->res.accel < 0) {
 		gb_error_set(err, GB_E_INVALID,
-		    "step %u: what a task needs must not be negative", number);
+		    "step %u: what a task needs must not be negative",
+		    step_number);
 		return false;
 	}
 	for (i = 0; i < step->after.after_len; i++) {
-		if (step->after.after_val[i] >= number) {
+		if (step->after.after_val[i] >= step_number) {
 			gb_error_set(err, GB_E_INVALID,
 			    "step %u: may only come after earlier steps",
-			    number);
+			    step_number);
 			return false;
 		}
 	}
@@ -43,7 +45,7 @@
 		return false;
 	}
 	for (i = 0; i < flow->steps.steps_len; i++) {
-		if (!shape_step(&flow->steps.steps_val[i], i, err))
+		if (!step_check(&flow->steps.steps_val[i], i, err))
 			return false;
 	}
 	return true;
--- a/libgooseberry/pool/worker_set.c
+++ b/libgooseberry/pool/worker_set.c
@@ -1,16 +1,16 @@
 /**
  * @file worker_set.c
- * The stored sets of workers, one in each part, that may run something of the
- * part's flows.  A start goes only to a worker that stands in it, so that a
- * successor knows whom to ask, also when the platform's list does not name
- * them: entries lapse while the store is away.
+ * The stored sets of workers, one in each partition, that may run tasks of the
+ * flows in that partition. A start is sent only to a worker in the set, so that
+ * a successor knows which workers to ask, even if the platform does not list
+ * them: entries expire while the store is unavailable.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "state.h"
 
-/** Row of the stored set that a worker stands in, as a bit. */
+/** Row of the stored set that contains a worker, as a bit. */
 static uint64_t
 set_row(const struct pool_worker *worker)
 {
@@ -46,23 +46,25 @@
 		return false;
 	if (pool_worker_offered(worker) || worker->run_count > 0)
 		return true;
-	/* Not offered and silent: until every lease it was given is over. */
+	/* Not offered and silent: in use until every lease it was given has
+	 * expired. */
 	return worker->recorded != 0 &&
 	       (worker->silent == 0 || worker->lapse_at >= pool->now ||
 		   !pool_owner_reconciled(pool));
 }
 
 bool
-pool_worker_set_body(struct gb_pool *pool, uint32_t number, gb_body *body)
+pool_worker_set_body(
+    struct gb_pool *pool, uint32_t partition_number, gb_body *body)
 {
-	struct pool_partition *partition = &pool->partitions[number];
+	struct pool_partition *partition = &pool->partitions[partition_number];
 	unsigned int row =
 	    (unsigned int)__builtin_ctzll(partition->set_changed);
-	uint32_t bit = UINT32_C(1) << number;
+	uint32_t partition_bit = UINT32_C(1) << partition_number;
 	uint32_t first = row * POOL_SET_WORKERS;
 	uint32_t last = first + POOL_SET_WORKERS;
 	gb_worker_set set = {0};
-	bool ok;
+	bool encoded;
 	uint32_t i;
 
 	set.list.list_val = gb_calloc(POOL_SET_WORKERS, sizeof(gb_worker_ref));
@@ -72,10 +74,10 @@
 		struct pool_worker *worker = pool->workers[i];
 		gb_worker_ref *ref = &set.list.list_val[set.list.list_len];
 
-		worker->recording &= ~bit;
+		worker->recording &= ~partition_bit;
 		if (!pool_worker_in_use(pool, worker))
 			continue;
-		worker->recording |= bit;
+		worker->recording |= partition_bit;
 		ref->id = worker->entry.id;
 		ref->addr = worker->entry.addr;
 		set.incarnations
@@ -87,10 +89,10 @@
 	partition->set_changed &= ~partition->set_sent;
 	snprintf(partition->set_key, sizeof(partition->set_key),
 	    GB_POOL_WORKERS_KEY "%02u", row % POOL_SET_ROWS);
-	ok = gb_xdr_encode((xdrproc_t)xdr_gb_worker_set, &set, body);
+	encoded = gb_xdr_encode((xdrproc_t)xdr_gb_worker_set, &set, body);
 	free(set.list.list_val);
 	free(set.incarnations.incarnations_val);
-	return ok;
+	return encoded;
 }
 
 void
@@ -104,24 +106,25 @@
 }
 
 void
-pool_worker_set_stored(struct gb_pool *pool, uint32_t number, bool stored)
+pool_worker_set_stored(
+    struct gb_pool *pool, uint32_t partition_number, bool stored)
 {
-	struct pool_partition *partition = &pool->partitions[number];
-	uint32_t bit = UINT32_C(1) << number;
-	uint64_t sent = partition->set_sent;
+	struct pool_partition *partition = &pool->partitions[partition_number];
+	uint32_t partition_bit = UINT32_C(1) << partition_number;
+	uint64_t sent_row = partition->set_sent;
 	uint32_t i;
 
 	partition->set_sent = 0;
 	if (!stored) {
-		partition->set_changed |= sent;
+		partition->set_changed |= sent_row;
 		return;
 	}
 	for (i = 0; i < pool->worker_count; i++) {
 		struct pool_worker *worker = pool->workers[i];
 
-		if (set_row(worker) == sent)
-			worker->recorded = (worker->recorded & ~bit) |
-					   (worker->recording & bit);
+		if (set_row(worker) == sent_row)
+			worker->recorded = (worker->recorded & ~partition_bit) |
+					   (worker->recording & partition_bit);
 	}
 	pool->work_changed = true;
 }
