--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -71,11 +71,10 @@
 
 /** Crashes of workers under a task, and workers that may have crashed. */
 struct pool_crash_suspect {
-	uint32_t crashes; /**< workers that crashed while they ran it */
-	uint32_t
-	    confirmed; /**< of these, workers whose crash under it is certain */
-	uint32_t early;	     /**< of all crashes, those soon after the start */
-	uint32_t attributed; /**< early crashes that are certain */
+	uint32_t crashes;    /**< of workers that may have run it */
+	uint32_t confirmed;  /**< of these, those certainly during its run */
+	uint32_t early;	     /**< of all crashes, those soon after its start */
+	uint32_t attributed; /**< early ones certainly during its run */
 	bool sole_suspect;   /**< at one early crash no other flow had a new run
 				there */
 	uint32_t unreachable_count;
