--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -67,14 +67,14 @@
 
 static void
 plan_start(struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number,
-    uint32_t index, uint64_t run)
+    uint32_t index, uint64_t run_number)
 {
 	struct pool_step *step = &flow->steps[step_number];
 	struct pool_worker *worker =
 	    pool_crash_plan_worker(pool, &step->tasks[index]);
 
 	pool_crash_plans_left(pool, step, index);
-	pool_run_start(pool, flow, step_number, index, run, worker,
+	pool_run_start(pool, flow, step_number, index, run_number, worker,
 	    step_worker_ticket(pool, step, worker->handle));
 }
 
@@ -95,7 +95,7 @@
 	struct pool_step *step = &flow->steps[step_number];
 	uint32_t count = step->spec->count;
 	bool startable;
-	uint64_t run;
+	uint64_t run_number;
 	uint32_t i;
 
 	if (step->active > 0 || step->plans == 0 ||
@@ -110,9 +110,9 @@
 		pool_crash_plans_drop(pool, step);
 		return;
 	}
-	run = step_next_run_number(pool, step);
+	run_number = step_next_run_number(pool, step);
 	for (i = 0; i < count; i++)
-		plan_start(pool, flow, step_number, i, run);
+		plan_start(pool, flow, step_number, i, run_number);
 }
 
 /** Sends the planned starts that are stored, and drops those whose worker can't
@@ -149,7 +149,7 @@
 {
 	struct pool_step *step = &flow->steps[step_number];
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
-	uint64_t run = step_next_run_number(pool, step);
+	uint64_t run_number = step_next_run_number(pool, step);
 	uint32_t placed = 0;
 	uint32_t i;
 
@@ -165,7 +165,7 @@
 			continue;
 		}
 		pool_run_start(pool, flow, step_number, i,
-		    gang ? run : step_next_run_number(pool, step),
+		    gang ? run_number : step_next_run_number(pool, step),
 		    pool->workers[workers[placed]],
 		    step_worker_ticket(pool, step, workers[placed]));
 		placed++;
@@ -385,7 +385,7 @@
 	uint32_t wanted = pool_flow_waiting(pool, flow, step);
 	uint32_t allowed;
 	uint32_t started;
-	uint32_t placed = 0;
+	uint32_t placeable = 0;
 	uint32_t *workers;
 
 	if (wanted == 0 || step_waits_for_claims(pool, step))
@@ -410,19 +410,19 @@
 	started = pool_fit_place(pool, flow, step, wanted, true, workers);
 	step_start(pool, flow, step_number, workers, started);
 	if (started < wanted && step->renews_in_flight == 0)
-		placed = pool_fit_place(
+		placeable = pool_fit_place(
 		    pool, flow, step, wanted - started, false, workers);
-	if (placed > 0 && advice && pool_advice_channel_free(pool))
+	if (placeable > 0 && advice && pool_advice_channel_free(pool))
 		step_renew_tickets(
-		    pool, flow, step_number, workers, placed, true);
-	if (advice && started + placed == 0)
+		    pool, flow, step_number, workers, placeable, true);
+	if (advice && started + placeable == 0)
 		step_ask_more_workers(pool, flow, step_number);
 	if (gang && started > 0)
 		flow->wait = 0;
 	if (gang && started == 0 && step->claim_count == 0)
 		step_preempt_or_reserve(pool, flow, step_number);
 	free(workers);
-	return started + placed == 0;
+	return started + placeable == 0;
 }
 
 /** Time until the steps before this step are expected to be done, or a negative
--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -497,9 +497,9 @@
 
 static void
 step_fail_task(struct gb_pool *pool, struct pool_flow *flow,
-    struct pool_task *task, uint64_t run)
+    struct pool_task *task, uint64_t run_number)
 {
-	if (!pool_task_failed_once(task, run))
+	if (!pool_task_failed_once(task, run_number))
 		return; /* already counted, perhaps for another member of the
 			   gang */
 	pool_flow_changed(pool, flow, false);
