--- a/tests/large_gang.c
+++ b/tests/large_gang.c
@@ -1,6 +1,6 @@
 /**
  * @file large_gang.c
- * A large gang beside small ones that keep coming.
+ * A large gang beside a stream of small ones.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,11 +12,11 @@
 #include "large_gang.h"
 #include "pool_cell.h"
 
-/** Time in which a gang of three seconds is to be done. */
+/** Time within which a gang of 3 s should finish. */
 #define OBJECTIVE (7600 * GB_MSEC)
 
 void
-large_gang_is_done(int period)
+large_gang_assert_finishes(int tenths)
 {
 	struct pool_cell_setup setup = {
 	    5, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
@@ -30,7 +30,7 @@
 			    cell, 60, 4000, 3 * GB_SEC, GB_STEP_GANG, -1);
 			large = pool_cell_submit(cell, "rebuild", "ms=3000");
 		}
-		if (i % period == 0) {
+		if (i % tenths == 0) {
 			pool_cell_step(
 			    cell, 8, 4000, 3 * GB_SEC, GB_STEP_GANG, -1);
 			pool_cell_submit(cell, "rebuild", "ms=3000");
--- a/tests/large_gang.h
+++ b/tests/large_gang.h
@@ -1,13 +1,13 @@
 /**
  * @file large_gang.h
- * A large gang beside small ones that keep coming.
+ * A large gang beside a stream of small ones.
  */
 #ifndef TESTS_LARGE_GANG_H
 #define TESTS_LARGE_GANG_H
 
-/** Small gangs come each `period` tenths of a second, each of which would fit;
- * one that needs two thirds of the pool is done within three times its
- * objective. */
-void large_gang_is_done(int period);
+/** Submits a small gang every `tenths` tenths of a second, each of which has
+ * room, and a gang that needs two thirds of the pool. Asserts that the large
+ * one finishes within three times its objective. */
+void large_gang_assert_finishes(int tenths);
 
 #endif
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -1,6 +1,7 @@
 /**
  * @file pool_cell.c
- * Pool cores against the model of the platform, in virtual time.
+ * Harness that runs pool cores against the model of the platform in virtual
+ * time.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,24 +16,26 @@
 
 #include "pool_cell.h"
 
-#define CELL_STEP (5 * GB_MSEC)
-/** One way between a node and a worker, and between a node and the store. */
-#define CELL_WIRE GB_MSEC
-#define CELL_TXN (10 * GB_MSEC)
-#define CELL_READ_FAILS (400 * GB_MSEC)
-/** Reads are given up after this, as the platform's client does while the store
- * was quick before. */
+#define CELL_TICK (5 * GB_MSEC)
+/** One-way delay between a node and a worker, and between a node and the
+ * store. */
+#define CELL_ONE_WAY_DELAY GB_MSEC
+#define CELL_TXN_TIME (10 * GB_MSEC)
+#define CELL_READ_FAIL_DELAY (400 * GB_MSEC)
+/** Timeout of reads, as the client of the platform has it while the store
+ * answers quickly. */
 #define CELL_READ_TIMEOUT (400 * GB_MSEC)
-#define CELL_TIMEOUT (300 * GB_MSEC)
+#define CELL_CALL_TIMEOUT (300 * GB_MSEC)
 #define CELL_HEARTBEAT_MARGIN (200 * GB_MSEC)
-#define CELL_LATE (2 * GB_SEC)
-#define CELL_LIST (500 * GB_MSEC)
-#define CELL_RARE (100 * GB_MSEC)
-/** Bytes of messages beside what varies: headers, names and numbers. */
-#define CELL_HEAD 220
-#define CELL_START 440
-#define CELL_WORKER_NAME 16
-#define CELL_ROW 60
+#define CELL_LATE_DELAY (2 * GB_SEC)
+#define CELL_LIST_INTERVAL (500 * GB_MSEC)
+#define CELL_SLOW_TICK (100 * GB_MSEC)
+/** Sizes of messages and their parts in bytes, without the contents that
+ * vary. */
+#define CELL_MESSAGE_BYTES 220
+#define CELL_START_BYTES 440
+#define CELL_WORKER_NAME_BYTES 16
+#define CELL_ROW_BYTES 60
 
 enum event_kind {
 	EVENT_START,
@@ -45,14 +48,15 @@
 	EVENT_TXN_LOST
 };
 
-/** A call on its way.  It is carried out and answered when it is due; one that
- * is lost or late is carried out under no number, and its loss told apart. */
+/** A call in flight, carried out and answered when it is due. A call whose
+ * answer is lost or late is carried out with call number 0, and another event
+ * reports the loss to the caller. */
 struct pool_event {
 	gb_time due;
 	enum event_kind kind;
 	unsigned int node;
 	uint64_t incarnation;
-	uint64_t call; /**< 0: nobody waits for the answer */
+	uint64_t call; /**< 0: no caller waits for the answer */
 	gb_time expires;
 	struct gb_pool_order order;
 	struct gb_pool_heartbeat heartbeat;
@@ -61,13 +65,13 @@
 	struct gb_pool_read read;
 	bool stop;
 	bool fails;
-	bool given_up;	      /**< a read that takes too long */
-	bool silent;	      /**< a hold whose answer was lost */
-	unsigned int process; /**< of the worker that has taken the hold in */
-	bool question;	      /**< a hold without lease and cursor */
+	bool given_up;	      /**< a read that times out */
+	bool silent;	      /**< a heartbeat whose answer was lost */
+	unsigned int process; /**< worker process that received the heartbeat */
+	bool question;	      /**< a heartbeat without lease and cursor */
 };
 
-/** What a core's operations are handed: the cell and the node's number. */
+/** Context of a core's operations: the cell and the number of the node. */
 struct cell_node {
 	struct pool_cell *cell;
 	unsigned int node;
@@ -87,7 +91,8 @@
 	return gb_random_next(&cell->seed) % 100 < percent;
 }
 
-/** What a message waits for before it has left the node's link. */
+/** Sends a message over the link of a node; returns the time until it has left
+ * the link. */
 static gb_time
 link_wait(const struct cell_node *from, enum gb_traffic_kind kind, size_t bytes)
 {
@@ -157,20 +162,22 @@
 	struct pool_cell *cell = from->cell;
 	bool late = chance(cell, cell->faults.order_late);
 	bool lost = late || chance(cell, cell->faults.order_lost);
-	gb_time wait = kind == EVENT_START
-			   ? link_wait(from, GB_TRAFFIC_START,
-				 CELL_START + strlen(order->spec))
-			   : link_wait(from, GB_TRAFFIC_STOP, CELL_HEAD);
+	gb_time wait =
+	    kind == EVENT_START
+		? link_wait(from, GB_TRAFFIC_START,
+		      CELL_START_BYTES + strlen(order->spec))
+		: link_wait(from, GB_TRAFFIC_STOP, CELL_MESSAGE_BYTES);
 	struct pool_event *event;
 
 	if (cell->faults.order_dropped > 0 &&
 	    chance(cell, cell->faults.order_dropped)) {
-		event_add(from, EVENT_ORDER_LOST, call, wait + CELL_TIMEOUT)
+		event_add(
+		    from, EVENT_ORDER_LOST, call, wait + CELL_CALL_TIMEOUT)
 		    ->stop = kind == EVENT_STOP;
 		return;
 	}
 	event = event_add(from, kind, lost ? 0 : call,
-	    wait + (late ? CELL_LATE : 2 * CELL_WIRE));
+	    wait + (late ? CELL_LATE_DELAY : 2 * CELL_ONE_WAY_DELAY));
 	event->order = *order;
 	event->order.worker = copy(order->worker);
 	event->order.addr = copy(order->addr);
@@ -179,7 +186,8 @@
 	event->order.checkpoint = copy(order->checkpoint);
 	event->order.ticket = copy(order->ticket);
 	if (lost)
-		event_add(from, EVENT_ORDER_LOST, call, wait + CELL_TIMEOUT)
+		event_add(
+		    from, EVENT_ORDER_LOST, call, wait + CELL_CALL_TIMEOUT)
 		    ->stop = kind == EVENT_STOP;
 }
 
@@ -219,12 +227,13 @@
 	const struct cell_node *from = data;
 	struct pool_cell *cell = from->cell;
 	gb_time travel =
-	    link_wait(from, GB_TRAFFIC_HEARTBEAT, CELL_HEAD) + 2 * CELL_WIRE;
+	    link_wait(from, GB_TRAFFIC_HEARTBEAT, CELL_MESSAGE_BYTES) +
+	    2 * CELL_ONE_WAY_DELAY;
 	bool late = cell->faults.heartbeat_late > 0 &&
 		    chance(cell, cell->faults.heartbeat_late);
 
 	if (late)
-		heartbeat_add(from, 0, heartbeat, travel + CELL_LATE);
+		heartbeat_add(from, 0, heartbeat, travel + CELL_LATE_DELAY);
 	heartbeat_add(from, call, heartbeat, travel)->silent = late;
 }
 
@@ -235,7 +244,8 @@
 	const struct cell_node *from = data;
 	struct pool_event *event = event_add(from, EVENT_ADVISE, call,
 	    link_wait(from, GB_TRAFFIC_ADVICE,
-		CELL_HEAD + CELL_WORKER_NAME * ask->workers.workers_len) +
+		CELL_MESSAGE_BYTES +
+		    CELL_WORKER_NAME_BYTES * ask->workers.workers_len) +
 		from->cell->setup.decide_us +
 		from->cell->setup.per_item_us * ask->workers.workers_len);
 
@@ -243,7 +253,7 @@
 	from->cell->advice_calls++;
 	if (!gb_xdr_copy((xdrproc_t)xdr_gb_advice_ask, ask, &event->ask,
 		sizeof(event->ask)))
-		abort(); /* the core made it */
+		abort(); /* a request of the core can be encoded */
 }
 
 static struct gb_pool_row *
@@ -268,15 +278,16 @@
 static size_t
 txn_bytes(const struct gb_pool_txn *txn)
 {
-	size_t bytes = CELL_HEAD;
+	size_t bytes = CELL_MESSAGE_BYTES;
 	size_t i;
 
 	for (i = 0; i < txn->put_count; i++)
-		bytes += CELL_HEAD + txn->puts[i].value.gb_body_len * 4 / 3;
+		bytes +=
+		    CELL_MESSAGE_BYTES + txn->puts[i].value.gb_body_len * 4 / 3;
 	return bytes;
 }
 
-/** The store takes the writes of a part one after another. */
+/** The store handles the writes of a partition one after another. */
 static gb_time
 partition_wait(struct pool_cell *cell, uint32_t partition)
 {
@@ -285,7 +296,7 @@
 	if (wait < 0)
 		wait = 0;
 	cell->partition_free[partition] =
-	    cell->now + wait + CELL_TXN + 2 * cell->faults.store_slow;
+	    cell->now + wait + CELL_TXN_TIME + 2 * cell->faults.store_delay;
 	return wait;
 }
 
@@ -299,30 +310,31 @@
 	bool late = chance(cell, cell->faults.txn_late);
 	bool lost = late || chance(cell, cell->faults.txn_lost);
 	struct pool_event *event = event_add(from, EVENT_TXN, lost ? 0 : call,
-	    wait + (late ? CELL_LATE : CELL_TXN + 2 * cell->faults.store_slow));
+	    wait + (late ? CELL_LATE_DELAY
+			 : CELL_TXN_TIME + 2 * cell->faults.store_delay));
 
 	event->txn = *txn;
 	event->txn.conds = rows_copy(txn->conds, txn->cond_count);
 	event->txn.puts = rows_copy(txn->puts, txn->put_count);
 	if (lost)
-		event_add(from, EVENT_TXN_LOST, call, wait + CELL_TIMEOUT);
+		event_add(from, EVENT_TXN_LOST, call, wait + CELL_CALL_TIMEOUT);
 }
 
-/** How long an answer is on its way over the node's link. */
+/** Time that the answer to a read takes on the inbound link of the node. */
 static gb_time
 answer_wait(const struct cell_node *from, const struct gb_pool_read *read)
 {
 	struct pool_cell *cell = from->cell;
 	gb_time *free_at = &cell->link_in_free[from->node];
 	struct gb_pool_read_res res = {0};
-	size_t bytes = CELL_HEAD;
+	size_t bytes = CELL_MESSAGE_BYTES;
 	size_t i;
 
 	if (!cell->link_in || cell->setup.link == 0)
 		return 0;
 	world_read(cell->world, read, &res);
 	for (i = 0; i < res.row_count; i++)
-		bytes += CELL_ROW + res.rows[i].value.gb_body_len * 4 / 3;
+		bytes += CELL_ROW_BYTES + res.rows[i].value.gb_body_len * 4 / 3;
 	world_read_free(&res);
 	if (*free_at < cell->now)
 		*free_at = cell->now;
@@ -337,14 +349,15 @@
 	bool fails =
 	    read->table == GB_POOL_OWNERS && read->limit > 1 &&
 	    (from->cell->faults.set_reads_fail >> read->partition & 1) != 0;
-	gb_time wait = link_wait(from, GB_TRAFFIC_STORE_READ, CELL_HEAD);
-	gb_time takes =
-	    CELL_TXN + from->cell->faults.store_slow + answer_wait(from, read);
+	gb_time wait =
+	    link_wait(from, GB_TRAFFIC_STORE_READ, CELL_MESSAGE_BYTES);
+	gb_time takes = CELL_TXN_TIME + from->cell->faults.store_delay +
+			answer_wait(from, read);
 	bool given_up = takes > CELL_READ_TIMEOUT && takes > read->patience;
 	struct pool_event *event;
 
 	if (fails)
-		takes = CELL_READ_FAILS;
+		takes = CELL_READ_FAIL_DELAY;
 	else if (given_up)
 		takes = CELL_READ_TIMEOUT;
 	event = event_add(from, EVENT_READ, call, wait + takes);
@@ -394,7 +407,8 @@
 
 /* Events ------------------------------------------------------------------ */
 
-/** The core that waits for the answer, unless it has been killed. */
+/** The core that waits for the answer, or null if there is none or it was
+ * killed. */
 static struct gb_pool *
 event_pool(const struct pool_cell *cell, const struct pool_event *event)
 {
@@ -404,14 +418,14 @@
 	return cell->nodes[event->node];
 }
 
-/** The sender of an order learns that it got no answer. */
+/** Schedules the timeout of an order that got no answer. */
 static void
 order_timeout(struct pool_cell *cell, const struct pool_event *event)
 {
 	const struct cell_node from = {cell, event->node};
 
-	event_add(
-	    &from, EVENT_ORDER_LOST, event->call, CELL_TIMEOUT - 2 * CELL_WIRE)
+	event_add(&from, EVENT_ORDER_LOST, event->call,
+	    CELL_CALL_TIMEOUT - 2 * CELL_ONE_WAY_DELAY)
 	    ->stop = event->kind == EVENT_STOP;
 }
 
@@ -427,7 +441,8 @@
 		world_stop(cell->world, &event->order, &res);
 	if (pool == NULL)
 		return;
-	if (res.status == GB_POOL_ORDER_LOST && cell->faults.workers_dark) {
+	if (res.status == GB_POOL_ORDER_LOST &&
+	    cell->faults.down_workers_silent) {
 		order_timeout(cell, event);
 		return;
 	}
@@ -437,8 +452,8 @@
 		gb_pool_stop_done(pool, cell->now, event->call, &res);
 }
 
-/** The answer of a hold was lost: it is given up some time after its wait.
- * False when the event stays. */
+/** Reports a heartbeat without an answer as lost some time after its wait has
+ * ended. Returns false while the event remains pending. */
 static bool
 event_heartbeat_silent(struct pool_cell *cell, const struct pool_event *event)
 {
@@ -451,9 +466,9 @@
 	return true;
 }
 
-/** Process of a worker that a node has a connection to. */
+/** The worker process that a node has a connection to. */
 static unsigned int *
-known_process(const struct pool_cell *cell, const struct pool_event *event)
+connected_process(const struct pool_cell *cell, const struct pool_event *event)
 {
 	unsigned int count = world_worker_count(cell->world);
 	unsigned int i;
@@ -463,17 +478,17 @@
 			event->heartbeat.addr) == 0)
 			break;
 	}
-	return &cell->known[event->node][i % CELL_KNOWN];
+	return &cell->connected[event->node][i % CELL_WORKERS_MAX];
 }
 
-/** Over a new connection the worker is only asked, unless it answered just now.
- */
+/** On a new connection a heartbeat only asks what the worker runs, without
+ * lease and cursor, unless the worker has answered just now. */
 static void
 heartbeat_connect(const struct pool_cell *cell, struct pool_event *event)
 {
 	event->question = event->heartbeat.incarnation != 0 &&
 			  !event->heartbeat.confirmed &&
-			  *known_process(cell, event) != event->process;
+			  *connected_process(cell, event) != event->process;
 	if (!event->question)
 		return;
 	event->heartbeat.cursor = 0;
@@ -482,8 +497,8 @@
 	event->expires = cell->now;
 }
 
-/** What the worker says to a hold; the connection ends with the process that
- * has taken it in. */
+/** Delivers a heartbeat to the worker and gets its report. The connection ends
+ * with the process that received it. */
 static void
 heartbeat_receive(const struct pool_cell *cell, struct pool_event *event,
     struct gb_pool_report *report)
@@ -502,14 +517,15 @@
 	}
 	world_heartbeat(cell->world, &event->heartbeat, report);
 	report->question = event->question;
-	/* They count when the hold comes, not while it waits. */
+	/* Lease and cursor apply on arrival, not while the worker waits to
+	 * answer. */
 	event->heartbeat.cursor = 0;
 	event->heartbeat.lease_end_ms = 0;
-	if (report->status == GB_POOL_ORDER_DONE && !cell->closes)
-		*known_process(cell, event) = process;
+	if (report->status == GB_POOL_ORDER_DONE && !cell->connection_per_call)
+		*connected_process(cell, event) = process;
 }
 
-/** False when the hold waits on. */
+/** Returns false while the heartbeat waits for a task to end. */
 static bool
 event_heartbeat(struct pool_cell *cell, struct pool_event *event)
 {
@@ -534,8 +550,8 @@
 	event->silent = !wait && cell->faults.heartbeat_silent > 0 &&
 			chance(cell, cell->faults.heartbeat_silent);
 	event->silent =
-	    event->silent ||
-	    (cell->faults.workers_dark && report.status == GB_POOL_ORDER_LOST);
+	    event->silent || (cell->faults.down_workers_silent &&
+				 report.status == GB_POOL_ORDER_LOST);
 	wait = wait || event->silent;
 	if (!wait)
 		gb_pool_heartbeat_done(pool, cell->now, event->call, &report);
@@ -623,7 +639,7 @@
 		gb_pool_start_done(pool, cell->now, event->call, &order);
 }
 
-/** False when the event stays. */
+/** Returns false when the event remains pending. */
 static bool
 event_run(struct pool_cell *cell, struct pool_event *event)
 {
@@ -649,7 +665,7 @@
 	}
 }
 
-/** Run what is due; what it adds is due later. */
+/** Runs the events that are due. Events added meanwhile are due later. */
 static void
 events_run(struct pool_cell *cell)
 {
@@ -662,7 +678,7 @@
 		if (event.due > cell->now || event.due < 0)
 			continue;
 		if (!event_run(cell, &event)) {
-			cell->events[i].due = cell->now + CELL_STEP;
+			cell->events[i].due = cell->now + CELL_TICK;
 			cell->events[i].silent = event.silent;
 			cell->events[i].process = event.process;
 			cell->events[i].question = event.question;
@@ -797,13 +813,13 @@
 	cell->seed = setup->seed;
 	cell->now = 100 * GB_SEC;
 	cell->world = world_new(setup->seed);
-	cell->known = gb_calloc(CELL_NODES, sizeof(*cell->known));
+	cell->connected = gb_calloc(CELL_NODES, sizeof(*cell->connected));
 	world_tick(cell->world, cell->now);
 	for (i = 0; i < setup->workers; i++)
 		world_worker_add(cell->world, "svc", "dc", i / 8,
 		    &setup->capacity, 0.8 + 0.2 * (i % 3));
-	/* Lines are made also when nobody reads them: one whose fields do not
-	 * match its format ends the process. */
+	/* Events are formatted even if no one reads them: one whose fields do
+	 * not match its format ends the process. */
 	cell->log_fd =
 	    getenv("GB_POOL_LOG") != NULL ? 2 : open("/dev/null", O_WRONLY);
 	cell->events_log =
@@ -833,7 +849,7 @@
 		close(cell->log_fd);
 	gb_pool_config_unref(cell->config);
 	world_free(cell->world);
-	free(cell->known);
+	free(cell->connected);
 	free(cell->events);
 	free(cell->flows);
 	free(cell);
@@ -851,7 +867,7 @@
 	return i;
 }
 
-/** An entry as the cell's faults have it. */
+/** Makes the list entry of a worker, with the faults that the cell injects. */
 static void
 entry_make(
     const struct pool_cell *cell, unsigned int i, struct gb_pool_entry *entry)
@@ -867,7 +883,7 @@
 		return;
 	}
 	world_worker_entry(cell->world, i, entry);
-	entry->removed = i < cell->hidden;
+	entry->removed = i < cell->unlisted;
 	if (i < cell->spoiled)
 		entry->fault = GB_POOL_ENTRY_INCOMPLETE;
 	if (cell->moved) {
@@ -877,7 +893,7 @@
 }
 
 static void
-cell_list(struct pool_cell *cell)
+cell_list_workers(struct pool_cell *cell)
 {
 	unsigned int count = world_worker_count(cell->world) + cell->strangers;
 	struct gb_pool_entry *entries = gb_calloc(count, sizeof(*entries));
@@ -894,7 +910,7 @@
 }
 
 static void
-cell_members(struct pool_cell *cell)
+cell_announce_members(struct pool_cell *cell)
 {
 	char addr[32];
 	unsigned int i;
@@ -909,20 +925,21 @@
 }
 
 static void
-cell_step(struct pool_cell *cell)
+cell_tick(struct pool_cell *cell)
 {
 	unsigned int i;
 
-	cell->now += CELL_STEP;
+	cell->now += CELL_TICK;
 	world_tick(cell->world, cell->now);
-	if (cell->now - cell->listed_at >= CELL_LIST) {
+	if (cell->now - cell->listed_at >= CELL_LIST_INTERVAL) {
 		cell->listed_at = cell->now;
-		cell_list(cell);
-		cell_members(cell);
+		cell_list_workers(cell);
+		cell_announce_members(cell);
 	}
 	events_run(cell);
 	for (i = 0; i < CELL_NODES; i++) {
-		if (!cell->closes || cell->now % CELL_RARE == 0)
+		if (!cell->connection_per_call ||
+		    cell->now % CELL_SLOW_TICK == 0)
 			gb_pool_tick(cell->nodes[i], cell->now, cell->now);
 	}
 }
@@ -934,7 +951,7 @@
 	size_t i;
 
 	while (cell->now < until) {
-		cell_step(cell);
+		cell_tick(cell);
 		for (i = 0; i < cell->flow_count; i++) {
 			struct pool_cell_flow *flow = &cell->flows[i];
 
@@ -1049,7 +1066,7 @@
 }
 
 void
-pool_cell_submit_again(struct pool_cell *cell, size_t flow)
+pool_cell_resubmit(struct pool_cell *cell, size_t flow)
 {
 	flow_send(cell, &cell->flows[flow]);
 }
--- a/tests/pool_cell.h
+++ b/tests/pool_cell.h
@@ -1,7 +1,8 @@
 /**
  * @file pool_cell.h
- * Pool cores against the model of the platform, in virtual time: calls take
- * a while, get lost or come late, owners die, the store goes away.
+ * Harness that runs pool cores against the model of the platform in virtual
+ * time. Calls take time, get lost or arrive late, owners are killed, and the
+ * store becomes unavailable.
  */
 #ifndef TESTS_POOL_CELL_H
 #define TESTS_POOL_CELL_H
@@ -10,30 +11,34 @@
 
 #define CELL_NODES 3
 #define CELL_ORGS 8
-/** Workers at the most. */
-#define CELL_KNOWN 512
-/** Submissions a second that each organisation may send when all is full. */
+/** Largest number of workers. */
+#define CELL_WORKERS_MAX 512
+/** Submissions per second that each organisation may send while the pool is
+ * full. */
 #define CELL_WEIGHT 6
 
-/** Faults in force, in percent of the calls they concern. */
+/** Injected faults, in percent of the calls concerned unless said otherwise. */
 struct pool_cell_faults {
-	unsigned int order_lost;    /**< carried out, no answer */
-	unsigned int order_late;    /**< no answer, carried out 2 s later */
-	unsigned int order_dropped; /**< neither carried out nor answered */
-	unsigned int heartbeat_lost;
-	unsigned int heartbeat_silent; /**< its answer never comes */
-	unsigned int heartbeat_late;   /**< no answer, carried out 2 s later */
-	unsigned int txn_lost;	       /**< done, no answer */
-	unsigned int txn_late;	       /**< no answer, done 2 s later */
-	unsigned int advice_lost;
-	bool workers_dark; /**< workers that are down answer nothing, in place
-			      of resetting connections */
-	bool store_down;
-	bool store_resets;  /**< calls are not carried out, without an answer */
-	gb_time store_slow; /**< added to each read, and twice to each write */
+	unsigned int order_lost;     /**< carried out, the answer is lost */
+	unsigned int order_late;     /**< no answer, carried out 2 s later */
+	unsigned int order_dropped;  /**< neither carried out nor answered */
+	unsigned int heartbeat_lost; /**< carried out, the call fails when it is
+					answered */
+	unsigned int heartbeat_silent; /**< carried out, the call times out */
+	unsigned int
+	    heartbeat_late;    /**< the call times out, carried out 2 s later */
+	unsigned int txn_lost; /**< committed, the answer is lost */
+	unsigned int txn_late; /**< no answer, committed 2 s later */
+	unsigned int advice_lost; /**< the answer is lost */
+	bool down_workers_silent; /**< workers that are down do not answer at
+			      all, in place of resetting connections */
+	bool store_down;	  /**< the store refuses all calls */
+	bool store_resets;   /**< calls are neither carried out nor answered */
+	gb_time store_delay; /**< added to each read, twice to each write */
 	uint32_t
-	    partitions_down; /**< parts of the tables that are out, as bits */
-	/** Parts whose set of workers is read for 0.4 s, and then not. */
+	    partitions_down; /**< bitmask of partitions that are unavailable */
+	/** Bitmask of partitions where reads of the set of workers fail, after
+	 * 0.4 s. */
 	uint32_t set_reads_fail;
 };
 
@@ -41,24 +46,25 @@
 	uint64_t seed;
 	unsigned int workers;
 	gb_res capacity;
-	unsigned int approved_percent; /**< 0: no advice needed */
-	gb_time decide_us;
-	gb_time valid_us;
-	gb_time per_item_us; /**< more for each worker that is named */
-	uint64_t link;	     /**< bytes a second of each node, 0: no limit */
-	uint32_t
-	    disabled_features; /**< mechanisms that are switched off, as bits */
+	unsigned int approved_percent; /**< workers approved by the advice
+					  service, 0: no advice needed */
+	gb_time decide_us;	       /**< time of an advice call */
+	gb_time valid_us;	       /**< lifetime of a ticket */
+	gb_time per_item_us; /**< added to an advice call for each worker that
+				it names */
+	uint64_t link;	     /**< bytes per second of each node, 0: no limit */
+	uint32_t disabled_features; /**< bitmask of disabled features */
 };
 
-/** What became of a submission, as its caller sees it. */
+/** A submission and its outcome, as its caller sees it. */
 struct pool_cell_flow {
 	gb_flow spec;
-	uint64_t token;
+	uint64_t token; /**< of the last request about it */
 	bool answered;
-	bool accepted; /**< a caller was told so, at some time */
+	bool accepted; /**< reported as accepted at some time */
 	gb_flow_answer answer;
 	gb_time submitted;
-	gb_time over; /**< when it was first shown as over, 0: not yet */
+	gb_time over; /**< when it was first reported as finished, 0: not yet */
 	gb_flow_status status;
 };
 
@@ -79,73 +85,84 @@
 	size_t event_count;
 	size_t event_size;
 	struct gb_pool_config *config;
-	char org[GB_NAME_MAX + 1]; /**< of the flows that are submitted next */
+	char org[GB_NAME_MAX + 1]; /**< organisation of the next flows */
 	struct gb_pool_org orgs[CELL_ORGS];
 	size_t org_count;
-	gb_time
-	    partition_free[GB_POOL_PARTITIONS]; /**< when its writes are over */
-	/** Connections to workers end with each call, and nodes tick rarely. */
-	bool closes;
-	/** Processes of workers that nodes have connections to, by number. */
-	unsigned int (*known)[CELL_KNOWN];
+	gb_time partition_free[GB_POOL_PARTITIONS]; /**< when each partition has
+						       finished its writes */
+	/** Each call to a worker uses a connection of its own, and nodes tick
+	 * only every 0.1 s. */
+	bool connection_per_call;
+	/** For each node and worker: the process that the node has a connection
+	 * to. */
+	unsigned int (*connected)[CELL_WORKERS_MAX];
 	unsigned int starts;
 	unsigned int advice_calls;
-	gb_time listed_at;
-	unsigned int hidden;  /**< first workers that are not listed */
-	unsigned int spoiled; /**< first workers whose entries are no good */
-	/** More entries, of a service that there is not, where nobody is. */
+	gb_time listed_at;     /**< when nodes last got the list of workers */
+	unsigned int unlisted; /**< number of workers, from the first, listed as
+				  removed */
+	unsigned int spoiled;  /**< number of workers, from the first, whose
+				  entries are invalid */
+	/** Number of extra entries, of a service that does not exist, at
+	 * addresses where nothing answers. */
 	unsigned int strangers;
-	bool moved; /**< entries name the address of the next worker */
-	/** What is read comes over links of the same bandwidth. */
+	bool moved; /**< each entry names the address of the next worker */
+	/** Answers to reads take up bandwidth too, on an inbound link as fast
+	 * as the outbound one. */
 	bool link_in;
-	gb_time link_in_free[CELL_NODES]; /**< when they are free again */
-	bool restarts; /**< random faults start workers again under their id */
-	struct gb_events
-	    *events_log; /**< with GB_POOL_LOG set on standard error */
+	gb_time link_in_free[CELL_NODES]; /**< when each inbound link is idle
+					     again */
+	bool restarts; /**< random faults restart workers under their ids */
+	struct gb_events *events_log; /**< to stderr if GB_POOL_LOG is set */
 	int log_fd;
 };
 
 struct pool_cell *pool_cell_new(const struct pool_cell_setup *);
 void pool_cell_free(struct pool_cell *);
 void pool_cell_run(struct pool_cell *, gb_time how_long);
-/** Let a node take the pool over from whoever has it. */
+/** Lets a node take over the pool from its owner. */
 void pool_cell_take(struct pool_cell *, unsigned int node);
-/** A node's process is killed and starts anew, knowing nothing. */
+/** Kills the process of a node and starts a new one without state. */
 void pool_cell_kill(struct pool_cell *, unsigned int node);
-/** Whoever owns the pool is killed, and a node takes it over. */
+/** Kills the owner of the pool and lets a node take over. */
 void pool_cell_replace_owner(struct pool_cell *, unsigned int node);
-/** Number of the node that owns the pool, or CELL_NODES. */
+/** Returns the number of the node that owns the pool, or CELL_NODES if none
+ * does. */
 unsigned int pool_cell_owner(const struct pool_cell *);
 
-/** A cell whose first node owns the pool. */
+/** Creates a cell whose first node owns the pool. */
 struct pool_cell *pool_cell_begin(const struct pool_cell_setup *);
-/** The oracle has seen no promise broken. */
+/** Asserts that the oracle has seen no violation of a guarantee. */
 void pool_cell_assert_unharmed(const struct pool_cell *);
-/** Give an organisation a quota of processors, in thousandths, and of memory;
- * known to all nodes as a new version.  Its key is its name. */
+/** Sets the quota of an organisation in thousandths of a processor and MB of
+ * memory, 0: none, and sends all nodes a new version of the configuration. The
+ * key of the organisation is its name. */
 void pool_cell_quota(
     struct pool_cell *, const char *org, int64_t cpu, int64_t mem);
-/** Tell all nodes a new version. */
+/** Sends all nodes a new version of the configuration. */
 void pool_cell_configure(struct pool_cell *);
-/** Submit two tasks of a second to the queue of lookups. */
+/** Submits a flow of two tasks of 1 s to the queue of lookups. */
 size_t pool_cell_submit_lookup(struct pool_cell *);
 
-/** Submit a flow to the owner; returns its number.  One step of `count` tasks
- * is added with each call of pool_cell_step before. */
+/** Submits the flow drafted by the preceding calls of pool_cell_step to the
+ * owner; returns its number. */
 size_t pool_cell_submit(
     struct pool_cell *, const char *queue, const char *spec);
+/** Adds a step of `count` tasks to the flow that is submitted next; `after` is
+ * the step that it waits for, -1: none. */
 void pool_cell_step(struct pool_cell *, uint32_t count, int cpu, gb_time work,
     uint32_t flags, int after);
-/** Submit it once more, as a caller without an answer does. */
-void pool_cell_submit_again(struct pool_cell *, size_t flow);
+/** Submits a flow once more, as a caller that got no answer does. */
+void pool_cell_resubmit(struct pool_cell *, size_t flow);
 void pool_cell_cancel(struct pool_cell *, size_t flow);
-/** Ask the owner about a flow as the caller that the question names, and let
- * time pass; the answer, if there is one by then, stands in the flow. */
+/** Asks the owner about a flow on behalf of the caller named in the request,
+ * then runs the cell for a time. An answer that arrives by then is in the
+ * flow. */
 void pool_cell_ask(
     struct pool_cell *, size_t flow, const gb_flow_ask *, gb_time how_long);
-/** Whether the owner answers at all when it is asked for a state. */
+/** Verdict of the owner on a request for the state of a flow. */
 gb_flow_verdict pool_cell_verdict(struct pool_cell *, size_t flow);
-/** State as the owner shows it. */
+/** State of a flow as reported by the owner. */
 gb_flow_status pool_cell_state(struct pool_cell *, size_t flow);
 
 #endif
--- a/tests/pool_random.c
+++ b/tests/pool_random.c
@@ -1,6 +1,6 @@
 /**
  * @file pool_random.c
- * Random load and random faults, one upon the other, on pool cores against the
+ * Random load and random faults, several at a time, on pool cores against the
  * model of the platform.
  */
 #include <setjmp.h>
@@ -41,10 +41,10 @@
 	pool_cell_submit(cell, n % 3 == 0 ? "rebuild" : "lookup", spec);
 }
 
-/** A worker is back, under another id or, where that is played, its own; the
- * time of day may have jumped. */
+/** Starts a worker again, under a new id or, with `restarts`, its own. In the
+ * latter case the time of day may jump, and heartbeats may arrive late. */
 static void
-worker_back(struct pool_cell *cell, unsigned int worker, uint64_t n)
+worker_start_again(struct pool_cell *cell, unsigned int worker, uint64_t n)
 {
 	if (!cell->restarts) {
 		world_worker_reborn(cell->world, worker);
@@ -91,7 +91,7 @@
 		world_worker_crash(cell->world, worker);
 		break;
 	case 8:
-		worker_back(cell, worker, n);
+		worker_start_again(cell, worker, n);
 		break;
 	case 9:
 		world_worker_sick(cell->world, worker, n % 5 == 0, n % 7 == 0);
@@ -112,8 +112,9 @@
 	}
 }
 
+/** Ends all faults, starts all workers again and lets a node own the pool. */
 static void
-random_heal(struct pool_cell *cell)
+random_recover(struct pool_cell *cell)
 {
 	unsigned int i;
 
@@ -132,9 +133,9 @@
 	}
 }
 
-/** Whether every accepted flow came to its end. */
+/** Asserts that every accepted flow has finished. */
 static void
-assert_all_over(struct pool_cell *cell)
+assert_all_finished(struct pool_cell *cell)
 {
 	struct world_flow_view view;
 	size_t i;
@@ -150,7 +151,8 @@
 		if (status == GB_FLOW_UNKNOWN)
 			assert_false(cell->flows[i].accepted);
 		else if (status < GB_FLOW_SUCCEEDED)
-			fail_msg("flow %zu is not over: %d", i, (int)status);
+			fail_msg(
+			    "flow %zu has not finished: %d", i, (int)status);
 	}
 }
 
@@ -175,13 +177,13 @@
 		if (pool_cell_owner(cell) == CELL_NODES && i % 6 == 0)
 			pool_cell_take(cell, (unsigned int)(seed % CELL_NODES));
 	}
-	random_heal(cell);
+	random_recover(cell);
 	pool_cell_run(cell, 60 * GB_SEC);
 	if (world_faults(cell->world)->text[0] != '\0')
 		print_message("seed %llu: %s\n", (unsigned long long)seed,
 		    world_faults(cell->world)->text);
 	pool_cell_assert_unharmed(cell);
-	assert_all_over(cell);
+	assert_all_finished(cell);
 	pool_cell_free(cell);
 }
 
--- a/tests/pool_random.h
+++ b/tests/pool_random.h
@@ -7,10 +7,11 @@
 
 #include "pool_cell.h"
 
-/** Play a seed: nothing runs twice, and all that was accepted comes to its end.
- * Workers that are back have another id, or their own. */
+/** Runs random load and faults with one seed: no task runs twice, and every
+ * accepted flow finishes. With `restarts`, lost workers come back under their
+ * own ids, otherwise under new ones. */
 void pool_random_run(uint64_t seed, bool restarts);
-/** The same of GB_POOL_RUNS seeds from GB_POOL_SEED on. */
+/** Does the same for GB_POOL_RUNS seeds from GB_POOL_SEED on. */
 void pool_random_runs(bool restarts);
 
 #endif
--- a/tests/test_crash.c
+++ b/tests/test_crash.c
@@ -372,7 +372,7 @@
 	(void)state;
 	setup.workers = 6;
 	cell = pool_cell_begin(&setup);
-	cell->faults.workers_dark = true;
+	cell->faults.down_workers_silent = true;
 	for (round = 0; round < 12; round++) {
 		unsigned int first = round % 3 * 2;
 
@@ -402,7 +402,7 @@
 		struct pool_cell *cell = pool_cell_begin(&pool24);
 		unsigned int round;
 
-		cell->faults.workers_dark = true;
+		cell->faults.down_workers_silent = true;
 		submit_crasher(cell, "ms=2000 crash=0 back=6000");
 		for (round = 1; round <= 4; round++) {
 			pool_cell_run(cell, delay * 100 * GB_MSEC);
@@ -432,7 +432,7 @@
 		setup.seed = seed;
 		setup.workers = 12;
 		cell = pool_cell_begin(&setup);
-		cell->faults.workers_dark = true;
+		cell->faults.down_workers_silent = true;
 		for (i = 0; i < 3; i++)
 			submit_crasher(cell, "ms=4000");
 		pool_cell_run(cell, (1000 + 25 * (gb_time)seed) * GB_MSEC);
--- a/tests/test_crash_takeover.c
+++ b/tests/test_crash_takeover.c
@@ -27,7 +27,7 @@
 	unsigned int tenth;
 	size_t flow;
 
-	cell->faults.workers_dark = true;
+	cell->faults.down_workers_silent = true;
 	pool_cell_step(cell, tasks, 4000, GB_SEC, flags, -1);
 	flow = pool_cell_submit(cell, "import", "ms=2000 crash=0 back=1500");
 	for (tenth = 0; tenth < 900; tenth++) {
@@ -146,7 +146,7 @@
 
 	setup.seed = seed;
 	cell = pool_cell_begin(&setup);
-	cell->faults.workers_dark = dark;
+	cell->faults.down_workers_silent = dark;
 	for (tenth = 0; tenth < 100; tenth++) {
 		submit_with_crashers(cell, tenth);
 		pool_cell_run(cell, 100 * GB_MSEC);
--- a/tests/test_large_gang.c
+++ b/tests/test_large_gang.c
@@ -16,7 +16,7 @@
 test_large_gang_beside_five_sixths(void **state)
 {
 	(void)state;
-	large_gang_is_done(3);
+	large_gang_assert_finishes(3);
 }
 
 /** Load: the small ones keep 62% of the pool busy. */
@@ -24,7 +24,7 @@
 test_large_gang_beside_five_eighths(void **state)
 {
 	(void)state;
-	large_gang_is_done(4);
+	large_gang_assert_finishes(4);
 }
 
 int
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -60,9 +60,9 @@
 
 	(void)state;
 	pool_cell_run(cell, 100 * GB_MSEC);
-	pool_cell_submit_again(cell, flow);
+	pool_cell_resubmit(cell, flow);
 	pool_cell_run(cell, 3 * GB_SEC);
-	pool_cell_submit_again(cell, flow);
+	pool_cell_resubmit(cell, flow);
 	pool_cell_run(cell, 3 * GB_SEC);
 	assert_int_equal(cell->starts, 2);
 	pool_cell_assert_unharmed(cell);
@@ -234,11 +234,11 @@
 	cell->faults.store_down = true;
 	pool_cell_run(cell, 3 * GB_SEC);
 	cell->faults.store_down = false;
-	cell->hidden = 8;
+	cell->unlisted = 8;
 	pool_cell_kill(cell, 0);
 	pool_cell_take(cell, 1);
 	pool_cell_run(cell, GB_SEC);
-	cell->hidden = 0;
+	cell->unlisted = 0;
 	pool_cell_run(cell, 8 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
 	pool_cell_assert_unharmed(cell);
@@ -528,7 +528,7 @@
 	cell->faults.partitions_down = 0;
 	pool_cell_run(cell, GB_SEC);
 	for (i = 1; i < 31; i++)
-		pool_cell_submit_again(cell, i);
+		pool_cell_resubmit(cell, i);
 	pool_cell_run(cell, 10 * GB_SEC);
 	for (i = 1; i < 31; i++)
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
@@ -793,7 +793,7 @@
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t i;
 
-	cell->faults.store_slow = slow;
+	cell->faults.store_delay = slow;
 	for (i = 0; i < 30; i++) {
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 50 * GB_MSEC);
@@ -851,7 +851,7 @@
 	gb_time at;
 	size_t i;
 
-	cell->faults.store_slow = 430 * GB_MSEC;
+	cell->faults.store_delay = 430 * GB_MSEC;
 	for (at = 0; at < lasts + most; at += 5 * GB_MSEC) {
 		for (; next <= at && at < lasts; next += each)
 			pool_cell_submit_lookup(cell);
@@ -976,7 +976,7 @@
 	(void)state;
 	for (first = 0; first < 2; first++) {
 		cell = pool_cell_begin(&plain);
-		cell->faults.store_slow = 100 * GB_MSEC;
+		cell->faults.store_delay = 100 * GB_MSEC;
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 300 * GB_MSEC);
 		if (first == 0) {
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -75,7 +75,7 @@
 test_a_large_gang_does_not_starve(void **state)
 {
 	(void)state;
-	large_gang_is_done(5);
+	large_gang_assert_finishes(5);
 }
 
 int
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -303,7 +303,7 @@
 	unsigned int i;
 
 	(void)state;
-	cell->closes = true;
+	cell->connection_per_call = true;
 	pool_cell_take(cell, 0);
 	pool_cell_run(cell, GB_SEC);
 	for (i = 0; i < 10; i++) {
