--- a/tests/test_crash.c
+++ b/tests/test_crash.c
@@ -1,13 +1,9 @@
 /**
  * @file test_crash.c
- * Some tasks crash every worker that starts them: 10 ms after the order to
- * start one its worker was gone, with all else that it ran, and 1.2 to 1.7 s
- * later another lifetime answered in its place.  A run that was lost with its
- * worker left no trace, and only ends that a worker lists counted as attempts,
- * so that such a task was started anew for as long as it was not cancelled.
- * On 48 workers two of them came to their sixth start 10.7 s after the third
- * worker had crashed; the log had "run_start ... run 8" of a task and, 11 ms
- * later, "worker_silent", and 215 runs were lost with their workers in 40 s.
+ * Tasks that crash every worker that starts them. The owner learns of such a
+ * crash only from the loss of the worker, which reports no end of the run; if
+ * ends reported by workers were the only failed attempts, the task would be
+ * restarted without limit and take the other runs of each worker with it.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,9 +15,9 @@
 
 #include "pool_cell.h"
 
-/** Starts of a task that crashes each worker: after three workers have crashed
- * under it only two more are allowed. */
-#define STARTS_MOST 5
+/** Most starts of a task that crashes its workers: once three workers have
+ * crashed under it, only two more are allowed. */
+#define STARTS_MAX 5
 
 static const struct pool_cell_setup pool24 = {
     11, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
@@ -38,9 +34,10 @@
 	return view;
 }
 
-/** Small flows that could always be done, two a tenth of a second. */
+/** Submits flows that have room for a number of tenths of a second: a small one
+ * every 0.2 s, a wide one every 1 s and a gang every 2 s. */
 static void
-run_with_others(struct pool_cell *cell, unsigned int tenths)
+run_with_load(struct pool_cell *cell, unsigned int tenths)
 {
 	unsigned int i;
 
@@ -62,9 +59,10 @@
 	}
 }
 
-/** Nothing is given up unless two workers have crashed under it. */
+/** Asserts that every accepted flow has succeeded, or has failed after two
+ * workers crashed under one of its tasks. */
 static void
-assert_none_fails_without_cause(struct pool_cell *cell)
+assert_failures_have_cause(struct pool_cell *cell)
 {
 	size_t i;
 
@@ -78,8 +76,8 @@
 	pool_cell_assert_unharmed(cell);
 }
 
-/** Whatever could be done is done, and what crashes its workers is not started
- * for ever, and shown as failed in the end. */
+/** Asserts that flows with a task that crashes its workers have failed, and
+ * that all other accepted flows have succeeded. */
 static void
 assert_only_crashers_fail(struct pool_cell *cell)
 {
@@ -109,31 +107,31 @@
 	return pool_cell_submit(cell, "import", spec);
 }
 
-/** The load of the incident: two such tasks, on a pool that is used. */
+/** Two flows that crash their workers, on a pool with other load. */
 static void
-test_task_that_crashes_workers_is_given_up(void **state)
+test_task_that_crashes_workers_fails(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&advised48);
 	size_t first;
 	size_t second;
 
 	(void)state;
-	run_with_others(cell, 20);
+	run_with_load(cell, 20);
 	first = submit_crasher(cell, "ms=2000 crash=0");
-	run_with_others(cell, 7);
+	run_with_load(cell, 7);
 	second = submit_crasher(cell, "ms=2000 crash=0");
-	run_with_others(cell, 300);
+	run_with_load(cell, 300);
 	pool_cell_run(cell, 20 * GB_SEC);
-	assert_true(view_of(cell, first).starts <= STARTS_MOST);
-	assert_true(view_of(cell, second).starts <= STARTS_MOST);
+	assert_true(view_of(cell, first).starts <= STARTS_MAX);
+	assert_true(view_of(cell, second).starts <= STARTS_MAX);
 	assert_only_crashers_fail(cell);
 	pool_cell_free(cell);
 }
 
-/** Its worker comes back before its lease would have lapsed, or after it, or
- * long after. */
+/** Crashed workers come back before their leases would have lapsed, soon after
+ * that, or much later. */
 static void
-test_workers_come_back_soon_or_late(void **state)
+test_crashed_workers_return(void **state)
 {
 	static const char *const specs[] = {"crash=0 back=300",
 	    "crash=0 back=2500", "crash=0 back=4000", "crash=0 back=7000",
@@ -145,77 +143,77 @@
 		struct pool_cell *cell = pool_cell_begin(&pool24);
 		size_t flow;
 
-		run_with_others(cell, 10);
+		run_with_load(cell, 10);
 		flow = submit_crasher(cell, specs[i]);
-		run_with_others(cell, 300);
+		run_with_load(cell, 300);
 		pool_cell_run(cell, 90 * GB_SEC);
-		assert_true(view_of(cell, flow).starts <= STARTS_MOST);
+		assert_true(view_of(cell, flow).starts <= STARTS_MAX);
 		assert_only_crashers_fail(cell);
 		pool_cell_free(cell);
 	}
 }
 
-/** Its workers never come back: after a while they count as crashed, and it is
- * not started before that. */
+/** Crashed workers never come back. Each counts as crashed after a while, and
+ * the task is not started again before that. */
 static void
-test_workers_never_come_back(void **state)
+test_crashed_workers_never_return(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&pool24);
 	size_t flow;
 
 	(void)state;
-	run_with_others(cell, 10);
+	run_with_load(cell, 10);
 	flow = submit_crasher(cell, "crash=0 back=300000");
-	run_with_others(cell, 600);
+	run_with_load(cell, 600);
 	pool_cell_run(cell, 60 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
-	assert_in_range(view_of(cell, flow).starts, 3, STARTS_MOST - 1);
+	assert_in_range(view_of(cell, flow).starts, 3, STARTS_MAX - 1);
 	assert_only_crashers_fail(cell);
 	pool_cell_free(cell);
 }
 
-/** One member of a gang crashes its workers: each time the gang is started
- * again, and with it that member. */
+/** One member of a gang crashes its workers. The whole gang, and that member
+ * with it, is started again each time. */
 static void
-test_gang_with_such_a_member_is_given_up(void **state)
+test_gang_with_crashing_member_fails(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&pool24);
 	size_t flow;
 
 	(void)state;
-	run_with_others(cell, 10);
+	run_with_load(cell, 10);
 	pool_cell_step(cell, 12, 4000, 3 * GB_SEC, GB_STEP_GANG, -1);
 	flow = pool_cell_submit(cell, "rebuild", "ms=3000 crash=5");
-	run_with_others(cell, 200);
+	run_with_load(cell, 200);
 	pool_cell_run(cell, 30 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
-	assert_true(view_of(cell, flow).starts <= 12 * STARTS_MOST);
+	assert_true(view_of(cell, flow).starts <= 12 * STARTS_MAX);
 	assert_only_crashers_fail(cell);
 	pool_cell_free(cell);
 }
 
-/** Copies of such a task count like its other runs. */
+/** Crashes of speculative copies count like those of other runs of the task. */
 static void
-test_copies_crash_workers_too(void **state)
+test_speculative_copies_count(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&pool24);
 	size_t flow;
 
 	(void)state;
-	run_with_others(cell, 10);
+	run_with_load(cell, 10);
 	pool_cell_step(cell, 4, 2000, GB_SEC, GB_STEP_SPECULATIVE, -1);
 	flow = pool_cell_submit(cell, "import", "ms=1000 crash=2");
-	run_with_others(cell, 200);
+	run_with_load(cell, 200);
 	pool_cell_run(cell, 30 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
 	assert_only_crashers_fail(cell);
 	pool_cell_free(cell);
 }
 
-/** Owners are killed while such tasks are about, at one moment after another:
- * what has crashed is not forgotten with them. */
+/** Owners are killed at various times while a task crashes its workers. Their
+ * successors know of the earlier crashes. */
 static void
-test_owners_go_while_workers_crash(void **state)
+test_owners_killed_during_crashes(void **state)
 {
 	unsigned int delay;
 
@@ -227,11 +225,11 @@
 
 		flow = submit_crasher(cell, "ms=2000 crash=0");
 		for (round = 1; round <= 3; round++) {
-			run_with_others(cell, delay);
+			run_with_load(cell, delay);
 			pool_cell_replace_owner(cell, round % CELL_NODES);
 			pool_cell_run(cell, 500 * GB_MSEC);
 		}
-		run_with_others(cell, 200);
+		run_with_load(cell, 200);
 		pool_cell_run(cell, 60 * GB_SEC);
 		assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
 		pool_cell_assert_unharmed(cell);
@@ -239,7 +237,7 @@
 	}
 }
 
-/** What is stored of the crashes under the first task of a flow. */
+/** Reads the stored record of crashes under the first task of a flow. */
 static gb_task_crashes
 stored_crashes(struct pool_cell *cell, size_t flow)
 {
@@ -264,10 +262,10 @@
 	return crashes;
 }
 
-/** Three flows are started together on the one worker that there is, which one
- * of them crashes: which one can't be told. */
+/** Three flows are started together on the only worker, which one of them
+ * crashes. Each is a suspect, none of them the sole one. */
 static void
-test_neighbours_are_not_alone(void **state)
+test_neighbours_not_sole_suspects(void **state)
 {
 	struct pool_cell_setup setup = pool24;
 	struct pool_cell *cell;
@@ -292,33 +290,34 @@
 	pool_cell_free(cell);
 }
 
-/** A whole rack is lost again and again: what ran there is not to blame. */
+/** A whole rack is lost several times. Tasks that ran there must not be taken
+ * for the cause. */
 static void
-test_lost_racks_fail_nobody(void **state)
+test_lost_racks_fail_no_flow(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&pool24);
 	unsigned int round;
 	unsigned int i;
 
 	(void)state;
-	run_with_others(cell, 20);
+	run_with_load(cell, 20);
 	for (round = 0; round < 6; round++) {
 		for (i = 0; i < 8; i++)
 			world_worker_crash(cell->world, round % 3 * 8 + i);
-		run_with_others(cell, 15);
+		run_with_load(cell, 15);
 		for (i = 0; i < 8; i++)
 			world_worker_reborn(cell->world, round % 3 * 8 + i);
-		run_with_others(cell, 15);
+		run_with_load(cell, 15);
 	}
 	pool_cell_run(cell, 60 * GB_SEC);
 	assert_only_crashers_fail(cell);
 	pool_cell_free(cell);
 }
 
-/** Workers are lost at the same moment in three data centres, two in each,
- * among them the one that runs a task: it is not to blame. */
+/** Two workers in each of three data centres are lost at the same moment, among
+ * them the one that runs a task, which must not be taken for the cause. */
 static void
-test_workers_lost_in_several_data_centres_fail_nobody(void **state)
+test_multi_dc_losses_fail_no_flow(void **state)
 {
 	static const char *const dcs[] = {"dc-a", "dc-b", "dc-c"};
 	unsigned int after;
@@ -332,7 +331,7 @@
 
 		for (i = 0; i < 24; i++)
 			world_worker_dc(cell->world, i, dcs[i / 8]);
-		run_with_others(cell, 20);
+		run_with_load(cell, 20);
 		pool_cell_step(cell, 1, 4000, GB_SEC, 0, -1);
 		flow = pool_cell_submit(cell, "import", "ms=4000");
 		for (round = 0; round < 3; round++) {
@@ -342,13 +341,13 @@
 			for (i = 0; i < 100 &&
 				    world_flow_worker(cell->world, id) == 24;
 			     i++)
-				run_with_others(cell, 1);
-			run_with_others(cell, after);
+				run_with_load(cell, 1);
+			run_with_load(cell, after);
 			at = world_flow_worker(cell->world, id) % 8 / 2 * 2;
 			for (i = 0; i < 6; i++)
 				world_worker_crash(
 				    cell->world, i / 2 * 8 + at + i % 2);
-			run_with_others(cell, 15);
+			run_with_load(cell, 15);
 			for (i = 0; i < 6; i++)
 				world_worker_reborn(
 				    cell->world, i / 2 * 8 + at + i % 2);
@@ -359,10 +358,11 @@
 	}
 }
 
-/** Workers that are down answer nothing, and are missed after up to 0.6 s: what
- * was sent to them meanwhile never ran there, and is not to blame. */
+/** Workers that are down answer nothing, and the owner notices after up to 0.6
+ * s. Tasks sent to them meanwhile never ran there and must not be taken for the
+ * cause. */
 static void
-test_starts_on_dead_workers_fail_nobody(void **state)
+test_dead_workers_fail_no_flow(void **state)
 {
 	struct pool_cell_setup setup = pool24;
 	struct pool_cell *cell;
@@ -386,14 +386,15 @@
 		pool_cell_run(cell, 500 * GB_MSEC);
 	}
 	pool_cell_run(cell, 60 * GB_SEC);
-	assert_none_fails_without_cause(cell);
+	assert_failures_have_cause(cell);
 	pool_cell_free(cell);
 }
 
-/** Workers answer nothing and come back after their leases, and owners are
- * killed meanwhile: which workers are away is not forgotten with them. */
+/** Workers answer nothing and come back after their leases have expired, and
+ * owners are killed meanwhile. Their successors know which workers are
+ * unreachable. */
 static void
-test_owners_go_while_workers_are_away(void **state)
+test_owners_killed_workers_unreachable(void **state)
 {
 	unsigned int delay;
 
@@ -415,11 +416,11 @@
 	}
 }
 
-/** Load: all workers are lost and back at once, which the owner sees first of
- * those that were busy.  What it starts on the others goes to lifetimes that
- * are over: nothing has crashed them. */
+/** Load: all workers are lost and come back at once, and the owner notices it
+ * first for the busy ones. What it starts on the others goes to incarnations
+ * that have ended, and must not be taken for a cause of crashes. */
 static void
-test_starts_on_earlier_lifetimes_fail_nobody(void **state)
+test_ended_incarnations_fail_no_flow(void **state)
 {
 	struct pool_cell *cell;
 	uint64_t seed;
@@ -436,7 +437,7 @@
 		for (i = 0; i < 3; i++)
 			submit_crasher(cell, "ms=4000");
 		pool_cell_run(cell, (1000 + 25 * (gb_time)seed) * GB_MSEC);
-		/* The list of workers is out for a while. */
+		/* The list of workers is unavailable for 3 s. */
 		cell->listed_at = cell->now + 3 * GB_SEC;
 		for (i = 0; i < setup.workers; i++)
 			world_worker_crash(cell->world, i);
@@ -449,10 +450,11 @@
 	}
 }
 
-/** Rows that older programs wrote end before the lives of workers, before the
- * organisation, and before the crashes; no others are read. */
+/** Rows written by older versions lack the lists of worker incarnations, the
+ * organisation or the list of crashes at their end. Shorter rows are
+ * rejected. */
 static void
-test_older_states_are_read(void **state)
+test_older_state_rows_are_read(void **state)
 {
 	char none[] = "";
 	gb_flow_state written = {.org = none};
@@ -482,20 +484,19 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_task_that_crashes_workers_is_given_up),
-	    cmocka_unit_test(test_workers_come_back_soon_or_late),
-	    cmocka_unit_test(test_workers_never_come_back),
-	    cmocka_unit_test(test_gang_with_such_a_member_is_given_up),
-	    cmocka_unit_test(test_copies_crash_workers_too),
-	    cmocka_unit_test(test_owners_go_while_workers_crash),
-	    cmocka_unit_test(test_neighbours_are_not_alone),
-	    cmocka_unit_test(test_lost_racks_fail_nobody),
-	    cmocka_unit_test(
-		test_workers_lost_in_several_data_centres_fail_nobody),
-	    cmocka_unit_test(test_starts_on_dead_workers_fail_nobody),
-	    cmocka_unit_test(test_owners_go_while_workers_are_away),
-	    cmocka_unit_test(test_starts_on_earlier_lifetimes_fail_nobody),
-	    cmocka_unit_test(test_older_states_are_read),
+	    cmocka_unit_test(test_task_that_crashes_workers_fails),
+	    cmocka_unit_test(test_crashed_workers_return),
+	    cmocka_unit_test(test_crashed_workers_never_return),
+	    cmocka_unit_test(test_gang_with_crashing_member_fails),
+	    cmocka_unit_test(test_speculative_copies_count),
+	    cmocka_unit_test(test_owners_killed_during_crashes),
+	    cmocka_unit_test(test_neighbours_not_sole_suspects),
+	    cmocka_unit_test(test_lost_racks_fail_no_flow),
+	    cmocka_unit_test(test_multi_dc_losses_fail_no_flow),
+	    cmocka_unit_test(test_dead_workers_fail_no_flow),
+	    cmocka_unit_test(test_owners_killed_workers_unreachable),
+	    cmocka_unit_test(test_ended_incarnations_fail_no_flow),
+	    cmocka_unit_test(test_older_state_rows_are_read),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_crash_racks.c
+++ b/tests/test_crash_racks.c
@@ -1,7 +1,8 @@
 /**
  * @file test_crash_racks.c
- * Racks that are lost under a task, again and again: from the workers alone
- * this looks like tasks that crash them at the same time.
+ * Racks that are lost under a task, several times. From the losses of workers
+ * alone, this cannot be told from tasks that crash their workers at the same
+ * time, so that the task may be failed without having caused a crash.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,7 +20,7 @@
     11, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
 static void
-run_with_others(struct pool_cell *cell, unsigned int tenths)
+run_with_load(struct pool_cell *cell, unsigned int tenths)
 {
 	unsigned int i;
 
@@ -30,7 +31,8 @@
 	}
 }
 
-/** Lose the rack of a flow, so long after it is seen to run. */
+/** Crashes the rack where a flow runs, a number of tenths of a second after it
+ * was seen to run, and brings it back 1.5 s later. */
 static void
 lose_rack_of(struct pool_cell *cell, size_t flow, unsigned int tenths)
 {
@@ -41,21 +43,21 @@
 	for (i = 0; i < 100 && world_flow_worker(cell->world, id) ==
 				   world_worker_count(cell->world);
 	     i++)
-		run_with_others(cell, 1);
-	run_with_others(cell, tenths);
+		run_with_load(cell, 1);
+	run_with_load(cell, tenths);
 	first =
 	    world_flow_worker(cell->world, id) / RACK_WORKERS * RACK_WORKERS;
 	assert_true(first < world_worker_count(cell->world));
 	for (i = first; i < first + RACK_WORKERS; i++)
 		world_worker_crash(cell->world, i);
-	run_with_others(cell, 15);
+	run_with_load(cell, 15);
 	for (i = first; i < first + RACK_WORKERS; i++)
 		world_worker_reborn(cell->world, i);
 }
 
-/** Four racks, or six, are lost under a task. */
+/** Loses four racks in a row under a task, then six; the task must succeed. */
 static void
-play_lost_racks(unsigned int tenths)
+run_lost_racks(unsigned int tenths)
 {
 	static const unsigned int racks[] = {4, 6};
 	unsigned int round;
@@ -65,7 +67,7 @@
 	for (i = 0; i < 2; i++) {
 		struct pool_cell *cell = pool_cell_begin(&pool24);
 
-		run_with_others(cell, 20);
+		run_with_load(cell, 20);
 		pool_cell_step(cell, 1, 4000, GB_SEC, 0, -1);
 		flow = pool_cell_submit(cell, "import", "ms=4000");
 		for (round = 0; round < racks[i]; round++)
@@ -77,31 +79,31 @@
 	}
 }
 
-/** It was given up as one that crashes its workers. */
+/** The task has been running for a while when its rack is lost. */
 static void
-test_task_on_lost_racks_is_given_up(void **state)
+test_task_survives_lost_racks(void **state)
 {
 	unsigned int tenths;
 
 	(void)state;
 	for (tenths = 1; tenths <= 20; tenths++)
-		play_lost_racks(tenths);
+		run_lost_racks(tenths);
 }
 
-/** The same where it had just been started there. */
+/** The task has only just been started when its rack is lost. */
 static void
-test_new_task_on_lost_racks_is_given_up(void **state)
+test_new_task_survives_lost_racks(void **state)
 {
 	(void)state;
-	play_lost_racks(0);
+	run_lost_racks(0);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_task_on_lost_racks_is_given_up),
-	    cmocka_unit_test(test_new_task_on_lost_racks_is_given_up),
+	    cmocka_unit_test(test_task_survives_lost_racks),
+	    cmocka_unit_test(test_new_task_survives_lost_racks),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_crash_takeover.c
+++ b/tests/test_crash_takeover.c
@@ -1,7 +1,9 @@
 /**
  * @file test_crash_takeover.c
- * Owners are killed again and again, each soon after it has started a task that
- * crashes its workers, and before it has missed the worker.
+ * Owners that are killed soon after they have started a task that crashes its
+ * workers, before they notice the loss of the worker. A successor that does not
+ * know of the start cannot count the crash, so that the task could be started
+ * without limit.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,11 +17,11 @@
 static const struct pool_cell_setup pool24 = {
     11, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
-/** A step of so many tasks, the first of which crashes its workers, while each
- * owner is killed soon after it has started them.  After three workers have
- * crashed under the task, it is started only twice more. */
+/** Submits a step of `tasks` tasks, the first of which crashes its workers, and
+ * kills each owner soon after it has started them. Once three workers have
+ * crashed under the task, it may be started only twice more. */
 static void
-owners_go_right_after_starts(uint32_t tasks, uint32_t flags)
+kill_owners_after_starts(uint32_t tasks, uint32_t flags)
 {
 	struct pool_cell *cell = pool_cell_begin(&pool24);
 	struct world_flow_view view = {0};
@@ -45,20 +47,20 @@
 }
 
 static void
-test_owners_go_right_after_starts(void **state)
+test_owners_killed_after_starts(void **state)
 {
 	(void)state;
-	owners_go_right_after_starts(1, 0);
+	kill_owners_after_starts(1, 0);
 }
 
 static void
-test_owners_go_right_after_starts_of_a_gang(void **state)
+test_owners_killed_after_gang_starts(void **state)
 {
 	(void)state;
-	owners_go_right_after_starts(4, GB_STEP_GANG);
+	kill_owners_after_starts(4, GB_STEP_GANG);
 }
 
-/** The worker that has a number is lost with the owner, and comes back 0.3 s
+/** Crashes a worker together with the owner, and brings the worker back 0.3 s
  * later. */
 static void
 lose_worker_and_owner(struct pool_cell *cell, unsigned int worker)
@@ -70,11 +72,10 @@
 	world_worker_reborn(cell->world, worker);
 }
 
-/** Load: an owner and a worker are lost together, while a step waits of which
- * one task may run on each worker.  All of it is done, and no worker is given
- * two. */
+/** Load: an owner and a worker are lost together while a step waits that allows
+ * one task per worker. All tasks finish, and no worker gets two at a time. */
 static void
-test_spread_steps_after_a_takeover(void **state)
+test_per_worker_limit_over_takeover(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&pool24);
 	size_t flow;
@@ -90,10 +91,10 @@
 	pool_cell_free(cell);
 }
 
-/** Load: the only worker is lost with its owner, and has room for one task at a
- * time.  All that was begun there is done. */
+/** Load: the only worker is lost with its owner, and has capacity for one task
+ * at a time. All tasks of the flow finish. */
 static void
-test_one_place_after_a_takeover(void **state)
+test_single_slot_over_takeover(void **state)
 {
 	struct pool_cell_setup setup = pool24;
 	struct pool_cell *cell;
@@ -111,12 +112,12 @@
 	pool_cell_free(cell);
 }
 
-/** A pool of twice as many workers. */
+/** A pool of 48 workers with twice the capacity. */
 static const struct pool_cell_setup pool48 = {
     12, 48, {32000, 128000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
-/** Small flows and wider ones, and now and then one that crashes its workers.
- */
+/** Submits a small flow, and every few tenths of a second a wider one and one
+ * that crashes its workers. */
 static void
 submit_with_crashers(struct pool_cell *cell, unsigned int tenth)
 {
@@ -132,11 +133,12 @@
 	}
 }
 
-/** Load: for ten seconds one flow after the other crashes its workers, some
- * two or three in a second, beside others that do not, while owners are killed
- * each so many tenths of a second. */
+/** Load: for 10 s, flows that crash their workers are submitted beside others
+ * that do not, so that two or three workers crash per second, while the owner
+ * is killed every `tenths` tenths of a second. */
 static void
-crashers_with_lost_owners(unsigned int tenths, uint64_t seed, bool dark)
+run_crashers_and_kill_owners(
+    unsigned int tenths, uint64_t seed, bool workers_silent)
 {
 	struct pool_cell_setup setup = pool48;
 	struct world_flow_view view;
@@ -146,7 +148,7 @@
 
 	setup.seed = seed;
 	cell = pool_cell_begin(&setup);
-	cell->faults.down_workers_silent = dark;
+	cell->faults.down_workers_silent = workers_silent;
 	for (tenth = 0; tenth < 100; tenth++) {
 		submit_with_crashers(cell, tenth);
 		pool_cell_run(cell, 100 * GB_MSEC);
@@ -167,14 +169,14 @@
 }
 
 static void
-test_series_of_crashers_with_lost_owners(void **state)
+test_crashers_while_owners_are_killed(void **state)
 {
 	unsigned int tenths;
 
 	(void)state;
 	for (tenths = 13; tenths <= 53; tenths += 8) {
-		crashers_with_lost_owners(tenths, tenths, false);
-		crashers_with_lost_owners(tenths, tenths, true);
+		run_crashers_and_kill_owners(tenths, tenths, false);
+		run_crashers_and_kill_owners(tenths, tenths, true);
 	}
 }
 
@@ -182,11 +184,11 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_owners_go_right_after_starts),
-	    cmocka_unit_test(test_owners_go_right_after_starts_of_a_gang),
-	    cmocka_unit_test(test_spread_steps_after_a_takeover),
-	    cmocka_unit_test(test_one_place_after_a_takeover),
-	    cmocka_unit_test(test_series_of_crashers_with_lost_owners),
+	    cmocka_unit_test(test_owners_killed_after_starts),
+	    cmocka_unit_test(test_owners_killed_after_gang_starts),
+	    cmocka_unit_test(test_per_worker_limit_over_takeover),
+	    cmocka_unit_test(test_single_slot_over_takeover),
+	    cmocka_unit_test(test_crashers_while_owners_are_killed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
