--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -26,6 +26,7 @@
  * answers quickly. */
 #define CELL_READ_TIMEOUT (400 * GB_MSEC)
 #define CELL_CALL_TIMEOUT (300 * GB_MSEC)
+/** A heartbeat without an answer times out so long after its wait. */
 #define CELL_HEARTBEAT_MARGIN (200 * GB_MSEC)
 #define CELL_LATE_DELAY (2 * GB_SEC)
 #define CELL_LIST_INTERVAL (500 * GB_MSEC)
--- a/tests/pool_cell.h
+++ b/tests/pool_cell.h
@@ -37,8 +37,8 @@
 	gb_time store_delay; /**< added to each read, twice to each write */
 	uint32_t
 	    partitions_down; /**< bitmask of partitions that are unavailable */
-	/** Bitmask of partitions where reads of the set of workers fail, after
-	 * 0.4 s. */
+	/** Bitmask of partitions where reads of the set of workers fail after a
+	 * delay of 0.4 s. */
 	uint32_t set_reads_fail;
 };
 
--- a/tests/test_crash.c
+++ b/tests/test_crash.c
@@ -25,7 +25,7 @@
     {32000, 128000, 0, 0, 0}, 40, 20 * GB_MSEC, 2500 * GB_MSEC, 200, 0, 0};
 
 static struct world_flow_view
-view_of(const struct pool_cell *cell, size_t flow)
+flow_view(const struct pool_cell *cell, size_t flow)
 {
 	struct world_flow_view view;
 
@@ -34,8 +34,9 @@
 	return view;
 }
 
-/** Submits flows that have room for a number of tenths of a second: a small one
- * every 0.2 s, a wide one every 1 s and a gang every 2 s. */
+/** Submits load that the pool has capacity for, during a number of tenths of
+ * a second: a small flow every 0.2 s, a wide one every 1 s and a gang every
+ * 2 s. */
 static void
 run_with_load(struct pool_cell *cell, unsigned int tenths)
 {
@@ -71,7 +72,7 @@
 			continue;
 		assert_true(cell->flows[i].status == GB_FLOW_SUCCEEDED ||
 			    (cell->flows[i].status == GB_FLOW_FAILED &&
-				view_of(cell, i).crashed));
+				flow_view(cell, i).crashed));
 	}
 	pool_cell_assert_unharmed(cell);
 }
@@ -84,7 +85,7 @@
 	size_t i;
 
 	for (i = 0; i < cell->flow_count; i++) {
-		struct world_flow_view view = view_of(cell, i);
+		struct world_flow_view view = flow_view(cell, i);
 
 		if (!cell->flows[i].accepted)
 			continue;
@@ -122,8 +123,8 @@
 	second = submit_crasher(cell, "ms=2000 crash=0");
 	run_with_load(cell, 300);
 	pool_cell_run(cell, 20 * GB_SEC);
-	assert_true(view_of(cell, first).starts <= STARTS_MAX);
-	assert_true(view_of(cell, second).starts <= STARTS_MAX);
+	assert_true(flow_view(cell, first).starts <= STARTS_MAX);
+	assert_true(flow_view(cell, second).starts <= STARTS_MAX);
 	assert_only_crashers_fail(cell);
 	pool_cell_free(cell);
 }
@@ -147,7 +148,7 @@
 		flow = submit_crasher(cell, specs[i]);
 		run_with_load(cell, 300);
 		pool_cell_run(cell, 90 * GB_SEC);
-		assert_true(view_of(cell, flow).starts <= STARTS_MAX);
+		assert_true(flow_view(cell, flow).starts <= STARTS_MAX);
 		assert_only_crashers_fail(cell);
 		pool_cell_free(cell);
 	}
@@ -167,7 +168,7 @@
 	run_with_load(cell, 600);
 	pool_cell_run(cell, 60 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
-	assert_in_range(view_of(cell, flow).starts, 3, STARTS_MAX - 1);
+	assert_in_range(flow_view(cell, flow).starts, 3, STARTS_MAX - 1);
 	assert_only_crashers_fail(cell);
 	pool_cell_free(cell);
 }
@@ -187,7 +188,7 @@
 	run_with_load(cell, 200);
 	pool_cell_run(cell, 30 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
-	assert_true(view_of(cell, flow).starts <= 12 * STARTS_MAX);
+	assert_true(flow_view(cell, flow).starts <= 12 * STARTS_MAX);
 	assert_only_crashers_fail(cell);
 	pool_cell_free(cell);
 }
@@ -358,9 +359,9 @@
 	}
 }
 
-/** Workers that are down answer nothing, and the owner notices after up to 0.6
- * s. Tasks sent to them meanwhile never ran there and must not be taken for the
- * cause. */
+/** Workers that are down answer nothing, which the owner notices after up to
+ * 0.6 s. Tasks sent to them meanwhile never ran there and must not be taken for
+ * the cause. */
 static void
 test_dead_workers_fail_no_flow(void **state)
 {
--- a/tests/test_org.c
+++ b/tests/test_org.c
@@ -1,6 +1,8 @@
 /**
  * @file test_org.c
- * Organisations of a configuration: how they are read, and who calls.
+ * Organisations of a configuration. Keys must identify exactly the callers of
+ * their organisation, an entry with an error must not affect the others, and no
+ * key may be kept in clear.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,7 +14,7 @@
 #include "node/caller.h"
 #include "platform.h"
 
-#define KEYS_MANY 10000
+#define KEY_COUNT 10000
 #define MUTATIONS 20000
 
 static const char config_text[] =
@@ -40,11 +42,11 @@
 }
 
 static void
-test_callers_are_known_by_their_keys(void **state)
+test_keys_identify_callers(void **state)
 {
 	struct gb_pool_config *config = decode(config_text);
 	struct gb_caller caller;
-	gb_flow_caller told;
+	gb_flow_caller sent;
 
 	(void)state;
 	assert_int_equal(
@@ -53,10 +55,10 @@
 	assert_int_equal(caller.org->weight, 46);
 	assert_int_equal(caller.org->quota.cpu, 2000);
 	assert_int_equal(caller.org->quota.mem, 4000);
-	gb_caller_fill(&caller, config, &told);
-	assert_int_equal(told.config, 7);
-	assert_string_equal(told.org, "one");
-	assert_int_equal(told.key.key_len, GB_KEY_DIGEST);
+	gb_caller_fill(&caller, config, &sent);
+	assert_int_equal(sent.config, 7);
+	assert_string_equal(sent.org, "one");
+	assert_int_equal(sent.key.key_len, GB_KEY_DIGEST);
 	assert_int_equal(
 	    identify(config, "keyed", "k3", &caller), GB_CALLER_KNOWN);
 	assert_string_equal(caller.org->name, "two");
@@ -65,7 +67,7 @@
 }
 
 static void
-test_unknown_keys_are_turned_away(void **state)
+test_unknown_keys_are_rejected(void **state)
 {
 	struct gb_pool_config *config = decode(config_text);
 	struct gb_caller caller;
@@ -82,12 +84,12 @@
 	gb_pool_config_unref(config);
 }
 
-/** Load: a node is cut from the store while keys are taken away and added.  By
- * default it serves by the version that it has; where the operator is strict it
- * judges no key once that has not been confirmed for the time set, and still
- * serves who needs none. */
+/** Load: a node is cut off from the store while keys are removed and added. By
+ * default it checks keys by the version that it has. With a strict setting it
+ * checks none by a version that has not been confirmed for longer than the time
+ * set, and still serves callers that need no key. */
 static void
-test_strict_keys_are_not_judged_by_an_old_version(void **state)
+test_strict_keys_need_current_version(void **state)
 {
 	struct gb_pool_config *config = decode(config_text);
 	const struct gb_pool_queue *keyed =
@@ -123,22 +125,22 @@
 {
 	struct gb_pool_config *config = decode(config_text);
 	struct gb_caller caller;
-	gb_flow_caller told;
+	gb_flow_caller sent;
 
 	(void)state;
 	assert_int_equal(
 	    identify(config, "open", NULL, &caller), GB_CALLER_ANONYMOUS);
-	gb_caller_fill(&caller, config, &told);
-	assert_string_equal(told.org, "");
-	assert_int_equal(told.key.key_len, 0);
+	gb_caller_fill(&caller, config, &sent);
+	assert_string_equal(sent.org, "");
+	assert_int_equal(sent.key.key_len, 0);
 	assert_int_equal(
 	    identify(config, "open", "k1", &caller), GB_CALLER_KNOWN);
 	gb_pool_config_unref(config);
 }
 
-/** A deployment without organisations asks nobody for a key. */
+/** A deployment without organisations requires no key. */
 static void
-test_without_organisations_nobody_needs_a_key(void **state)
+test_no_key_without_organisations(void **state)
 {
 	struct gb_pool_config *config =
 	    decode("{\"Version\":1,\"Routes\":[{\"Name\":\"q\",\"Host\":\"h\","
@@ -154,13 +156,13 @@
 	gb_pool_config_unref(config);
 }
 
-/** Each organisation that can't be read is left out, and the others hold. */
+/** An organisation with an error is left out, and the others remain valid. */
 static void
-test_bad_organisations_harm_no_other(void **state)
+test_invalid_organisations_are_left_out(void **state)
 {
 	static const struct {
 		const char *entry;
-		enum gb_pool_org_error fault;
+		enum gb_pool_org_error error;
 	} cases[] = {
 	    {"{\"ApiKeys\":[\"b\"]}", GB_POOL_ORG_UNNAMED},
 	    {"{\"Name\":7,\"ApiKeys\":[\"b\"]}", GB_POOL_ORG_UNNAMED},
@@ -190,7 +192,7 @@
 		    cases[i].entry);
 		config = decode(text);
 		assert_non_null(config);
-		assert_int_equal(config->org_errors[cases[i].fault], 1);
+		assert_int_equal(config->org_errors[cases[i].error], 1);
 		assert_int_equal(
 		    identify(config, "q", "g", &caller), GB_CALLER_KNOWN);
 		assert_string_equal(caller.org->name, "good");
@@ -200,21 +202,21 @@
 	}
 }
 
-/** What has no version, or no routes, is none. */
+/** A text without a version or without routes is no configuration. */
 static void
-test_versions_that_cannot_be_read(void **state)
+test_invalid_texts_are_rejected(void **state)
 {
 	(void)state;
 	assert_null(decode("{\"Tenants\":[]}"));
 	assert_null(decode("{\"Version\":\"7\",\"Tenants\":[]}"));
 	assert_null(decode("{\"Version\":7,\"Tenants\":["));
-	/* It would deny every route. */
+	/* A configuration without routes would reject every request. */
 	assert_null(decode("{\"Version\":7}"));
 	assert_null(decode("{\"Version\":7,\"Routes\":{}}"));
 }
 
-/** A configuration is kept and passed on between nodes as a text, which must
- * name no key, and mean the same. */
+/** A configuration is stored and sent between nodes as a text. The text must
+ * contain no key, and must have the same meaning. */
 static void
 test_no_key_is_kept_in_clear(void **state)
 {
@@ -269,8 +271,8 @@
 
 	(void)state;
 	gb_pool_config_orgs(config, 140);
-	for (i = 0; i < KEYS_MANY; i++) {
-		if (i % (KEYS_MANY / 140 + 1) == 0) {
+	for (i = 0; i < KEY_COUNT; i++) {
+		if (i % (KEY_COUNT / 140 + 1) == 0) {
 			snprintf(org.name, sizeof(org.name), "org%d", i);
 			assert_int_equal(gb_pool_config_org_add(config, &org),
 			    GB_POOL_ORG_VALID);
@@ -279,8 +281,8 @@
 		assert_int_equal(
 		    gb_pool_config_key_add(config, text), GB_POOL_ORG_VALID);
 	}
-	assert_int_equal(gb_pool_config_keys(config), KEYS_MANY);
-	for (i = 0; i < KEYS_MANY; i++) {
+	assert_int_equal(gb_pool_config_keys(config), KEY_COUNT);
+	for (i = 0; i < KEY_COUNT; i++) {
 		snprintf(text, sizeof(text), "key%d", i);
 		gb_pool_key_digest(text, &digest);
 		assert_non_null(gb_pool_config_key_org(config, &digest));
@@ -290,7 +292,8 @@
 	gb_pool_config_unref(config);
 }
 
-/** A text and its concealed form mean the same keys. */
+/** Asserts that a text and its concealed form have the same number of keys and
+ * organisations. */
 static void
 assert_conceals(const char *text, const struct gb_pool_config *plain)
 {
@@ -313,8 +316,8 @@
 	gb_pool_config_unref(config);
 }
 
-/** Bytes that are changed at random make at worst a version that is not read,
- * or one whose organisations are checked. */
+/** A configuration with bytes changed at random is either rejected or decoded
+ * into valid organisations. */
 static void
 test_mutated_configurations(void **state)
 {
@@ -345,13 +348,13 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_callers_are_known_by_their_keys),
-	    cmocka_unit_test(test_unknown_keys_are_turned_away),
-	    cmocka_unit_test(test_strict_keys_are_not_judged_by_an_old_version),
+	    cmocka_unit_test(test_keys_identify_callers),
+	    cmocka_unit_test(test_unknown_keys_are_rejected),
+	    cmocka_unit_test(test_strict_keys_need_current_version),
 	    cmocka_unit_test(test_anonymous_queues_need_no_key),
-	    cmocka_unit_test(test_without_organisations_nobody_needs_a_key),
-	    cmocka_unit_test(test_bad_organisations_harm_no_other),
-	    cmocka_unit_test(test_versions_that_cannot_be_read),
+	    cmocka_unit_test(test_no_key_without_organisations),
+	    cmocka_unit_test(test_invalid_organisations_are_left_out),
+	    cmocka_unit_test(test_invalid_texts_are_rejected),
 	    cmocka_unit_test(test_no_key_is_kept_in_clear),
 	    cmocka_unit_test(test_many_keys_are_found),
 	    cmocka_unit_test(test_mutated_configurations),
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -1,8 +1,8 @@
 /**
  * @file test_pool.c
- * The pool core: what it promises, under one fault after the other and under
- * several at random.  Every failure that was found has a test here; its name
- * says which.
+ * Guarantees of the pool core: each accepted flow finishes, and no task runs
+ * twice at once or after it is done. Tests inject one fault at a time, among
+ * them each fault that once broke a guarantee, and then several at random.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -20,7 +20,7 @@
 static const struct pool_cell_setup advised = {
     2, 48, {16000, 64000, 0, 0, 0}, 30, 100 * GB_MSEC, 1500 * GB_MSEC, 0, 0, 0};
 
-/* One thing at a time ----------------------------------------------------- */
+/* Without faults ---------------------------------------------------------- */
 
 static void
 test_flow_succeeds(void **state)
@@ -37,7 +37,7 @@
 }
 
 static void
-test_steps_wait_for_each_other(void **state)
+test_steps_run_in_order(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -53,7 +53,7 @@
 }
 
 static void
-test_submitted_twice_runs_once(void **state)
+test_resubmitted_flow_runs_once(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow = pool_cell_submit_lookup(cell);
@@ -70,7 +70,7 @@
 }
 
 static void
-test_fails_after_its_attempts(void **state)
+test_flow_fails_after_max_attempts(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -86,7 +86,7 @@
 }
 
 static void
-test_cancel_stops_what_runs(void **state)
+test_cancel_stops_runs(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -120,12 +120,12 @@
 	pool_cell_free(cell);
 }
 
-/* Failures that were found ------------------------------------------------ */
+/* Former failures --------------------------------------------------------- */
 
-/** A gang that needs nearly whole workers, on a pool that small work keeps
- * busy: it waited for ever. */
+/** A gang that needs nearly whole workers must not wait for ever on a pool that
+ * small tasks keep busy. */
 static void
-test_gang_finds_room_on_busy_pool(void **state)
+test_gang_gets_capacity_on_busy_pool(void **state)
 {
 	struct pool_cell_setup setup = plain;
 	struct pool_cell *cell;
@@ -152,10 +152,10 @@
 	pool_cell_free(cell);
 }
 
-/** Ends of failed runs come to a new owner in any order; each counts once
- * (BUDGET, acdi trouble-1). */
+/** The ends of failed runs reach a new owner in any order. Each must count
+ * once. */
 static void
-test_failed_runs_count_over_owners(void **state)
+test_failed_runs_count_over_takeover(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -164,7 +164,7 @@
 	pool_cell_step(cell, 1, 1000, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=400 fails=9");
 	pool_cell_run(cell, 100 * GB_MSEC);
-	/* What fails from now on is not stored. */
+	/* Failures from now on are not stored. */
 	cell->faults.store_down = true;
 	pool_cell_run(cell, 3 * GB_SEC);
 	cell->faults.store_down = false;
@@ -176,10 +176,10 @@
 	pool_cell_free(cell);
 }
 
-/** Runs of a worker that is gone lapse, although it is asked on and on
- * (LOST, acdi hunt). */
+/** Runs of a lost worker must lapse and start elsewhere, although the owner
+ * keeps sending it heartbeats. */
 static void
-test_runs_of_lost_worker_start_elsewhere(void **state)
+test_runs_of_lost_worker_restart(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -197,10 +197,10 @@
 	pool_cell_free(cell);
 }
 
-/** Of many workers a call names a part: a gang whose approved workers are too
- * few asks about others. */
+/** An advice call names only some of many workers. If those that it approves
+ * are too few for a gang, the owner must ask about others. */
 static void
-test_more_workers_are_asked_about(void **state)
+test_advice_about_more_workers(void **state)
 {
 	struct pool_cell_setup setup = advised;
 	struct pool_cell *cell;
@@ -218,11 +218,11 @@
 	pool_cell_free(cell);
 }
 
-/** Entries of workers lapse while the store is away, and a new owner that knew
- * only the listed ones started again what had ended on the others (TWICE, own
- * day platform-silent). */
+/** Entries of workers expire while the store is unavailable. A new owner must
+ * send heartbeats to unlisted workers too, or it starts again what has ended on
+ * them. */
 static void
-test_unlisted_workers_are_asked_too(void **state)
+test_unlisted_workers_get_heartbeats(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -245,10 +245,10 @@
 	pool_cell_free(cell);
 }
 
-/** A worker fails whatever it starts while others do well: it is set aside, and
- * flows with few attempts come through. */
+/** A worker fails every task while others succeed. It must be quarantined, so
+ * that flows with few attempts succeed. */
 static void
-test_failing_worker_is_set_aside(void **state)
+test_failing_worker_is_quarantined(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int failed = 0;
@@ -270,10 +270,10 @@
 	pool_cell_free(cell);
 }
 
-/** Orders get no answer: a gang is still complete within the time that its
- * members wait (own day applied-late). */
+/** Orders get no answer. A gang must still be complete within the time that its
+ * members wait for each other. */
 static void
-test_gang_comes_together_over_lost_orders(void **state)
+test_gang_completes_over_lost_orders(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -295,10 +295,10 @@
 
 /* Takeovers --------------------------------------------------------------- */
 
-/** The list names an older lifetime of an address after the newer one: what the
- * newer one ran was taken for lost (TWICE and LOST, own day srv-cut-some). */
+/** The list names an ended incarnation at the address of a worker after the
+ * current one. The runs of the current one must not be taken for lost. */
 static void
-test_stale_entry_does_not_end_a_worker(void **state)
+test_stale_entry_keeps_incarnation(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	struct gb_pool_entry stale;
@@ -318,10 +318,10 @@
 	pool_cell_free(cell);
 }
 
-/** A worker that is gone for good is no longer waited for: each takeover took
- * 4.5 s to settle for its sake (byggepas incident a7cb). */
+/** A successor must not wait for a worker that has terminated for good, which
+ * would delay each takeover by 4.5 s. */
 static void
-test_gone_worker_does_not_hold_up_a_successor(void **state)
+test_lost_worker_delays_no_takeover(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -342,7 +342,7 @@
 	pool_cell_free(cell);
 }
 
-/** A version with one queue more, which is not told to anybody. */
+/** Makes a new version with one queue more, without sending it to any node. */
 static struct gb_pool_config *
 config_with_queue(const struct pool_cell *cell, const char *name)
 {
@@ -360,10 +360,10 @@
 	return config;
 }
 
-/** A flow of a queue that came with a newer version, accepted by an owner that
- * had it and is lost; its successor has the older version. */
+/** Submits a flow of a queue of a newer version to an owner that has it, then
+ * kills this owner; its successor has the older version. */
 static size_t
-flow_of_a_newer_version(struct pool_cell *cell)
+submit_with_newer_config(struct pool_cell *cell)
 {
 	struct gb_pool_config *older = cell->config;
 	size_t flow;
@@ -381,10 +381,11 @@
 	return flow;
 }
 
-/** A successor that is behind the version of a flow knows neither its service
- * nor whether it needs tickets, and would turn its callers away. */
+/** A successor with an older version than that of a flow knows neither its
+ * service nor whether it needs tickets. It must neither start the flow nor
+ * reject its callers before it has the newer version. */
 static void
-test_successor_that_is_behind_starts_nothing_of_a_newer_version(void **state)
+test_successor_waits_for_newer_config(void **state)
 {
 	struct pool_cell_setup setup = advised;
 	struct pool_cell *cell;
@@ -393,7 +394,7 @@
 	(void)state;
 	setup.decide_us = 400 * GB_MSEC;
 	cell = pool_cell_begin(&setup);
-	flow = flow_of_a_newer_version(cell);
+	flow = submit_with_newer_config(cell);
 	pool_cell_run(cell, 2 * GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 1);
 	assert_int_equal(cell->starts, 0);
@@ -404,11 +405,11 @@
 	pool_cell_free(cell);
 }
 
-/** The newest version has not the queue of a flow that was accepted before.
- * Its tasks go on to need tickets, under the owner that took it in and under a
+/** The newest version lacks the queue of a flow that was accepted before. Its
+ * tasks still need tickets, under the owner that accepted it and under a
  * successor that never knew the queue. */
 static void
-test_flow_of_a_removed_queue_still_gets_its_tickets(void **state)
+test_removed_queue_still_needs_tickets(void **state)
 {
 	unsigned int successor;
 
@@ -440,7 +441,7 @@
 }
 
 static void
-test_takeover_keeps_what_runs(void **state)
+test_takeover_keeps_runs(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -459,8 +460,7 @@
 	pool_cell_free(cell);
 }
 
-/** The former owner is alive and goes on until a worker or the store says no.
- */
+/** The former owner keeps working until a worker or the store rejects it. */
 static void
 test_former_owner_does_no_harm(void **state)
 {
@@ -481,7 +481,7 @@
 }
 
 static void
-test_accepted_survives_loss_of_all(void **state)
+test_accepted_flow_survives_node_loss(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow = pool_cell_submit_lookup(cell);
@@ -499,13 +499,14 @@
 	pool_cell_free(cell);
 }
 
-/** Load: the store loses some of its partitions; what belongs to the others is
- * served as before, the rest is refused at once and taken in afterwards. */
+/** Load: some partitions of the store become unavailable. Requests for the
+ * others are served as before, and those for the missing ones are rejected at
+ * once and accepted afterwards. */
 static void
-test_partial_outage_serves_the_rest(void **state)
+test_partial_outage_of_the_store(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
-	unsigned int out = 0;
+	unsigned int unavailable = 0;
 	size_t i;
 
 	(void)state;
@@ -519,12 +520,12 @@
 		const struct pool_cell_flow *flow = &cell->flows[i];
 		bool down = gb_pool_partition(flow->spec.id) < 2;
 
-		out += down;
+		unavailable += down;
 		assert_true(flow->answered);
 		assert_int_equal(flow->answer.verdict,
 		    down ? GB_FLOW_CANT_STORE : GB_FLOW_ACCEPTED);
 	}
-	assert_in_range(out, 1, 29);
+	assert_in_range(unavailable, 1, 29);
 	cell->faults.partitions_down = 0;
 	pool_cell_run(cell, GB_SEC);
 	for (i = 1; i < 31; i++)
@@ -536,15 +537,15 @@
 	pool_cell_free(cell);
 }
 
-/** Load: the owner dies while two of five partitions are out.  Its successor
- * works on the others at once; what runs for the missing ones goes on, and its
- * ends are kept until the part is there. */
+/** Load: the owner is killed while two of five partitions are unavailable. Its
+ * successor works on the others at once; runs of the missing ones continue, and
+ * workers keep their ends until the partitions are available. */
 static void
-test_takeover_while_parts_are_out(void **state)
+test_takeover_without_some_partitions(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow[30];
-	size_t again;
+	size_t later;
 	size_t i;
 
 	(void)state;
@@ -558,15 +559,15 @@
 	pool_cell_take(cell, 1);
 	pool_cell_run(cell, GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 1);
-	again = pool_cell_submit_lookup(cell);
-	while (gb_pool_partition(cell->flows[again].spec.id) < 2)
-		again = pool_cell_submit_lookup(cell);
+	later = pool_cell_submit_lookup(cell);
+	while (gb_pool_partition(cell->flows[later].spec.id) < 2)
+		later = pool_cell_submit_lookup(cell);
 	pool_cell_run(cell, 3 * GB_SEC);
-	assert_int_equal(cell->flows[again].answer.verdict, GB_FLOW_ACCEPTED);
+	assert_int_equal(cell->flows[later].answer.verdict, GB_FLOW_ACCEPTED);
 	for (i = 0; i < 30; i++) {
 		bool down = gb_pool_partition(cell->flows[flow[i]].spec.id) < 2;
 
-		/* Nothing is said of a flow that can't be read. */
+		/* The state of a flow that cannot be read is not reported. */
 		assert_int_equal(pool_cell_verdict(cell, flow[i]),
 		    down ? GB_FLOW_REFUSED : GB_FLOW_ACCEPTED);
 		if (!down)
@@ -578,15 +579,16 @@
 	for (i = 0; i < 30; i++)
 		assert_int_equal(
 		    pool_cell_state(cell, flow[i]), GB_FLOW_SUCCEEDED);
-	/* Nothing had to run again. */
+	/* No task ran a second time. */
 	assert_true(cell->starts <= 60 + 2 * (cell->flow_count - 30));
 	pool_cell_assert_unharmed(cell);
 	pool_cell_free(cell);
 }
 
-/** Most parts are out: nobody can own the pool, and who tries does no harm. */
+/** With most partitions unavailable no node can own the pool, and an attempt
+ * does no harm. */
 static void
-test_no_takeover_without_most_parts(void **state)
+test_takeover_needs_most_partitions(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow = pool_cell_submit_lookup(cell);
@@ -607,9 +609,10 @@
 	pool_cell_free(cell);
 }
 
-/** Rivals claim at once: one of them has most parts and keeps them. */
+/** Several nodes claim the pool at once. One of them gets most partitions and
+ * keeps them. */
 static void
-test_rivals_leave_one_owner(void **state)
+test_rival_claims_give_one_owner(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int i;
@@ -629,11 +632,11 @@
 	pool_cell_free(cell);
 }
 
-/** A claim that lost holds two parts and goes on; the winner owns the pool and
- * then releases it.  Its epoch must not be in force again under the loser, whom
- * no worker could tell from it. */
+/** A node that lost the claim still claims two partitions and continues; the
+ * winner owns the pool and then releases it. The loser must not own the pool at
+ * the same epoch, as no worker could tell the two apart. */
 static void
-test_epoch_is_never_in_force_twice(void **state)
+test_epoch_has_one_owner(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	uint64_t epoch;
@@ -645,7 +648,7 @@
 	pool_cell_take(cell, 2);
 	pool_cell_run(cell, 5 * GB_MSEC);
 	pool_cell_take(cell, 1);
-	/* The reads of the first come to nothing for two parts. */
+	/* The reads of the first claim fail for two partitions. */
 	pool_cell_run(cell, 5 * GB_MSEC);
 	cell->faults.partitions_down = 0;
 	pool_cell_run(cell, GB_SEC);
@@ -660,10 +663,11 @@
 	pool_cell_free(cell);
 }
 
-/** Load: an owner stops while a part is out.  What could not be written there
- * must not hold the handover up, which left the pool without an owner. */
+/** Load: an owner stops while a partition is unavailable. Writes that are
+ * pending for it must not delay the handover, which would leave the pool
+ * without an owner. */
 static void
-test_release_does_not_wait_for_parts_that_are_out(void **state)
+test_release_skips_unavailable(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	int i;
@@ -687,12 +691,12 @@
 	pool_cell_free(cell);
 }
 
-/** Load: imports that make checkpoints and have four times their length to
- * spare fill the pool; a gang that has about its own length to spare comes.  It
- * starts at once, and the imports, each stopped once at most, are still in
- * time. */
+/** Load: imports with checkpoints, which may take four times as long as their
+ * work, fill the pool, and a gang comes that may take about twice as long as
+ * its work. It starts at once, and the imports, each stopped once at most,
+ * still finish in time. */
 static void
-test_gang_takes_room_from_work_that_can_wait(void **state)
+test_gang_preempts_imports(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t gang;
@@ -722,10 +726,10 @@
 	pool_cell_free(cell);
 }
 
-/** Load: a gang on a large pool where a question about a hundred workers takes
- * longer than the gang can spare.  It is put to several members at once. */
+/** Load: on a large pool, an advice call about a hundred workers takes longer
+ * than a gang can wait. The owner must ask several members in parallel. */
 static void
-test_gang_asks_several_lanes(void **state)
+test_gang_uses_several_channels(void **state)
 {
 	struct pool_cell_setup setup = {7, 200, {16000, 64000, 0, 0, 0}, 30,
 	    500 * GB_MSEC, 1500 * GB_MSEC, 8 * GB_MSEC, 0, 0};
@@ -745,7 +749,7 @@
 	flow = pool_cell_submit(cell, "rebuild", "ms=2000");
 	pool_cell_run(cell, 200 * GB_MSEC);
 	assert_true(cell->advice_calls - before >= 3);
-	/* Sixty workers take 0.98 s, a hundred would take 1.3 s. */
+	/* A call takes 0.98 s for 60 workers and 1.3 s for 100. */
 	pool_cell_run(cell, 950 * GB_MSEC);
 	assert_int_equal(cell->starts, 24);
 	pool_cell_run(cell, 4 * GB_SEC);
@@ -754,10 +758,11 @@
 	pool_cell_free(cell);
 }
 
-/** A part is read in part, and then the read is lost.  What workers told of its
- * flows meanwhile must still count against their room. */
+/** Some pages of a partition are read, and then a read fails. Runs of its flows
+ * that workers report meanwhile must still count against the capacity of the
+ * workers. */
 static void
-test_room_of_a_part_that_is_not_read_counts(void **state)
+test_capacity_of_unread_partition(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	int i;
@@ -785,10 +790,11 @@
 	pool_cell_free(cell);
 }
 
-/** Callers have three seconds: what they send to a slow store is still taken
- * in, and nobody is told that it does not answer. */
+/** Asserts that flows submitted while the store is slow are accepted within the
+ * 3 s that callers wait, and that no caller is told that the store is
+ * unavailable. */
 static void
-assert_slow_store_takes_work_in(gb_time slow)
+assert_slow_store_accepts(gb_time slow)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t i;
@@ -806,31 +812,30 @@
 	pool_cell_free(cell);
 }
 
-/** Load: the store takes a hundred times its usual time, 0.4 s for a read and
- * 0.8 s for a write. */
+/** Load: the store is far slower than usual, with 0.4 s for a read and 0.8 s
+ * for a write. */
 static void
-test_slow_store_still_takes_work_in(void **state)
+test_slow_store_accepts_flows(void **state)
 {
 	(void)state;
-	assert_slow_store_takes_work_in(390 * GB_MSEC);
+	assert_slow_store_accepts(390 * GB_MSEC);
 }
 
-/** Load: the same with 0.44 s for a read, which is longer than reads are waited
- * for while the store is quick.  The look whether it answers at all was given
- * up with them, and all that waited for a write was turned away ("the store
- * does not take writes", 0.53 s after it had become slow). */
+/** Load: a read takes 0.44 s, longer than the timeout of reads while the store
+ * is quick. If the probe of the store times out with them, the store counts as
+ * unavailable and all flows that wait for a write are rejected. */
 static void
-test_slow_store_is_not_out(void **state)
+test_slow_store_is_not_unavailable(void **state)
 {
 	(void)state;
-	assert_slow_store_takes_work_in(430 * GB_MSEC);
+	assert_slow_store_accepts(430 * GB_MSEC);
 }
 
 #define BURST_FLOWS 1200
 
-/** Take down how long each caller waited that has been answered meanwhile. */
+/** Notes the waiting time of each caller that has been answered since. */
 static void
-burst_waits(const struct pool_cell *cell, gb_time *waits)
+burst_note_waits(const struct pool_cell *cell, gb_time *waits)
 {
 	size_t i;
 
@@ -840,10 +845,10 @@
 	}
 }
 
-/** Lookups are submitted at intervals while the store takes 0.87 s for a write;
- * each caller must be told within a time that its flow is accepted. */
+/** Submits lookups at intervals of `each` during `lasts` while the store takes
+ * 0.87 s for a write, and asserts that each is accepted within `most`. */
 static void
-assert_burst_taken_in(gb_time each, gb_time lasts, gb_time most)
+assert_burst_accepted(gb_time each, gb_time lasts, gb_time most)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	gb_time waits[BURST_FLOWS] = {0};
@@ -856,7 +861,7 @@
 		for (; next <= at && at < lasts; next += each)
 			pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 5 * GB_MSEC);
-		burst_waits(cell, waits);
+		burst_note_waits(cell, waits);
 	}
 	for (i = 0; i < cell->flow_count; i++) {
 		assert_int_equal(
@@ -867,32 +872,31 @@
 	pool_cell_free(cell);
 }
 
-/** Load: 200 lookups a second for 6 s on a slow store.  A transaction of a part
- * holds 46 flows, and the parts take them one after another: 264 flows a
- * second, new ones and such as are over.  New ones waited behind these, longer
- * with each second, though there is room for all of them.  Nobody waits for
- * more than two writes. */
+/** Load: 200 lookups per second for 6 s on a slow store. A transaction holds 46
+ * flows, and each partition handles one at a time, which makes 264 flows per
+ * second, new and finished ones together. New flows must not queue behind
+ * finished ones: none waits for more than two writes. */
 static void
-test_slow_store_takes_a_burst_in(void **state)
+test_slow_store_accepts_a_burst(void **state)
 {
 	(void)state;
-	assert_burst_taken_in(5 * GB_MSEC, 6 * GB_SEC, 1800 * GB_MSEC);
+	assert_burst_accepted(5 * GB_MSEC, 6 * GB_SEC, 1800 * GB_MSEC);
 }
 
-/** Load: 300 lookups a second, more than the store takes.  All callers are told
- * within their three seconds. */
+/** Load: 300 lookups per second, more than the store can write. All callers get
+ * their answer within their 3 s. */
 static void
-test_slow_store_takes_a_larger_burst_in(void **state)
+test_slow_store_accepts_larger_burst(void **state)
 {
 	(void)state;
-	assert_burst_taken_in(GB_SEC / 300, 3 * GB_SEC, 3 * GB_SEC);
+	assert_burst_accepted(GB_SEC / 300, 3 * GB_SEC, 3 * GB_SEC);
 }
 
-/** Load: the store resets every connection for 4 s while 20 flows a second are
- * submitted.  Whoever comes meanwhile is told at once to come back; only those
- * whose write was lost as it began wait, and are taken in when it is over. */
+/** Load: the store resets every connection for 4 s while 20 flows per second
+ * are submitted. Their callers are told at once to retry; only those whose
+ * write was lost when this began wait, and are accepted when it ends. */
 static void
-test_store_that_resets_turns_away_at_once(void **state)
+test_resetting_store_rejects_at_once(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int refused = 0;
@@ -924,10 +928,10 @@
 	pool_cell_free(cell);
 }
 
-/** A write that the store has refused was not carried out: its flows are turned
- * away like those that were never sent. */
+/** The store refuses writes, so that they were not carried out. Their flows are
+ * rejected like those that were never sent. */
 static void
-test_refused_writes_are_turned_away(void **state)
+test_refused_writes_reject_flows(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t i;
@@ -947,7 +951,7 @@
 	pool_cell_free(cell);
 }
 
-/** Time that the pool is without an owner, up to how long. */
+/** Runs the cell for `most`; returns how long the pool had no owner. */
 static gb_time
 time_without_owner(struct pool_cell *cell, gb_time most)
 {
@@ -962,12 +966,13 @@
 	return without;
 }
 
-/** Load: the owner is stopped while the store is 25 times slower and callers go
- * on.  It serves until its successor's claim stands, so that the pool is
- * without an owner for three answers of the store, and less than half as long
- * as when it lets go first. */
+/** Load: the owner is stopped while the store takes 0.11 s for a read and 0.21
+ * s for a write, and callers continue. It serves until the claim of its
+ * successor is stored. The pool must be without an owner for three answers of
+ * the store at most, and for less than half the time that a release before the
+ * claim takes. */
 static void
-test_owner_serves_until_its_successor_claims(void **state)
+test_owner_serves_until_claim(void **state)
 {
 	struct pool_cell *cell;
 	gb_time without[2];
@@ -999,7 +1004,8 @@
 	assert_true(without[1] * 2 <= without[0]);
 }
 
-/** Store a flow as a node does that finds no owner and has this version. */
+/** Stores a flow as a node does that finds no owner and has the given version
+ * of the configuration. */
 static void
 store_without_owner(
     struct pool_cell *cell, const gb_flow *spec, uint64_t version)
@@ -1027,7 +1033,7 @@
 	free(puts[1].value.gb_body_val);
 }
 
-/** The same for two tasks of a second. */
+/** Stores a flow of two tasks of 1 s in this way. */
 static void
 submit_without_owner(
     struct pool_cell *cell, const char *queue, uint64_t version)
@@ -1053,10 +1059,10 @@
 	store_without_owner(cell, &spec, version);
 }
 
-/** An owner that is behind finds a flow that a member stored by a newer
- * version: it waits until the owner has that version. */
+/** An owner with an older version finds a flow that a member stored by a newer
+ * one. The flow waits until the owner has that version. */
 static void
-test_owner_that_is_behind_starts_nothing_of_its_inbox(void **state)
+test_inbox_waits_for_newer_config(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	struct gb_pool_config *newer = config_with_queue(cell, "added");
@@ -1073,11 +1079,11 @@
 	pool_cell_free(cell);
 }
 
-/** Load: callers' flows were stored while there was no owner; the owner that
- * finds them is succeeded at any moment after.  The successor must not take
- * them for flows that nobody has begun. */
+/** Load: a flow was stored while there was no owner, and the owner that finds
+ * it is replaced at various times after. The successor must not take it for a
+ * flow that no owner has started. */
 static void
-test_adopted_flow_is_marked_before_it_starts(void **state)
+test_inbox_flow_is_marked_before_start(void **state)
 {
 	gb_time after;
 
@@ -1093,7 +1099,8 @@
 		cell->faults.heartbeat_lost = 60;
 		pool_cell_take(cell, 1);
 		pool_cell_run(cell, 800 * GB_MSEC);
-		/* For longer, leases lapse over ends that are not seen. */
+		/* If this lasted longer, leases would lapse before ends are
+		 * received. */
 		cell->faults.heartbeat_lost = 0;
 		pool_cell_run(cell, 6 * GB_SEC);
 		pool_cell_assert_unharmed(cell);
@@ -1101,8 +1108,9 @@
 	}
 }
 
-/** Ask for a flow's state as soon as all its tasks have ended, and give the
- * answer a while; returns the status that was told, or unknown. */
+/** Asks for the state of a flow as soon as all its tasks have ended, and waits
+ * up to `how_long`; returns the status in the answer, or unknown if there is
+ * none. */
 static gb_flow_status
 ask_at_the_end(struct pool_cell *cell, size_t flow, gb_time how_long)
 {
@@ -1120,11 +1128,11 @@
 	return f->answered ? f->answer.status : GB_FLOW_UNKNOWN;
 }
 
-/** Callers look at a state most often just after the last task has ended,
- * before its end is stored.  They are told the final state once it is, and what
- * is stored when the store is out. */
+/** Callers often ask for a state just after the last task has ended, before
+ * this is stored. They get the final state once it is stored, or the stored
+ * state if the store is unavailable. */
 static void
-test_state_is_told_when_the_end_is_stored(void **state)
+test_final_state_waits_for_store(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow = pool_cell_submit_lookup(cell);
@@ -1143,11 +1151,12 @@
 
 /* Random faults ----------------------------------------------------------- */
 
-/** Seeds that once broke a promise. */
+/** Seeds that once broke a guarantee. */
 static void
 test_seeds_that_failed(void **state)
 {
-	/* What was known of workers that crash went with their owners. */
+	/* Owners that were killed took the knowledge of crashed workers with
+	 * them. */
 	static const uint64_t seeds[] = {3, 36, 200, 615, 702, 802};
 	size_t i;
 
@@ -1168,47 +1177,44 @@
 {
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test(test_flow_succeeds),
-	    cmocka_unit_test(test_steps_wait_for_each_other),
-	    cmocka_unit_test(test_submitted_twice_runs_once),
-	    cmocka_unit_test(test_fails_after_its_attempts),
-	    cmocka_unit_test(test_cancel_stops_what_runs),
+	    cmocka_unit_test(test_steps_run_in_order),
+	    cmocka_unit_test(test_resubmitted_flow_runs_once),
+	    cmocka_unit_test(test_flow_fails_after_max_attempts),
+	    cmocka_unit_test(test_cancel_stops_runs),
 	    cmocka_unit_test(test_advice_before_every_start),
-	    cmocka_unit_test(test_gang_finds_room_on_busy_pool),
-	    cmocka_unit_test(test_failed_runs_count_over_owners),
-	    cmocka_unit_test(test_runs_of_lost_worker_start_elsewhere),
-	    cmocka_unit_test(test_more_workers_are_asked_about),
-	    cmocka_unit_test(test_failing_worker_is_set_aside),
-	    cmocka_unit_test(test_gang_comes_together_over_lost_orders),
-	    cmocka_unit_test(test_unlisted_workers_are_asked_too),
-	    cmocka_unit_test(test_stale_entry_does_not_end_a_worker),
-	    cmocka_unit_test(test_gone_worker_does_not_hold_up_a_successor),
-	    cmocka_unit_test(
-		test_successor_that_is_behind_starts_nothing_of_a_newer_version),
-	    cmocka_unit_test(
-		test_flow_of_a_removed_queue_still_gets_its_tickets),
-	    cmocka_unit_test(test_takeover_keeps_what_runs),
+	    cmocka_unit_test(test_gang_gets_capacity_on_busy_pool),
+	    cmocka_unit_test(test_failed_runs_count_over_takeover),
+	    cmocka_unit_test(test_runs_of_lost_worker_restart),
+	    cmocka_unit_test(test_advice_about_more_workers),
+	    cmocka_unit_test(test_failing_worker_is_quarantined),
+	    cmocka_unit_test(test_gang_completes_over_lost_orders),
+	    cmocka_unit_test(test_unlisted_workers_get_heartbeats),
+	    cmocka_unit_test(test_stale_entry_keeps_incarnation),
+	    cmocka_unit_test(test_lost_worker_delays_no_takeover),
+	    cmocka_unit_test(test_successor_waits_for_newer_config),
+	    cmocka_unit_test(test_removed_queue_still_needs_tickets),
+	    cmocka_unit_test(test_takeover_keeps_runs),
 	    cmocka_unit_test(test_former_owner_does_no_harm),
-	    cmocka_unit_test(test_accepted_survives_loss_of_all),
-	    cmocka_unit_test(test_partial_outage_serves_the_rest),
-	    cmocka_unit_test(test_takeover_while_parts_are_out),
-	    cmocka_unit_test(test_no_takeover_without_most_parts),
-	    cmocka_unit_test(test_rivals_leave_one_owner),
-	    cmocka_unit_test(test_gang_takes_room_from_work_that_can_wait),
-	    cmocka_unit_test(test_gang_asks_several_lanes),
-	    cmocka_unit_test(test_room_of_a_part_that_is_not_read_counts),
-	    cmocka_unit_test(test_slow_store_still_takes_work_in),
-	    cmocka_unit_test(test_slow_store_is_not_out),
-	    cmocka_unit_test(test_slow_store_takes_a_burst_in),
-	    cmocka_unit_test(test_slow_store_takes_a_larger_burst_in),
-	    cmocka_unit_test(test_store_that_resets_turns_away_at_once),
-	    cmocka_unit_test(test_refused_writes_are_turned_away),
-	    cmocka_unit_test(test_owner_serves_until_its_successor_claims),
-	    cmocka_unit_test(
-		test_owner_that_is_behind_starts_nothing_of_its_inbox),
-	    cmocka_unit_test(test_adopted_flow_is_marked_before_it_starts),
-	    cmocka_unit_test(test_state_is_told_when_the_end_is_stored),
-	    cmocka_unit_test(test_epoch_is_never_in_force_twice),
-	    cmocka_unit_test(test_release_does_not_wait_for_parts_that_are_out),
+	    cmocka_unit_test(test_accepted_flow_survives_node_loss),
+	    cmocka_unit_test(test_partial_outage_of_the_store),
+	    cmocka_unit_test(test_takeover_without_some_partitions),
+	    cmocka_unit_test(test_takeover_needs_most_partitions),
+	    cmocka_unit_test(test_rival_claims_give_one_owner),
+	    cmocka_unit_test(test_gang_preempts_imports),
+	    cmocka_unit_test(test_gang_uses_several_channels),
+	    cmocka_unit_test(test_capacity_of_unread_partition),
+	    cmocka_unit_test(test_slow_store_accepts_flows),
+	    cmocka_unit_test(test_slow_store_is_not_unavailable),
+	    cmocka_unit_test(test_slow_store_accepts_a_burst),
+	    cmocka_unit_test(test_slow_store_accepts_larger_burst),
+	    cmocka_unit_test(test_resetting_store_rejects_at_once),
+	    cmocka_unit_test(test_refused_writes_reject_flows),
+	    cmocka_unit_test(test_owner_serves_until_claim),
+	    cmocka_unit_test(test_inbox_waits_for_newer_config),
+	    cmocka_unit_test(test_inbox_flow_is_marked_before_start),
+	    cmocka_unit_test(test_final_state_waits_for_store),
+	    cmocka_unit_test(test_epoch_has_one_owner),
+	    cmocka_unit_test(test_release_skips_unavailable),
 	    cmocka_unit_test(test_seeds_that_failed),
 	    cmocka_unit_test(test_random_faults),
 	};
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -1,7 +1,8 @@
 /**
  * @file test_quota.c
- * Organisations at the owner of the pool: quotas at every start, and flows that
- * belong to one of them.
+ * Quotas of organisations, and the ownership of flows. The owner must keep a
+ * quota at every start, also while it does not know yet what runs after a
+ * takeover, and must show a flow only to the organisation that submitted it.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,20 +13,20 @@
 
 #include "pool_cell.h"
 
-#define QUOTA_CPU 40000
-#define QUOTA_SMALL 6000
-#define SEEDS 60
+#define QUOTA_LARGE_CPU_MILLI 40000
+#define QUOTA_SMALL_CPU_MILLI 6000
+#define SEED_COUNT 60
 
 static const struct pool_cell_setup plain = {
     1, 16, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
 static void
-submit_as(struct pool_cell *cell, const char *org)
+org_select(struct pool_cell *cell, const char *org)
 {
 	snprintf(cell->org, sizeof(cell->org), "%s", org);
 }
 
-/** Ten submissions that ask for eight times the quota. */
+/** Submits ten flows that need eight times the quota together. */
 static void
 submit_imports(struct pool_cell *cell, uint32_t flags)
 {
@@ -37,9 +38,9 @@
 	}
 }
 
-/** The organisation that was added last goes, with its key and its quota. */
+/** Removes the organisation that was added last, with its key and its quota. */
 static void
-hide_organisation(struct pool_cell *cell, const char *name)
+org_remove(struct pool_cell *cell, const char *name)
 {
 	static const struct gb_pool_amount none;
 
@@ -50,7 +51,7 @@
 }
 
 static void
-assert_all_done(const struct pool_cell *cell)
+assert_all_succeeded(const struct pool_cell *cell)
 {
 	size_t i;
 
@@ -59,55 +60,56 @@
 	pool_cell_assert_unharmed(cell);
 }
 
-/** The quota is used to its end, and never more; another organisation is not
- * held up. */
+/** The quota is used up and never exceeded, and another organisation is not
+ * delayed. */
 static void
-test_quota_is_kept_and_used(void **state)
+test_quota_is_used_and_kept(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t other;
 
 	(void)state;
-	pool_cell_quota(cell, "large", QUOTA_CPU, 0);
+	pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
 	pool_cell_quota(cell, "small", 0, 0);
-	submit_as(cell, "large");
+	org_select(cell, "large");
 	submit_imports(cell, 0);
 	pool_cell_run(cell, 500 * GB_MSEC);
-	assert_int_equal(world_org_cpu(cell->world, "large"), QUOTA_CPU);
-	submit_as(cell, "small");
+	assert_int_equal(
+	    world_org_cpu(cell->world, "large"), QUOTA_LARGE_CPU_MILLI);
+	org_select(cell, "small");
 	other = pool_cell_submit_lookup(cell);
 	pool_cell_run(cell, 1500 * GB_MSEC);
 	assert_int_equal(cell->flows[other].status, GB_FLOW_SUCCEEDED);
 	pool_cell_run(cell, 15 * GB_SEC);
-	assert_all_done(cell);
+	assert_all_succeeded(cell);
 	pool_cell_free(cell);
 }
 
-/** Gangs start whole within the quota, or wait. */
+/** A gang starts as a whole within the quota, or waits. */
 static void
-test_gangs_wait_for_their_quota(void **state)
+test_gangs_wait_for_quota(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 
 	(void)state;
-	pool_cell_quota(cell, "large", QUOTA_CPU, 0);
-	submit_as(cell, "large");
+	pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
+	org_select(cell, "large");
 	submit_imports(cell, GB_STEP_GANG);
 	pool_cell_run(cell, 25 * GB_SEC);
-	assert_all_done(cell);
+	assert_all_succeeded(cell);
 	pool_cell_free(cell);
 }
 
-/** Memory is bounded like processors. */
+/** Memory is limited like processors. */
 static void
-test_quota_of_memory(void **state)
+test_memory_quota(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	int i;
 
 	(void)state;
 	pool_cell_quota(cell, "large", 0, 20000);
-	submit_as(cell, "large");
+	org_select(cell, "large");
 	for (i = 0; i < 10; i++) {
 		pool_cell_step(cell, 4, 500, GB_SEC, 0, -1);
 		cell->flows[cell->flow_count].spec.steps.steps_val[0].res.mem =
@@ -115,53 +117,54 @@
 		pool_cell_submit(cell, "import", "ms=1000");
 	}
 	pool_cell_run(cell, 15 * GB_SEC);
-	assert_all_done(cell);
+	assert_all_succeeded(cell);
 	pool_cell_free(cell);
 }
 
-/** Lowered far below what runs, nothing starts and nothing is stopped; raised
- * again, all goes on. */
+/** A quota that is lowered far below what runs stops nothing and prevents
+ * further starts; once it is raised, starts resume. */
 static void
-test_quota_that_is_lowered_stops_nothing(void **state)
+test_lowered_quota_stops_nothing(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int starts;
 
 	(void)state;
-	pool_cell_quota(cell, "large", QUOTA_CPU, 0);
-	submit_as(cell, "large");
+	pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
+	org_select(cell, "large");
 	submit_imports(cell, 0);
 	pool_cell_run(cell, 300 * GB_MSEC);
 	starts = cell->starts;
 	pool_cell_quota(cell, "large", 2000, 0);
 	pool_cell_run(cell, 300 * GB_MSEC);
 	assert_int_equal(cell->starts, starts);
-	assert_int_equal(world_org_cpu(cell->world, "large"), QUOTA_CPU);
+	assert_int_equal(
+	    world_org_cpu(cell->world, "large"), QUOTA_LARGE_CPU_MILLI);
 	pool_cell_run(cell, 4 * GB_SEC);
 	assert_true(world_org_cpu(cell->world, "large") <= 2000);
 	assert_true(cell->starts > starts);
 	pool_cell_quota(cell, "large", 0, 0);
 	pool_cell_run(cell, 8 * GB_SEC);
-	assert_all_done(cell);
+	assert_all_succeeded(cell);
 	pool_cell_free(cell);
 }
 
-/** What no quota will ever admit is turned away at once. */
+/** A gang larger than the quota is rejected at once. */
 static void
-test_what_never_fits_is_refused(void **state)
+test_gang_over_quota_is_rejected(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
 
 	(void)state;
-	pool_cell_quota(cell, "large", QUOTA_CPU, 0);
-	submit_as(cell, "large");
+	pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
+	org_select(cell, "large");
 	pool_cell_step(cell, 21, 2000, GB_SEC, GB_STEP_GANG, -1);
 	flow = pool_cell_submit(cell, "import", "ms=1000");
 	assert_true(cell->flows[flow].answered);
 	assert_int_equal(cell->flows[flow].answer.verdict, GB_FLOW_REFUSED);
 	assert_true(cell->flows[flow].answer.retry_after_us > 0);
-	/* The same without a gang runs in waves. */
+	/* The same tasks without a gang run in turns. */
 	pool_cell_step(cell, 21, 2000, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=1000");
 	pool_cell_run(cell, 5 * GB_SEC);
@@ -170,33 +173,34 @@
 	pool_cell_free(cell);
 }
 
-/** What happens to the cell in one round of a random run. */
+/** Runs one random round: load, a cancelled flow, changes of quotas and keys, a
+ * lost worker and a takeover. */
 static void
-random_round(struct pool_cell *cell, int round)
+run_random_round(struct pool_cell *cell, int round)
 {
 	unsigned int number;
 
-	submit_as(cell, "large");
+	org_select(cell, "large");
 	submit_imports(cell, round % 2 == 0 ? 0 : GB_STEP_GANG);
-	submit_as(cell, "small");
+	org_select(cell, "small");
 	pool_cell_submit_lookup(cell);
 	pool_cell_run(
 	    cell, (gb_time)(gb_random_next(&cell->seed) % 900) * GB_MSEC);
 	pool_cell_cancel(cell, gb_random_next(&cell->seed) % cell->flow_count);
 	pool_cell_run(cell, 100 * GB_MSEC);
 	if (round % 2 == 0)
-		hide_organisation(cell, "small");
+		org_remove(cell, "small");
 	else
-		pool_cell_quota(cell, "small", QUOTA_SMALL, 0);
+		pool_cell_quota(cell, "small", QUOTA_SMALL_CPU_MILLI, 0);
 	number = (unsigned int)(gb_random_next(&cell->seed) % CELL_NODES);
 	world_worker_crash(cell->world, number);
 	if (round == 2)
-		pool_cell_quota(cell, "large", QUOTA_CPU / 2, 0);
+		pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI / 2, 0);
 	pool_cell_replace_owner(cell, number);
 }
 
 static void
-random_run(uint64_t seed)
+run_seed(uint64_t seed)
 {
 	struct pool_cell_setup setup = plain;
 	struct pool_cell *cell;
@@ -204,40 +208,41 @@
 
 	setup.seed = seed;
 	cell = pool_cell_begin(&setup);
-	pool_cell_quota(cell, "large", QUOTA_CPU, 0);
-	pool_cell_quota(cell, "small", QUOTA_SMALL, 0);
+	pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
+	pool_cell_quota(cell, "small", QUOTA_SMALL_CPU_MILLI, 0);
 	cell->faults.order_lost = (unsigned int)(seed % 3) * 20;
 	cell->faults.order_late = (unsigned int)(seed % 2) * 20;
 	cell->faults.order_dropped = (unsigned int)(seed % 5) * 10;
 	cell->faults.heartbeat_lost = (unsigned int)(seed % 4) * 10;
 	for (i = 0; i < 5; i++)
-		random_round(cell, i);
+		run_random_round(cell, i);
 	pool_cell_run(cell, 2 * GB_SEC);
 	pool_cell_assert_unharmed(cell);
 	pool_cell_free(cell);
 }
 
-/** Load: an organisation stands at its quota while orders and holds are lost or
- * come late, workers die, owners are killed, a quota is cut and keys come and
- * go.  GB_POOL_SEED and GB_POOL_RUNS play other seeds. */
+/** Load: an organisation is at its quota while orders and heartbeats are lost
+ * or late, workers crash, owners are killed, a quota is lowered, and keys are
+ * removed and added. GB_POOL_SEED and GB_POOL_RUNS select other seeds. */
 static void
-test_quota_through_faults_and_takeovers(void **state)
+test_quota_with_faults_and_takeovers(void **state)
 {
 	const char *from = getenv("GB_POOL_SEED");
 	const char *runs = getenv("GB_POOL_RUNS");
 	uint64_t seed = from == NULL ? 1 : strtoull(from, NULL, 10);
 	uint64_t last =
-	    seed + (runs == NULL ? SEEDS : strtoull(runs, NULL, 10));
+	    seed + (runs == NULL ? SEED_COUNT : strtoull(runs, NULL, 10));
 
 	(void)state;
 	for (; seed < last; seed++)
-		random_run(seed);
+		run_seed(seed);
 }
 
-/** Load: half of the workers do not answer a new owner at once.  What runs
- * there counts, though it is not known whose it is. */
+/** Load: 60% of the heartbeats of a new owner are lost at first. What runs on
+ * workers that have not answered yet counts against the quota, although the
+ * owner does not know to which organisation it belongs. */
 static void
-test_runs_that_are_not_known_yet(void **state)
+test_unknown_runs_count(void **state)
 {
 	uint64_t seed;
 
@@ -248,8 +253,8 @@
 
 		setup.seed = seed;
 		cell = pool_cell_begin(&setup);
-		pool_cell_quota(cell, "large", QUOTA_CPU, 0);
-		submit_as(cell, "large");
+		pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
+		org_select(cell, "large");
 		pool_cell_step(cell, 20, 2000, 3 * GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", "ms=3000");
 		pool_cell_run(cell, 500 * GB_MSEC);
@@ -261,22 +266,22 @@
 		pool_cell_run(cell, 800 * GB_MSEC);
 		cell->faults.heartbeat_lost = 0;
 		pool_cell_run(cell, 20 * GB_SEC);
-		assert_all_done(cell);
+		assert_all_succeeded(cell);
 		pool_cell_free(cell);
 	}
 }
 
-/** Load: a cancelled flow's orders to stop come late.  It counts until its runs
+/** Load: the orders to stop a cancelled flow are late. It counts until its runs
  * have ended. */
 static void
-test_runs_that_are_being_stopped(void **state)
+test_runs_being_stopped_count(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
 
 	(void)state;
-	pool_cell_quota(cell, "large", QUOTA_CPU, 0);
-	submit_as(cell, "large");
+	pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
+	org_select(cell, "large");
 	pool_cell_step(cell, 20, 2000, 3 * GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=3000");
 	pool_cell_run(cell, 500 * GB_MSEC);
@@ -291,7 +296,7 @@
 	pool_cell_free(cell);
 }
 
-/* Whose a flow is --------------------------------------------------------- */
+/* Ownership of flows ------------------------------------------------------ */
 
 static gb_flow_answer
 ask_as(struct pool_cell *cell, size_t number, gb_flow_op op, const char *org,
@@ -312,10 +317,10 @@
 	return flow->answer;
 }
 
-/** Others neither see nor cancel it, also once it is over and after a takeover
- * that read it from the store. */
+/** Other organisations neither see nor cancel a flow, also after it has
+ * finished and after a takeover that loaded it from the store. */
 static void
-test_a_flow_is_shown_to_its_own(void **state)
+test_flow_is_hidden_from_other_orgs(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	uint64_t version;
@@ -326,7 +331,7 @@
 	pool_cell_quota(cell, "large", 0, 0);
 	pool_cell_quota(cell, "small", 0, 0);
 	version = cell->config->version;
-	submit_as(cell, "large");
+	org_select(cell, "large");
 	pool_cell_step(cell, 2, 1000, 3 * GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=3000");
 	pool_cell_run(cell, 300 * GB_MSEC);
@@ -356,10 +361,10 @@
 	pool_cell_free(cell);
 }
 
-/** The owner judges by the newer of its own and the sender's version; what was
- * accepted before a key was taken away goes on. */
+/** The owner checks keys by the newer of its own version and that of the
+ * sender. A flow that was accepted before its key was removed continues. */
 static void
-test_the_newer_version_judges(void **state)
+test_newer_version_decides(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	struct gb_pool_config *older;
@@ -371,16 +376,16 @@
 	pool_cell_quota(cell, "small", 0, 0);
 	older = gb_pool_config_ref(cell->config);
 	version = older->version;
-	submit_as(cell, "small");
+	org_select(cell, "small");
 	flow = pool_cell_submit_lookup(cell);
-	hide_organisation(cell, "small");
+	org_remove(cell, "small");
 	assert_int_equal(
 	    ask_as(cell, flow, GB_FLOW_OP_STATE, "small", version).verdict,
 	    GB_FLOW_DENIED);
 	assert_int_equal(
 	    ask_as(cell, flow, GB_FLOW_OP_CANCEL, "small", version).verdict,
 	    GB_FLOW_DENIED);
-	/* An older version that comes late changes nothing. */
+	/* An older version that arrives late changes nothing. */
 	gb_pool_configure(cell->nodes[0], cell->now, older);
 	assert_int_equal(
 	    ask_as(cell, flow, GB_FLOW_OP_STATE, "small", version).verdict,
@@ -392,9 +397,10 @@
 	pool_cell_free(cell);
 }
 
-/** What older programs stored belongs to nobody. */
+/** Flows stored by older versions belong to no organisation; shorter rows are
+ * rejected. */
 static void
-test_older_flows_are_read(void **state)
+test_older_flow_rows_are_read(void **state)
 {
 	char none[] = "";
 	char name[] = "x";
@@ -424,17 +430,17 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_quota_is_kept_and_used),
-	    cmocka_unit_test(test_gangs_wait_for_their_quota),
-	    cmocka_unit_test(test_quota_of_memory),
-	    cmocka_unit_test(test_quota_that_is_lowered_stops_nothing),
-	    cmocka_unit_test(test_what_never_fits_is_refused),
-	    cmocka_unit_test(test_quota_through_faults_and_takeovers),
-	    cmocka_unit_test(test_runs_that_are_not_known_yet),
-	    cmocka_unit_test(test_runs_that_are_being_stopped),
-	    cmocka_unit_test(test_a_flow_is_shown_to_its_own),
-	    cmocka_unit_test(test_the_newer_version_judges),
-	    cmocka_unit_test(test_older_flows_are_read),
+	    cmocka_unit_test(test_quota_is_used_and_kept),
+	    cmocka_unit_test(test_gangs_wait_for_quota),
+	    cmocka_unit_test(test_memory_quota),
+	    cmocka_unit_test(test_lowered_quota_stops_nothing),
+	    cmocka_unit_test(test_gang_over_quota_is_rejected),
+	    cmocka_unit_test(test_quota_with_faults_and_takeovers),
+	    cmocka_unit_test(test_unknown_runs_count),
+	    cmocka_unit_test(test_runs_being_stopped_count),
+	    cmocka_unit_test(test_flow_is_hidden_from_other_orgs),
+	    cmocka_unit_test(test_newer_version_decides),
+	    cmocka_unit_test(test_older_flow_rows_are_read),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -1,6 +1,8 @@
 /**
  * @file test_rank.c
- * The order of waiting, when more is asked than can be done in time.
+ * Order of waiting gangs when more is submitted than can be done in time. If
+ * large gangs go first, many small ones finish late; if small ones always go
+ * first, a large one starves.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,12 +14,12 @@
 #include "large_gang.h"
 #include "pool_cell.h"
 
-/** Tasks of the gangs of a burst, which comes in rounds of one each. */
+/** Number of tasks of each gang in a round of the burst. */
 static const uint32_t widths[] = {40, 4, 8, 12};
-#define WIDTHS (sizeof(widths) / sizeof(widths[0]))
+#define WIDTH_COUNT (sizeof(widths) / sizeof(widths[0]))
 #define ROUNDS 7
 
-/** Time in which a gang of three seconds is to be done. */
+/** Time within which a gang of 3 s should finish. */
 #define OBJECTIVE (7600 * GB_MSEC)
 
 static bool
@@ -27,10 +29,10 @@
 	       flow->over - flow->submitted <= OBJECTIVE;
 }
 
-/** A burst of gangs that asks for twice what the pool can do in their time;
- * returns how many are in time.  All must end. */
+/** Submits a burst of gangs that needs twice what the pool can do within their
+ * objective, and asserts that all succeed; returns how many do so in time. */
 static unsigned int
-burst_play(uint32_t disabled_features)
+run_burst(uint32_t disabled_features)
 {
 	struct pool_cell_setup setup = {
 	    5, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, disabled_features};
@@ -38,8 +40,8 @@
 	unsigned int count = 0;
 	size_t i;
 
-	for (i = 0; i < ROUNDS * WIDTHS; i++) {
-		pool_cell_step(cell, widths[i % WIDTHS], 4000, 3 * GB_SEC,
+	for (i = 0; i < ROUNDS * WIDTH_COUNT; i++) {
+		pool_cell_step(cell, widths[i % WIDTH_COUNT], 4000, 3 * GB_SEC,
 		    GB_STEP_GANG, -1);
 		pool_cell_submit(cell, "rebuild", "ms=3000");
 		pool_cell_run(cell, 50 * GB_MSEC);
@@ -54,25 +56,25 @@
 	return count;
 }
 
-/** Load: a burst of gangs on a full pool. */
+/** Load: a burst of gangs on a full pool. Ordered by size as well as by time,
+ * at least two more finish in time than by time alone. */
 static void
-test_small_gangs_go_before_large_ones(void **state)
+test_small_gangs_start_first(void **state)
 {
-	unsigned int by_size = burst_play(0);
-	unsigned int by_time = burst_play(UINT32_C(1) << GB_FEATURE_SIZE_ORDER);
+	unsigned int by_size = run_burst(0);
+	unsigned int by_time = run_burst(UINT32_C(1) << GB_FEATURE_SIZE_ORDER);
 
 	(void)state;
 	print_message("in time: %u by size, %u by time alone, of %u\n", by_size,
-	    by_time, (unsigned int)(ROUNDS * WIDTHS));
+	    by_time, (unsigned int)(ROUNDS * WIDTH_COUNT));
 	assert_true(by_size >= by_time + 2);
 }
 
-/** Load: small gangs keep half of the pool busy, and each of them would fit;
- * one that needs two thirds of it is done as well, within three times its
- * objective.
- */
+/** Load: small gangs, each of which fits, keep half of the pool busy. A gang
+ * that needs two thirds of it must finish as well, within three times its
+ * objective. */
 static void
-test_a_large_gang_does_not_starve(void **state)
+test_large_gang_does_not_starve(void **state)
 {
 	(void)state;
 	large_gang_assert_finishes(5);
@@ -82,8 +84,8 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_small_gangs_go_before_large_ones),
-	    cmocka_unit_test(test_a_large_gang_does_not_starve),
+	    cmocka_unit_test(test_small_gangs_start_first),
+	    cmocka_unit_test(test_large_gang_does_not_starve),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
