--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -1,6 +1,8 @@
 /**
  * @file test_capacity.c
- * Workers whose room shrinks and grows while they run.
+ * Workers whose capacity shrinks and grows while they run. The owner must not
+ * start tasks beyond what is left, also where it has reserved capacity before,
+ * retries lost orders or has just taken over.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,7 +18,8 @@
 static const struct pool_cell_setup advised = {22, 24, {16000, 64000, 0, 0, 0},
     50, 100 * GB_MSEC, 1500 * GB_MSEC, 200, 0, 0};
 
-/** Small work, wide steps and gangs, more than the pool can do at once. */
+/** Submits small flows, wide steps and gangs, more than the pool can do at
+ * once. */
 static void
 submit_tenth(struct pool_cell *cell, unsigned int tenth)
 {
@@ -33,7 +36,8 @@
 	}
 }
 
-/** One worker after another has between nothing and all of its room. */
+/** Gives one random worker between none and all of its capacity, in
+ * quarters. */
 static void
 resize_one(struct pool_cell *cell)
 {
@@ -57,7 +61,8 @@
 }
 
 static void
-play(const struct pool_cell_setup *setup, unsigned int dropped, bool takeovers)
+run_resizes(
+    const struct pool_cell_setup *setup, unsigned int dropped, bool takeovers)
 {
 	struct pool_cell *cell = pool_cell_begin(setup);
 	unsigned int tenth;
@@ -86,40 +91,43 @@
 }
 
 static void
-test_nothing_starts_over_what_is_left(void **state)
+test_no_start_beyond_capacity(void **state)
 {
 	(void)state;
-	play(&plain, 0, false);
+	run_resizes(&plain, 0, false);
 }
 
-/** Gangs keep room while they wait for tickets, and it shrinks meanwhile. */
+/** Gangs reserve capacity while they wait for tickets, and it shrinks
+ * meanwhile. */
 static void
-test_room_that_is_kept_shrinks(void **state)
+test_reserved_capacity_shrinks(void **state)
 {
 	(void)state;
-	play(&advised, 0, false);
+	run_resizes(&advised, 0, false);
 }
 
-/** An order that was lost is sent again: not onto room that has gone. */
+/** A lost order is retried, but not beyond the capacity that is left by
+ * then. */
 static void
-test_orders_are_repeated_on_what_is_left(void **state)
+test_retries_keep_to_capacity(void **state)
 {
 	(void)state;
-	play(&plain, 30, false);
-	play(&advised, 30, false);
+	run_resizes(&plain, 30, false);
+	run_resizes(&advised, 30, false);
 }
 
 static void
-test_owners_go_while_room_changes(void **state)
+test_owners_killed_during_resizes(void **state)
 {
 	(void)state;
-	play(&plain, 10, true);
-	play(&advised, 10, true);
+	run_resizes(&plain, 10, true);
+	run_resizes(&advised, 10, true);
 }
 
-/** A flow that fits only an empty, whole worker waits until one is whole. */
+/** A gang whose tasks fit only workers of full capacity waits until there are
+ * some. */
 static void
-test_waits_for_room_to_grow(void **state)
+test_gang_waits_for_capacity(void **state)
 {
 	static const gb_res half = {8000, 32000, 0, 0, 0};
 	struct pool_cell *cell = pool_cell_begin(&plain);
@@ -139,7 +147,7 @@
 	pool_cell_free(cell);
 }
 
-/** A quarter of the workers has a share of its room, in percent. */
+/** Gives every fourth worker a share of its capacity, in percent. */
 static void
 resize_quarter(struct pool_cell *cell, int percent)
 {
@@ -152,10 +160,11 @@
 		world_worker_resize(cell->world, i, &capacity);
 }
 
-/** All flows of a queue that were accepted are done, nine tenths of them within
- * a time. */
+/** Asserts that all accepted flows of a queue have succeeded, nine tenths of
+ * them within `most`. */
 static void
-assert_served(const struct pool_cell *cell, const char *queue, gb_time most)
+assert_done_in_time(
+    const struct pool_cell *cell, const char *queue, gb_time most)
 {
 	unsigned int all = 0;
 	unsigned int in_time = 0;
@@ -173,11 +182,11 @@
 	assert_true(in_time * 10 >= all * 9);
 }
 
-/** Load: the room of a quarter of the workers shrinks for 14 s under what they
- * run, and for 6 s of these half as many flows again are submitted.  What is
- * left of the room is used, and not overfilled. */
+/** Load: the capacity of a quarter of the workers shrinks for 14 s, below what
+ * they run, and for 6 s of these half as many flows more are submitted. The
+ * capacity that is left must be used and not exceeded. */
 static void
-play_shrunk_with_burst(int percent, bool takeover)
+run_shrunk_with_burst(int percent, bool takeover)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int sent = 0;
@@ -198,22 +207,22 @@
 	}
 	pool_cell_run(cell, 60 * GB_SEC);
 	pool_cell_assert_unharmed(cell);
-	assert_served(cell, "lookup", 2 * GB_SEC);
-	assert_served(cell, "import", 10 * GB_SEC);
-	assert_served(cell, "rebuild", 10 * GB_SEC);
+	assert_done_in_time(cell, "lookup", 2 * GB_SEC);
+	assert_done_in_time(cell, "import", 10 * GB_SEC);
+	assert_done_in_time(cell, "rebuild", 10 * GB_SEC);
 	pool_cell_free(cell);
 }
 
 static void
-test_room_shrinks_beside_a_burst(void **state)
+test_capacity_shrinks_during_burst(void **state)
 {
 	static const int shares[] = {30, 55, 80};
 	size_t i;
 
 	(void)state;
 	for (i = 0; i < sizeof(shares) / sizeof(shares[0]); i++) {
-		play_shrunk_with_burst(shares[i], false);
-		play_shrunk_with_burst(shares[i], true);
+		run_shrunk_with_burst(shares[i], false);
+		run_shrunk_with_burst(shares[i], true);
 	}
 }
 
@@ -221,12 +230,12 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_nothing_starts_over_what_is_left),
-	    cmocka_unit_test(test_room_that_is_kept_shrinks),
-	    cmocka_unit_test(test_orders_are_repeated_on_what_is_left),
-	    cmocka_unit_test(test_owners_go_while_room_changes),
-	    cmocka_unit_test(test_waits_for_room_to_grow),
-	    cmocka_unit_test(test_room_shrinks_beside_a_burst),
+	    cmocka_unit_test(test_no_start_beyond_capacity),
+	    cmocka_unit_test(test_reserved_capacity_shrinks),
+	    cmocka_unit_test(test_retries_keep_to_capacity),
+	    cmocka_unit_test(test_owners_killed_during_resizes),
+	    cmocka_unit_test(test_gang_waits_for_capacity),
+	    cmocka_unit_test(test_capacity_shrinks_during_burst),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_contention.c
+++ b/tests/test_contention.c
@@ -1,6 +1,9 @@
 /**
  * @file test_contention.c
- * What an owner leaves in its row for members that don't hear it.
+ * Contention: repeated takeovers from owners that were still working. The owner
+ * keeps their count in its row, and members wait longer for an owner the higher
+ * it is. A takeover that is counted wrongly, or a row that is not renewed,
+ * makes them take over too early or too late.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,92 +16,98 @@
 #include "pool/state.h"
 #include "pool_cell.h"
 
-#define SELF 7
-#define OTHER 9
+#define SELF_INCARNATION 7
+#define OTHER_INCARNATION 9
 
 static const gb_time now = 100 * GB_SEC;
 
 static void
-test_owner_that_was_gone_is_not_counted(void **state)
+test_dead_owner_is_not_counted(void **state)
 {
-	const struct contention_row row = {0, OTHER};
+	const struct contention_row row = {0, OTHER_INCARNATION};
 	struct contention c = {0};
 
 	(void)state;
-	contention_take_over(&c, now, &row, SELF, TAKEOVER_SILENT_OWNER);
+	contention_take_over(
+	    &c, now, &row, SELF_INCARNATION, TAKEOVER_SILENT_OWNER);
 	assert_int_equal(c.count, 0);
-	assert_false(contention_process_alive(&c, now, OTHER + 1));
+	assert_false(contention_process_alive(&c, now, OTHER_INCARNATION + 1));
 	assert_int_equal(c.count, 0);
 }
 
 static void
-test_owner_that_turns_up_alive_is_counted_once(void **state)
+test_owner_found_alive_counts_once(void **state)
 {
-	const struct contention_row row = {1, OTHER};
+	const struct contention_row row = {1, OTHER_INCARNATION};
 	struct contention c = {0};
 
 	(void)state;
-	contention_take_over(&c, now, &row, SELF, TAKEOVER_SILENT_OWNER);
-	assert_true(contention_process_alive(&c, now, OTHER));
-	assert_false(contention_process_alive(&c, now, OTHER));
+	contention_take_over(
+	    &c, now, &row, SELF_INCARNATION, TAKEOVER_SILENT_OWNER);
+	assert_true(contention_process_alive(&c, now, OTHER_INCARNATION));
+	assert_false(contention_process_alive(&c, now, OTHER_INCARNATION));
 	assert_int_equal(c.count, 2);
 }
 
 static void
-test_owner_at_work_is_counted_at_once(void **state)
+test_working_owner_counts_at_once(void **state)
 {
-	const struct contention_row row = {0, OTHER};
+	const struct contention_row row = {0, OTHER_INCARNATION};
 	struct contention c = {0};
 
 	(void)state;
-	contention_take_over(&c, now, &row, SELF, TAKEOVER_WORKING_OWNER);
+	contention_take_over(
+	    &c, now, &row, SELF_INCARNATION, TAKEOVER_WORKING_OWNER);
 	assert_int_equal(c.count, 1);
-	assert_false(contention_process_alive(&c, now, OTHER));
+	assert_false(contention_process_alive(&c, now, OTHER_INCARNATION));
 }
 
-/** An owner that was deposed takes the pool back. */
+/** A deposed owner that takes the pool back counts 1 s later, but not 60 s
+ * later. */
 static void
-test_return_of_a_deposed_owner_is_counted(void **state)
+test_deposed_owner_returning_counts(void **state)
 {
-	const struct contention_row row = {0, OTHER};
+	const struct contention_row row = {0, OTHER_INCARNATION};
 	struct contention c = {0};
 
 	(void)state;
 	contention_owner_deposed(&c, now);
 	contention_take_over(
-	    &c, now + GB_SEC, &row, SELF, TAKEOVER_SILENT_OWNER);
+	    &c, now + GB_SEC, &row, SELF_INCARNATION, TAKEOVER_SILENT_OWNER);
 	assert_int_equal(c.count, 1);
 	contention_owner_deposed(&c, now);
-	contention_take_over(
-	    &c, now + 60 * GB_SEC, &row, SELF, TAKEOVER_SILENT_OWNER);
+	contention_take_over(&c, now + 60 * GB_SEC, &row, SELF_INCARNATION,
+	    TAKEOVER_SILENT_OWNER);
 	assert_int_equal(c.count, 0);
 }
 
 static void
 test_handover_is_not_counted(void **state)
 {
-	const struct contention_row row = {0, OTHER};
+	const struct contention_row row = {0, OTHER_INCARNATION};
 	struct contention c = {0};
 
 	(void)state;
-	contention_take_over(&c, now, &row, SELF, TAKEOVER_REQUESTED);
-	assert_false(contention_process_alive(&c, now, OTHER));
+	contention_take_over(
+	    &c, now, &row, SELF_INCARNATION, TAKEOVER_REQUESTED);
+	assert_false(contention_process_alive(&c, now, OTHER_INCARNATION));
 	contention_owner_deposed(&c, now);
 	contention_release(&c);
 	contention_take_over(
-	    &c, now + GB_SEC, &row, SELF, TAKEOVER_SILENT_OWNER);
+	    &c, now + GB_SEC, &row, SELF_INCARNATION, TAKEOVER_SILENT_OWNER);
 	assert_int_equal(c.count, 0);
 }
 
 static void
-test_count_falls_while_the_pool_stays(void **state)
+test_count_falls_without_takeovers(void **state)
 {
-	const struct contention_row row = {3, OTHER};
+	const struct contention_row row = {3, OTHER_INCARNATION};
 	struct contention c = {0};
 	gb_time at;
 
 	(void)state;
-	contention_take_over(&c, now, &row, SELF, TAKEOVER_SILENT_OWNER);
+	contention_take_over(
+	    &c, now, &row, SELF_INCARNATION, TAKEOVER_SILENT_OWNER);
 	for (at = now; at < now + 15 * GB_SEC; at += GB_SEC)
 		contention_tick(&c, at);
 	assert_int_equal(c.count, 3);
@@ -107,13 +116,14 @@
 	assert_int_equal(c.count, 0);
 }
 
-/** Instances of the program before are replaced one after the other. */
+/** Rows of older versions have no count; instances are upgraded one after
+ * another. */
 static void
 test_row_without_a_count_is_read(void **state)
 {
 	char name[] = "n1";
 	char addr[] = "10.0.0.1:70";
-	gb_owner_row old = {4, name, addr, OTHER, 12};
+	gb_owner_row old = {4, name, addr, OTHER_INCARNATION, 12};
 	struct gb_owner_record record = {0};
 	gb_body body = {0};
 
@@ -127,11 +137,12 @@
 }
 
 static void
-test_count_is_read_as_it_was_written(void **state)
+test_count_is_encoded_and_decoded(void **state)
 {
 	char name[] = "n1";
 	char addr[] = "10.0.0.1:70";
-	const struct gb_owner_record record = {{4, name, addr, OTHER, 12}, 3};
+	const struct gb_owner_record record = {
+	    {4, name, addr, OTHER_INCARNATION, 12}, 3};
 	struct gb_owner_record read = {0};
 	gb_owner_row old = {0};
 	gb_body body = {0};
@@ -142,15 +153,16 @@
 	assert_int_equal(read.contested, 3);
 	assert_string_equal(read.row.addr, addr);
 	gb_owner_record_clear(&read);
-	/* A program that knows no count reads the row as well. */
+	/* An older version, which knows no count, can decode the row as
+	 * well. */
 	assert_true(gb_xdr_decode((xdrproc_t)xdr_gb_owner_row, &body, &old));
 	assert_int_equal(old.serial, 12);
 	xdr_free((xdrproc_t)xdr_gb_owner_row, (char *)&old);
 	free(body.gb_body_val);
 }
 
-/** An owner that wrote all the time never renewed its row, so that members
- * could not tell it from one that was gone. */
+/** An owner that writes all the time must renew its row nevertheless, or
+ * members cannot tell it from one that has terminated. */
 static void
 test_busy_owner_renews_its_row(void **state)
 {
@@ -178,14 +190,14 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_owner_that_was_gone_is_not_counted),
-	    cmocka_unit_test(test_owner_that_turns_up_alive_is_counted_once),
-	    cmocka_unit_test(test_owner_at_work_is_counted_at_once),
-	    cmocka_unit_test(test_return_of_a_deposed_owner_is_counted),
+	    cmocka_unit_test(test_dead_owner_is_not_counted),
+	    cmocka_unit_test(test_owner_found_alive_counts_once),
+	    cmocka_unit_test(test_working_owner_counts_at_once),
+	    cmocka_unit_test(test_deposed_owner_returning_counts),
 	    cmocka_unit_test(test_handover_is_not_counted),
-	    cmocka_unit_test(test_count_falls_while_the_pool_stays),
+	    cmocka_unit_test(test_count_falls_without_takeovers),
 	    cmocka_unit_test(test_row_without_a_count_is_read),
-	    cmocka_unit_test(test_count_is_read_as_it_was_written),
+	    cmocka_unit_test(test_count_is_encoded_and_decoded),
 	    cmocka_unit_test(test_busy_owner_renews_its_row),
 	};
 
--- a/tests/test_lost_holds.c
+++ b/tests/test_lost_holds.c
@@ -1,6 +1,7 @@
 /**
  * @file test_lost_holds.c
- * Answers of workers that are lost.
+ * Answers to heartbeats that are lost. The owner learns of the ends that they
+ * listed only from a later heartbeat, which delays the flows.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,12 +15,12 @@
 static const struct pool_cell_setup plain = {
     1, 16, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
-#define SEEDS 40
-#define LOOKUPS 100
+#define SEED_COUNT 40
+#define LOOKUP_COUNT 100
 
-/** Lookups of a seed that are late. */
+/** Runs lookups with one seed; returns how many finish late. */
 static unsigned int
-play(uint64_t seed)
+run_seed(uint64_t seed)
 {
 	struct pool_cell_setup setup = plain;
 	struct pool_cell *cell;
@@ -29,12 +30,12 @@
 	setup.seed = seed;
 	cell = pool_cell_begin(&setup);
 	cell->faults.heartbeat_silent = 20;
-	for (i = 0; i < LOOKUPS; i++) {
+	for (i = 0; i < LOOKUP_COUNT; i++) {
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 40 * GB_MSEC);
 	}
 	pool_cell_run(cell, 4 * GB_SEC);
-	for (i = 0; i < LOOKUPS; i++) {
+	for (i = 0; i < LOOKUP_COUNT; i++) {
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
 		late += cell->flows[i].over - cell->flows[i].submitted >
 			1750 * GB_MSEC;
@@ -44,27 +45,27 @@
 	return late;
 }
 
-/** Load: one in five answers of workers to holds is lost while lookups of a
- * second go on.  Their ends are seen late, but within a lookup's objective of
- * 1.75 s in five of six. */
+/** Load: one in five answers to heartbeats is lost while lookups of 1 s are
+ * submitted. Five of six must still finish within the objective of a lookup,
+ * 1.75 s. */
 static void
-test_lost_holds_hide_ends_for_a_moment_only(void **state)
+test_lost_heartbeats_delay_few_flows(void **state)
 {
 	unsigned int late = 0;
 	uint64_t seed;
 
 	(void)state;
-	for (seed = 1; seed <= SEEDS; seed++)
-		late += play(seed);
-	print_message("late: %u of %d\n", late, SEEDS * LOOKUPS);
-	assert_true(late <= SEEDS * LOOKUPS / 6);
+	for (seed = 1; seed <= SEED_COUNT; seed++)
+		late += run_seed(seed);
+	print_message("late: %u of %d\n", late, SEED_COUNT * LOOKUP_COUNT);
+	assert_true(late <= SEED_COUNT * LOOKUP_COUNT / 6);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_lost_holds_hide_ends_for_a_moment_only),
+	    cmocka_unit_test(test_lost_heartbeats_delay_few_flows),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_lost_holds_seed.c
+++ b/tests/test_lost_holds_seed.c
@@ -1,6 +1,8 @@
 /**
  * @file test_lost_holds_seed.c
- * Answers of workers that are lost, in one play.
+ * Answers to heartbeats that are lost, with a single seed. The owner learns of
+ * the ends that they listed only from a later heartbeat, which delays the
+ * flows.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,11 +16,11 @@
 static const struct pool_cell_setup plain = {
     1, 16, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
-/** Load: one in five answers of workers to holds is lost while lookups of a
- * second go on.  Their ends are seen late, but within a lookup's objective of
- * 1.75 s in four of five. */
+/** Load: one in five answers to heartbeats is lost while lookups of 1 s are
+ * submitted. Four of five must still finish within the objective of a lookup,
+ * 1.75 s. */
 static void
-test_lost_holds_hide_ends_for_a_moment_only(void **state)
+test_lost_heartbeats_delay_few_flows(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int late = 0;
@@ -46,7 +48,7 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_lost_holds_hide_ends_for_a_moment_only),
+	    cmocka_unit_test(test_lost_heartbeats_delay_few_flows),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -1,7 +1,8 @@
 /**
  * @file test_restarts.c
- * Workers that start again under their id: nothing of one life holds for
- * another.
+ * Workers that restart under the same id. What the owner knows of one worker
+ * incarnation (numbers of ends, start time, capacity, orders in flight) must
+ * not be applied to another, or tasks are lost or run twice.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,9 +16,9 @@
 static const struct pool_cell_setup plain = {
     1, 6, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
-/** Load: lookups of 0.3 s, one each 40 ms. */
+/** Submits lookups of 0.3 s, one every 40 ms. */
 static void
-lookups(struct pool_cell *cell, unsigned int count)
+submit_lookups(struct pool_cell *cell, unsigned int count)
 {
 	unsigned int i;
 
@@ -28,9 +29,10 @@
 	}
 }
 
-/** Every flow has succeeded, each task with one run that was done. */
+/** Asserts that every flow has succeeded, and that no task ran again after it
+ * was done. */
 static void
-assert_done_once(struct pool_cell *cell)
+assert_succeeded_once(struct pool_cell *cell)
 {
 	struct world_flow_view view;
 	size_t i;
@@ -44,37 +46,37 @@
 	pool_cell_assert_unharmed(cell);
 }
 
-/** TWICE: the ends of a worker's new life, whose numbers begin anew, were taken
- * for those that were acknowledged before, and their tasks ran again. */
+/** A restarted worker numbers its ends from 1 again. They must not be taken for
+ * acknowledged ends of the incarnation before, or their tasks run twice. */
 static void
-test_ends_of_a_restarted_worker_are_taken_in(void **state)
+test_ends_after_restart_are_applied(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int i;
 
 	(void)state;
-	lookups(cell, 60);
+	submit_lookups(cell, 60);
 	pool_cell_run(cell, GB_SEC);
 	for (i = 0; i < 3; i++)
 		world_worker_restart(cell->world, i);
 	pool_cell_run(cell, GB_SEC);
-	lookups(cell, 60);
+	submit_lookups(cell, 60);
 	pool_cell_run(cell, 4 * GB_SEC);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	pool_cell_free(cell);
 }
 
-/** LOST: a step whose end was not seen is started for ever, and the one that
- * comes after it never. */
+/** The ends of a step on restarted workers must be applied; otherwise the step
+ * is started again without limit, and the one after it never. */
 static void
-test_later_step_starts_on_restarted_workers(void **state)
+test_next_step_starts_after_restarts(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int i;
 	size_t flow;
 
 	(void)state;
-	lookups(cell, 120);
+	submit_lookups(cell, 120);
 	pool_cell_run(cell, GB_SEC);
 	for (i = 0; i < plain.workers; i++)
 		world_worker_restart(cell->world, i);
@@ -84,30 +86,31 @@
 	flow = pool_cell_submit(cell, "import", "ms=300");
 	pool_cell_run(cell, 4 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	pool_cell_free(cell);
 }
 
-/** Two starts may fall on the same time of day, once that has jumped. */
+/** Two incarnations may report the same start time, as the time of day may
+ * jump. */
 static void
-test_two_starts_at_the_same_time_of_day(void **state)
+test_restart_at_same_time_of_day(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 
 	(void)state;
-	lookups(cell, 60);
+	submit_lookups(cell, 60);
 	world_clock_step(cell->world, 100 * GB_SEC - cell->now);
 	world_worker_restart(cell->world, 0);
-	lookups(cell, 60);
+	submit_lookups(cell, 60);
 	pool_cell_run(cell, 4 * GB_SEC);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	pool_cell_free(cell);
 }
 
-/** A later life may tell an earlier start; what ran on the one before is lost
- * with it, and started again at once. */
+/** A later incarnation may report an earlier start time. What ran on the one
+ * before is lost with it and started again at once. */
 static void
-test_a_restart_ends_what_ran(void **state)
+test_restart_ends_runs(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int worker;
@@ -125,14 +128,14 @@
 	assert_true(world_flow_worker(cell->world, cell->flows[flow].spec.id) <
 		    plain.workers);
 	pool_cell_run(cell, 1500 * GB_MSEC);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	pool_cell_free(cell);
 }
 
-/** The room and the kind of a worker are not those of the life before: nothing
- * is started there before its entry is known. */
+/** The capacity and service of one worker incarnation do not hold for the next:
+ * nothing is started there before its own entry is known. */
 static void
-test_entry_of_an_earlier_life_tells_nothing(void **state)
+test_entry_of_earlier_incarnation(void **state)
 {
 	static const gb_res small = {2000, 8000, 0, 0, 0};
 	struct pool_cell_setup one = plain;
@@ -141,62 +144,62 @@
 	(void)state;
 	one.workers = 1;
 	cell = pool_cell_begin(&one);
-	lookups(cell, 10);
+	submit_lookups(cell, 10);
 	pool_cell_run(cell, 2 * GB_SEC);
-	/* The list names the life before for a while. */
+	/* For 1 s the list still names the incarnation before. */
 	cell->listed_at = cell->now + GB_SEC;
 	world_worker_resize(cell->world, 0, &small);
 	world_shrunk_known(cell->world, 0);
 	world_worker_restart(cell->world, 0);
 	pool_cell_run(cell, 100 * GB_MSEC);
-	lookups(cell, 10);
+	submit_lookups(cell, 10);
 	pool_cell_run(cell, 10 * GB_SEC);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	pool_cell_free(cell);
 }
 
 /** Load: calls without an answer are carried out 2 s later, many of them by the
- * life that has come meanwhile and has been asked by then. */
+ * next incarnation, which has had a heartbeat of its own by then. */
 static void
-late_calls(unsigned int orders, unsigned int holds)
+run_late_calls(unsigned int orders, unsigned int heartbeats)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	unsigned int i;
 
-	lookups(cell, 60);
+	submit_lookups(cell, 60);
 	for (i = 0; i < 20; i++) {
 		cell->faults.order_late = orders;
-		cell->faults.heartbeat_late = holds;
-		lookups(cell, 20);
+		cell->faults.heartbeat_late = heartbeats;
+		submit_lookups(cell, 20);
 		cell->faults.order_late = 0;
 		cell->faults.heartbeat_late = 0;
 		pool_cell_run(cell, GB_SEC);
 		world_worker_restart(cell->world, i % plain.workers);
-		lookups(cell, 12);
+		submit_lookups(cell, 12);
 	}
 	pool_cell_run(cell, 10 * GB_SEC);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	pool_cell_free(cell);
 }
 
 static void
-test_late_orders_meet_the_next_life(void **state)
+test_late_orders_after_restart(void **state)
 {
 	(void)state;
-	late_calls(30, 0);
+	run_late_calls(30, 0);
 }
 
 static void
-test_late_holds_meet_the_next_life(void **state)
+test_late_heartbeats_after_restart(void **state)
 {
 	(void)state;
-	late_calls(0, 20);
+	run_late_calls(0, 20);
 }
 
-/** A task that crashes its workers is given up also where these come back under
- * their ids, and each owner is killed before it has missed the worker. */
+/** A task that crashes its workers fails also if these restart under their ids
+ * and each owner is killed before it notices the loss of a worker. */
 static void
-test_crashes_are_counted_over_restarts_and_owners(void **state)
+test_crashes_count_over_restarts(void **state)
 {
 	struct world_flow_view view;
 	unsigned int round;
@@ -227,9 +230,10 @@
 	pool_cell_free(cell);
 }
 
-/** An address where another worker answered, and the id is used again. */
+/** Another worker answers at the address, and then the ended id is used
+ * again. */
 static void
-test_an_id_that_was_over_is_used_again(void **state)
+test_ended_id_is_used_again(void **state)
 {
 	struct pool_cell_setup one = plain;
 	struct pool_cell *cell;
@@ -237,24 +241,24 @@
 	(void)state;
 	one.workers = 1;
 	cell = pool_cell_begin(&one);
-	lookups(cell, 10);
+	submit_lookups(cell, 10);
 	pool_cell_run(cell, 2 * GB_SEC);
 	world_worker_reborn(cell->world, 0);
 	pool_cell_run(cell, GB_SEC);
-	lookups(cell, 10);
+	submit_lookups(cell, 10);
 	pool_cell_run(cell, 2 * GB_SEC);
 	world_worker_rename(cell->world, 0, "w-0-0");
 	pool_cell_run(cell, GB_SEC);
-	lookups(cell, 10);
+	submit_lookups(cell, 10);
 	pool_cell_run(cell, 4 * GB_SEC);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	pool_cell_free(cell);
 }
 
-/** Workers of an older kind don't tell their start, and have a new id after
- * each. */
+/** Workers of an older version do not report when they started, and get a new
+ * id at each start. */
 static void
-test_workers_that_do_not_tell_their_start(void **state)
+test_unreported_start_times(void **state)
 {
 	struct pool_cell *cell;
 	unsigned int i;
@@ -263,18 +267,18 @@
 	cell = pool_cell_begin(&plain);
 	world_incarnations_unknown(cell->world, true, true);
 	for (i = 0; i < 4; i++) {
-		lookups(cell, 30);
+		submit_lookups(cell, 30);
 		world_worker_reborn(cell->world, i);
 	}
 	pool_cell_run(cell, 6 * GB_SEC);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	pool_cell_free(cell);
 }
 
-/** Where reports don't tell a worker's start, its entry does, a little later.
- */
+/** If reports do not contain the start time of a worker, its entry does, a
+ * little later. */
 static void
-test_entries_alone_tell_of_a_restart(void **state)
+test_restarts_known_from_entries_only(void **state)
 {
 	struct pool_cell *cell = pool_cell_new(&plain);
 	unsigned int i;
@@ -283,21 +287,21 @@
 	world_incarnations_unknown(cell->world, true, false);
 	pool_cell_take(cell, 0);
 	pool_cell_run(cell, GB_SEC);
-	lookups(cell, 60);
+	submit_lookups(cell, 60);
 	pool_cell_run(cell, 2 * GB_SEC);
 	for (i = 0; i < 4; i++)
 		world_worker_restart(cell->world, i);
 	pool_cell_run(cell, GB_SEC);
-	lookups(cell, 60);
+	submit_lookups(cell, 60);
 	pool_cell_run(cell, 4 * GB_SEC);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	pool_cell_free(cell);
 }
 
-/** Leases are renewed and ends acknowledged also where no connection to a
- * worker stands for two calls, and the owner has little processor. */
+/** Leases are renewed and ends acknowledged although each call needs a new
+ * connection to the worker and the owner ticks only every 0.1 s. */
 static void
-test_connections_that_end_with_each_call(void **state)
+test_connection_for_each_call(void **state)
 {
 	struct pool_cell *cell = pool_cell_new(&plain);
 	unsigned int i;
@@ -311,13 +315,13 @@
 		pool_cell_submit(cell, "import", "ms=8000");
 	}
 	pool_cell_run(cell, 14 * GB_SEC);
-	assert_done_once(cell);
+	assert_succeeded_once(cell);
 	assert_int_equal(gb_pool_stats(cell->nodes[0])->lapsed, 0);
 	pool_cell_free(cell);
 }
 
-/** Workers start again under their ids while orders and holds are lost, come
- * late, owners die and the time of day jumps. */
+/** Workers restart under their ids while orders and heartbeats are lost or
+ * late, owners are killed and the time of day jumps. */
 static void
 test_random_faults_and_restarts(void **state)
 {
@@ -329,18 +333,18 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_ends_of_a_restarted_worker_are_taken_in),
-	    cmocka_unit_test(test_later_step_starts_on_restarted_workers),
-	    cmocka_unit_test(test_two_starts_at_the_same_time_of_day),
-	    cmocka_unit_test(test_a_restart_ends_what_ran),
-	    cmocka_unit_test(test_entry_of_an_earlier_life_tells_nothing),
-	    cmocka_unit_test(test_late_orders_meet_the_next_life),
-	    cmocka_unit_test(test_late_holds_meet_the_next_life),
-	    cmocka_unit_test(test_crashes_are_counted_over_restarts_and_owners),
-	    cmocka_unit_test(test_an_id_that_was_over_is_used_again),
-	    cmocka_unit_test(test_workers_that_do_not_tell_their_start),
-	    cmocka_unit_test(test_entries_alone_tell_of_a_restart),
-	    cmocka_unit_test(test_connections_that_end_with_each_call),
+	    cmocka_unit_test(test_ends_after_restart_are_applied),
+	    cmocka_unit_test(test_next_step_starts_after_restarts),
+	    cmocka_unit_test(test_restart_at_same_time_of_day),
+	    cmocka_unit_test(test_restart_ends_runs),
+	    cmocka_unit_test(test_entry_of_earlier_incarnation),
+	    cmocka_unit_test(test_late_orders_after_restart),
+	    cmocka_unit_test(test_late_heartbeats_after_restart),
+	    cmocka_unit_test(test_crashes_count_over_restarts),
+	    cmocka_unit_test(test_ended_id_is_used_again),
+	    cmocka_unit_test(test_unreported_start_times),
+	    cmocka_unit_test(test_restarts_known_from_entries_only),
+	    cmocka_unit_test(test_connection_for_each_call),
 	    cmocka_unit_test(test_random_faults_and_restarts),
 	};
 
