--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -1,6 +1,8 @@
 /**
  * @file test_link.c
- * The link of a node: what waits on it, and what an owner does as it fills.
+ * Guards against an owner behind a link of low bandwidth that accepts flows it
+ * can't run, loses or repeats them, or never finishes loading the tables.  This
+ * comes about when it disregards the time for which messages queue on the link.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,21 +14,21 @@
 
 #include "pool_cell.h"
 
-/** A link of 2 Mbit/s. */
-#define THIN 250000
-#define MESSAGE 920
+/** Bandwidth of a link of 2 Mbit/s. */
+#define THIN_LINK_BYTES_PER_SEC 250000
+#define MESSAGE_BYTES 920
 
 static void
-test_what_is_sent_waits(void **state)
+test_sent_messages_queue(void **state)
 {
-	struct gb_link *link = gb_link_new(THIN);
+	struct gb_link *link = gb_link_new(THIN_LINK_BYTES_PER_SEC);
 	gb_time now = GB_SEC;
 	int i;
 
 	(void)state;
 	assert_int_equal(gb_link_queued(link, now), 0);
 	for (i = 0; i < 100; i++)
-		gb_link_out(link, now, GB_TRAFFIC_START, MESSAGE);
+		gb_link_out(link, now, GB_TRAFFIC_START, MESSAGE_BYTES);
 	assert_in_range(
 	    gb_link_queued(link, now), 400 * GB_MSEC, 420 * GB_MSEC);
 	assert_in_range(gb_link_queued(link, now + 300 * GB_MSEC),
@@ -34,12 +36,12 @@
 	assert_int_equal(gb_link_queued(link, now + GB_SEC), 0);
 	assert_int_equal(gb_link_traffic(link, GB_TRAFFIC_START)->sent, 100);
 	assert_int_equal(
-	    gb_link_traffic(link, GB_TRAFFIC_START)->out, 100 * MESSAGE);
+	    gb_link_traffic(link, GB_TRAFFIC_START)->out, 100 * MESSAGE_BYTES);
 	free(link);
 }
 
 static void
-test_a_wide_link_never_waits(void **state)
+test_unlimited_link_has_no_queue(void **state)
 {
 	struct gb_link *link = gb_link_new(0);
 
@@ -49,15 +51,15 @@
 	free(link);
 }
 
-/* Load: 85 workers over 2 Mbit/s ------------------------------------------ */
+/* 85 workers over a link of 2 Mbit/s -------------------------------------- */
 
-#define SPEC_MOST 1300
+#define SPEC_BYTES_MAX 1300
 
-/** A specification of about so many bytes. */
+/** Returns a specification of the given size that begins with `work`. */
 static const char *
 spec_of(const char *work, size_t bytes)
 {
-	static char spec[SPEC_MOST + 1];
+	static char spec[SPEC_BYTES_MAX + 1];
 
 	memset(spec, '.', sizeof(spec));
 	memcpy(spec, work, strlen(work));
@@ -66,8 +68,11 @@
 	return spec;
 }
 
+/** Submits the flows of one tenth of a second.
+ * @param tenth number of this tenth
+ */
 static void
-submit_second(struct pool_cell *cell, unsigned int tenth)
+submit_tenth(struct pool_cell *cell, unsigned int tenth)
 {
 	unsigned int i;
 
@@ -85,12 +90,16 @@
 	}
 }
 
-/** Share of the flows that were taken in and met their objective, and of those
- * that were refused, in percent; each that was taken in must end. */
+/** Submits flows for 20 s.  Checks that no lease lapses, that no run counts as
+ * crashed and that accepted flows are not lost or run twice.
+ * @param in_time percentage of flows that succeeded within their objective
+ * @param refused percentage of flows that were rejected
+ */
 static void
-thin_link_play(const struct pool_cell_setup *setup, unsigned int *in_time,
+thin_link_run(const struct pool_cell_setup *setup, unsigned int *in_time,
     unsigned int *refused)
 {
+	/* Of the queues lookup, rebuild and import. */
 	static const gb_time objectives[] = {
 	    1750 * GB_MSEC, 14200 * GB_MSEC, 16600 * GB_MSEC};
 	struct pool_cell *cell = pool_cell_begin(setup);
@@ -99,20 +108,20 @@
 
 	*in_time = *refused = 0;
 	for (tenth = 0; tenth < 200; tenth++) {
-		submit_second(cell, tenth);
+		submit_tenth(cell, tenth);
 		pool_cell_run(cell, 100 * GB_MSEC);
 	}
 	pool_cell_run(cell, 40 * GB_SEC);
 	for (i = 0; i < cell->flow_count; i++) {
 		const struct pool_cell_flow *flow = &cell->flows[i];
-		int kind = flow->spec.queue[0] == 'l'	? 0
-			   : flow->spec.queue[0] == 'r' ? 1
-							: 2;
+		int queue = flow->spec.queue[0] == 'l'	 ? 0
+			    : flow->spec.queue[0] == 'r' ? 1
+							 : 2;
 
 		*refused += flow->answer.verdict == GB_FLOW_REFUSED;
 		*in_time += flow->over != 0 &&
 			    flow->status == GB_FLOW_SUCCEEDED &&
-			    flow->over - flow->submitted <= objectives[kind];
+			    flow->over - flow->submitted <= objectives[queue];
 	}
 	print_message("in time %u, refused %u of %zu; lapsed %llu\n", *in_time,
 	    *refused, cell->flow_count,
@@ -126,7 +135,7 @@
 }
 
 static const struct pool_cell_setup thin = {3, 85, {16000, 64000, 0, 0, 0}, 50,
-    30 * GB_MSEC, 1500 * GB_MSEC, 400, THIN, 0};
+    30 * GB_MSEC, 1500 * GB_MSEC, 400, THIN_LINK_BYTES_PER_SEC, 0};
 
 static void
 test_thin_link_serves_most_in_time(void **state)
@@ -135,30 +144,30 @@
 	unsigned int refused;
 
 	(void)state;
-	thin_link_play(&thin, &in_time, &refused);
+	thin_link_run(&thin, &in_time, &refused);
 	assert_true(in_time >= 60);
 }
 
-/** At a quarter of that most must be refused, and nothing that was taken in is
- * lost or done twice. */
+/** At a quarter of that bandwidth many flows must be rejected, and no accepted
+ * flow is lost or run twice. */
 static void
-test_very_thin_link_keeps_promises(void **state)
+test_very_thin_link_loses_no_flow(void **state)
 {
 	struct pool_cell_setup setup = thin;
 	unsigned int in_time;
 	unsigned int refused;
 
 	(void)state;
-	setup.link = THIN / 4;
-	thin_link_play(&setup, &in_time, &refused);
+	setup.link = THIN_LINK_BYTES_PER_SEC / 4;
+	thin_link_run(&setup, &in_time, &refused);
 	assert_true(refused >= 40);
 }
 
-/** Load: a pool with 150 open flows is taken over by a node behind 0.5 Mbit/s,
- * where what is stored takes seconds to read.  Reads that were all out at once
- * were given up, and begun anew, for ever. */
+/** A node behind a link of 0.5 Mbit/s takes over a pool with 150 open flows,
+ * which take seconds to read.  Guards against reads that are all in flight at
+ * once, time out and are retried for ever. */
 static void
-test_successor_behind_a_thin_link_reads_what_is_stored(void **state)
+test_successor_behind_thin_link_loads(void **state)
 {
 	struct pool_cell_setup setup = thin;
 	struct pool_cell *cell;
@@ -173,7 +182,7 @@
 		pool_cell_submit(cell, "import", spec_of("ms=20000", 600));
 	}
 	pool_cell_run(cell, 3 * GB_SEC);
-	cell->setup.link = THIN / 4;
+	cell->setup.link = THIN_LINK_BYTES_PER_SEC / 4;
 	cell->link_in = true;
 	pool_cell_kill(cell, 1);
 	pool_cell_kill(cell, 0);
@@ -191,12 +200,11 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_what_is_sent_waits),
-	    cmocka_unit_test(test_a_wide_link_never_waits),
+	    cmocka_unit_test(test_sent_messages_queue),
+	    cmocka_unit_test(test_unlimited_link_has_no_queue),
 	    cmocka_unit_test(test_thin_link_serves_most_in_time),
-	    cmocka_unit_test(test_very_thin_link_keeps_promises),
-	    cmocka_unit_test(
-		test_successor_behind_a_thin_link_reads_what_is_stored),
+	    cmocka_unit_test(test_very_thin_link_loses_no_flow),
+	    cmocka_unit_test(test_successor_behind_thin_link_loads),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -1,6 +1,8 @@
 /**
  * @file test_share.c
- * Shares of organisations when all is full.
+ * Guards against an organisation that is served late although it stays within
+ * its share.  This comes about when another organisation submits far more than
+ * the pool can run, or when a new owner does not know the shares in use.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,15 +13,19 @@
 
 #include "pool_cell.h"
 
-/** Time in which an import of a second is to be done. */
+/** Time within which an import that runs for a second is to be finished. */
 #define OBJECTIVE (7 * GB_SEC)
+/** Rounds of submissions, 0.1 s apart. */
 #define ROUNDS 60
 
-/** Load: one organisation sends five imports each 0.1 s, another one each 0.2
- * s, on a pool that can do half of that for 6 s.  Returns how many of the
- * other's are in time. */
+/** Runs a pool for 6 s at twice the load that it can carry: the organisation
+ * `hot` submits five imports each 0.1 s, and `other` one each 0.2 s.  Returns
+ * how many imports of `other` finish within the objective.
+ * @param disabled_features of the owner, as bits
+ * @param takeover replaces the owner after half of the rounds
+ */
 static unsigned int
-hot_play(uint32_t disabled_features, bool takeover)
+overload_run(uint32_t disabled_features, bool takeover)
 {
 	struct pool_cell_setup setup = {
 	    7, 12, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, disabled_features};
@@ -60,14 +66,14 @@
 	return count;
 }
 
-/** The other organisation, which stays within its share, is served in time; all
- * that was accepted is done in the end. */
+/** The organisation that stays within its share is served in time, and in the
+ * end all accepted flows succeed. */
 static void
-test_others_are_served_beside_a_hot_one(void **state)
+test_overload_does_not_delay_others(void **state)
 {
-	unsigned int with = hot_play(0, false);
+	unsigned int with = overload_run(0, false);
 	unsigned int without =
-	    hot_play(UINT32_C(1) << GB_FEATURE_SHARE_ORDER, false);
+	    overload_run(UINT32_C(1) << GB_FEATURE_SHARE_ORDER, false);
 
 	(void)state;
 	print_message("in time: %u with shares, %u without, of %d\n", with,
@@ -76,11 +82,11 @@
 	assert_true(with > without);
 }
 
-/** A new owner knows what was beyond a share. */
+/** A new owner knows which flows are beyond their organisation's share. */
 static void
-test_shares_outlive_an_owner(void **state)
+test_shares_outlast_a_takeover(void **state)
 {
-	unsigned int count = hot_play(0, true);
+	unsigned int count = overload_run(0, true);
 
 	(void)state;
 	print_message("in time: %u of %d\n", count, ROUNDS / 2);
@@ -91,8 +97,8 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_others_are_served_beside_a_hot_one),
-	    cmocka_unit_test(test_shares_outlive_an_owner),
+	    cmocka_unit_test(test_overload_does_not_delay_others),
+	    cmocka_unit_test(test_shares_outlast_a_takeover),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -1,6 +1,8 @@
 /**
  * @file test_succession.c
- * Order of succession: who claims a vacant pool, and how many do at once.
+ * Guards against many nodes that claim a vacant pool at once, and against a
+ * pool that stays vacant for long.  Either comes about when nodes that learn of
+ * the vacancy at the same time wait too briefly, or too long, for their turn.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -10,23 +12,27 @@
 
 #include "node/succession.h"
 
-#define NODES_MOST 100
+#define NODES_MAX 100
 
-/** What becomes of a vacancy. */
+/** Outcome of a simulated vacancy. */
 struct vacancy {
-	unsigned int claims; /**< begun before one of them could be seen */
-	gb_time took;	     /**< until the first claim could be seen */
+	unsigned int claims; /**< begun before the first one was visible */
+	gb_time duration;    /**< until the first claim was visible */
 };
 
-/** All nodes learn of the vacancy within 0.2 s; the first `dead` of the order
- * are gone with the owner.  A claim can be seen after three times the time of a
- * read, and nobody begins one after that. */
+/** Simulates a vacancy.  All nodes learn of it within 0.2 s.  A claim is
+ * visible to others after three times the duration of a read, and no node
+ * begins one after that.
+ * @param ranked nodes that have a rank in the order of succession
+ * @param dead number of first successors that were lost with the owner
+ * @param store_took duration of a read
+ */
 static struct vacancy
-vacancy_play(unsigned int nodes, unsigned int ranked, unsigned int dead,
+vacancy_simulate(unsigned int nodes, unsigned int ranked, unsigned int dead,
     gb_time store_took, uint64_t seed)
 {
-	gb_time begin[NODES_MOST];
-	gb_time seen = INT64_MAX;
+	gb_time begin[NODES_MAX];
+	gb_time visible = INT64_MAX;
 	struct vacancy v = {0, 0};
 	unsigned int i;
 
@@ -36,15 +42,17 @@
 
 		begin[i] = (gb_time)(gb_random_next(&seed) % (200 * GB_MSEC)) +
 			   succession_delay(&place, store_took, &seed);
-		if (begin[i] + 3 * store_took < seen)
-			seen = begin[i] + 3 * store_took;
+		if (begin[i] + 3 * store_took < visible)
+			visible = begin[i] + 3 * store_took;
 	}
 	for (i = dead; i < nodes; i++)
-		v.claims += begin[i] < seen;
-	v.took = seen;
+		v.claims += begin[i] < visible;
+	v.duration = visible;
 	return v;
 }
 
+/** Checks, with and without dead successors, that few nodes claim the pool and
+ * that the first claim is visible soon. */
 static void
 assert_bounded(unsigned int nodes, gb_time store_took)
 {
@@ -54,20 +62,19 @@
 		unsigned int ranked =
 		    nodes < SUCCESSION_MOST ? nodes : SUCCESSION_MOST;
 		struct vacancy all =
-		    vacancy_play(nodes, ranked, 0, store_took, seed);
+		    vacancy_simulate(nodes, ranked, 0, store_took, seed);
 		struct vacancy some =
-		    vacancy_play(nodes, ranked, 4, store_took, seed);
+		    vacancy_simulate(nodes, ranked, 4, store_took, seed);
 
 		assert_true(all.claims <= 8);
 		assert_true(some.claims <= 8);
-		assert_true(all.took <= 200 * GB_MSEC + 4 * store_took);
-		assert_true(some.took <= 400 * GB_MSEC + 16 * store_took);
+		assert_true(all.duration <= 200 * GB_MSEC + 4 * store_took);
+		assert_true(some.duration <= 400 * GB_MSEC + 16 * store_took);
 	}
 }
 
-/** Load: all nodes learn of a vacancy at nearly the same time, with a store
- * that is as quick as usual, and 10, 35 and 100 times slower.  The claims do
- * not grow with the number of nodes. */
+/** The number of claims does not grow with the number of nodes, whether the
+ * store is as quick as usual or 10, 35 or 100 times slower. */
 static void
 test_claims_do_not_grow_with_the_nodes(void **state)
 {
@@ -80,8 +87,8 @@
 	assert_bounded(100, 400 * GB_MSEC);
 }
 
-/** Nodes that know no order, such as after all were lost, are few in a claim's
- * time when they know how many they are. */
+/** Nodes that have no ranks, for example after all of them were lost, but know
+ * their number: few of them begin a claim before the first one is visible. */
 static void
 test_unranked_nodes_spread_by_their_number(void **state)
 {
@@ -89,15 +96,19 @@
 
 	(void)state;
 	for (seed = 1; seed <= 50; seed++) {
-		struct vacancy v = vacancy_play(35, 0, 0, 140 * GB_MSEC, seed);
+		struct vacancy v =
+		    vacancy_simulate(35, 0, 0, 140 * GB_MSEC, seed);
 
 		assert_true(v.claims <= 8);
-		assert_true(v.took <= 3 * GB_SEC);
+		assert_true(v.duration <= 3 * GB_SEC);
 	}
 }
 
+/** Larger nodes are first, and of equal ones the one that started last; nodes
+ * that stop, are silent, lack the newest configuration or have just started are
+ * left out. */
 static void
-test_order_is_by_size_then_youth(void **state)
+test_order_is_by_size_then_start(void **state)
 {
 	struct succession_member m[] = {
 	    {"10.0.0.1:70", 250, 9 * GB_SEC, 0, false, true},
@@ -122,7 +133,7 @@
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test(test_claims_do_not_grow_with_the_nodes),
 	    cmocka_unit_test(test_unranked_nodes_spread_by_their_number),
-	    cmocka_unit_test(test_order_is_by_size_then_youth),
+	    cmocka_unit_test(test_order_is_by_size_then_start),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
