--- a/tests/test_entries.c
+++ b/tests/test_entries.c
@@ -1,7 +1,9 @@
 /**
  * @file test_entries.c
- * The pool core and entries of the list of workers that others than the workers
- * wrote: they name no worker to use, and the others hold.
+ * Guards against entries of the list of workers that do harm: flows that wait
+ * for workers which do not exist, runs that are given up or started twice, and
+ * takeovers that are delayed.  It comes about when entries are invalid or wrong
+ * because others than the workers wrote them.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,10 +19,10 @@
 static const struct pool_cell_setup one_worker = {
     1, 1, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
-/** A worker whose entry turns bad gets nothing new; what it runs keeps its
- * lease and ends as it should; a sound entry brings the worker back. */
+/** A worker whose entry becomes invalid gets no new runs.  What it runs keeps
+ * its lease and ends as usual.  It is used again when its entry is valid. */
 static void
-test_bad_entry_gets_no_new_work(void **state)
+test_invalid_entry_gets_no_new_runs(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&one_worker);
 	size_t running;
@@ -43,9 +45,9 @@
 	pool_cell_free(cell);
 }
 
-/** A worker that was never known by a sound entry is none. */
+/** A worker that never had a valid entry is not used. */
 static void
-test_bad_entry_names_no_worker(void **state)
+test_invalid_entry_adds_no_worker(void **state)
 {
 	struct pool_cell *cell = pool_cell_new(&plain);
 
@@ -61,11 +63,12 @@
 	pool_cell_free(cell);
 }
 
-/** Entries of a service that there is not, at addresses where nobody answers:
- * what waits goes on as soon as the workers have told a new owner what they
- * run, and not only when every lease that might be out is over. */
+/** Entries name a service that does not exist and addresses where no worker
+ * answers.  After a takeover a waiting flow starts as soon as the workers have
+ * reported their runs to the new owner, not only when every lease that an
+ * unknown worker might have has expired. */
 static void
-test_strangers_hold_no_takeover_up(void **state)
+test_unknown_workers_delay_no_takeover(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&one_worker);
 	size_t waiting;
@@ -86,11 +89,11 @@
 	pool_cell_free(cell);
 }
 
-/** Entries that name the address of another worker: what runs on a worker that
- * has answered at its own is not given up as the work of a lifetime that is
- * over, and started a second time. */
+/** Entries name the address of another worker.  Guards against runs of a worker
+ * that has answered at its own address being given up as those of an ended
+ * incarnation, and started a second time. */
 static void
-test_moved_entry_is_not_believed(void **state)
+test_wrong_address_ends_no_run(void **state)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t flow;
@@ -111,10 +114,10 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_bad_entry_gets_no_new_work),
-	    cmocka_unit_test(test_bad_entry_names_no_worker),
-	    cmocka_unit_test(test_strangers_hold_no_takeover_up),
-	    cmocka_unit_test(test_moved_entry_is_not_believed),
+	    cmocka_unit_test(test_invalid_entry_gets_no_new_runs),
+	    cmocka_unit_test(test_invalid_entry_adds_no_worker),
+	    cmocka_unit_test(test_unknown_workers_delay_no_takeover),
+	    cmocka_unit_test(test_wrong_address_ends_no_run),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -1,7 +1,8 @@
 /**
  * @file test_entry.c
- * Entries of the list of workers, as others than the workers may write them:
- * what is not whole and sound names no worker to use.
+ * Guards against workers that are used although their entry in the list of
+ * workers is incomplete or invalid, and against values out of range.  It comes
+ * about when others than the workers write entries.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,15 +14,16 @@
 
 #include "platform.h"
 
-static const char sound[] =
+static const char valid_entry[] =
     "{\"Service\":\"svc\",\"Address\":\"10.1.0.9:8080\",\"Zone\":\"a\","
     "\"Version\":\"v1\",\"Slots\":8,\"State\":\"ready\","
     "\"ColdRemainingMs\":0,\"Capacity\":{\"Cpu\":16000,\"MemMb\":32768,"
     "\"Gpus\":0},\"Labels\":[\"a\",\"r1-3\"],\"ClockMs\":482113,\"Seq\":4,"
     "\"born\":1778839491459}";
 
+/** Decodes an entry and returns what is wrong with it. */
 static enum gb_pool_entry_error
-fault_of(const char *text)
+error_of(const char *text)
 {
 	struct gb_pool_entry entry;
 
@@ -29,12 +31,14 @@
 	return entry.fault;
 }
 
-/** Fault of the sound entry with one field changed; null takes it away. */
+/** Error of the valid entry with one field changed.
+ * @param value JSON text, or null to remove the field
+ */
 static enum gb_pool_entry_error
-fault_with(const char *field, const char *value)
+error_with(const char *field, const char *value)
 {
-	json_t *root = json_loads(sound, 0, NULL);
-	enum gb_pool_entry_error fault;
+	json_t *root = json_loads(valid_entry, 0, NULL);
+	enum gb_pool_entry_error error;
 	char *text;
 
 	assert_int_equal(json_object_del(root, field), 0);
@@ -42,19 +46,20 @@
 		json_object_set_new(
 		    root, field, json_loads(value, JSON_DECODE_ANY, NULL));
 	text = json_dumps(root, 0);
-	fault = fault_of(text);
+	error = error_of(text);
 	free(text);
 	json_decref(root);
-	return fault;
+	return error;
 }
 
 static void
-test_a_sound_entry(void **state)
+test_valid_entry(void **state)
 {
 	struct gb_pool_entry entry;
 
 	(void)state;
-	assert_true(plat_entry_decode("i-1", sound, strlen(sound), &entry));
+	assert_true(
+	    plat_entry_decode("i-1", valid_entry, strlen(valid_entry), &entry));
 	assert_int_equal(entry.fault, GB_POOL_ENTRY_VALID);
 	assert_string_equal(entry.id, "i-1");
 	assert_string_equal(entry.addr, "10.1.0.9:8080");
@@ -64,12 +69,12 @@
 	assert_int_equal(entry.incarnation, 1778839491459);
 	assert_false(entry.draining);
 	assert_int_equal(
-	    fault_with("State", "\"draining\""), GB_POOL_ENTRY_VALID);
-	assert_int_equal(fault_with("born", NULL), GB_POOL_ENTRY_VALID);
+	    error_with("State", "\"draining\""), GB_POOL_ENTRY_VALID);
+	assert_int_equal(error_with("born", NULL), GB_POOL_ENTRY_VALID);
 }
 
 static void
-test_fields_that_are_missing(void **state)
+test_missing_fields(void **state)
 {
 	static const char *const fields[] = {"Service", "Address", "Zone",
 	    "Version", "Slots", "State", "ColdRemainingMs", "Capacity",
@@ -79,11 +84,11 @@
 	(void)state;
 	for (i = 0; i < sizeof(fields) / sizeof(fields[0]); i++)
 		assert_int_equal(
-		    fault_with(fields[i], NULL), GB_POOL_ENTRY_INCOMPLETE);
+		    error_with(fields[i], NULL), GB_POOL_ENTRY_INCOMPLETE);
 }
 
 static void
-test_fields_of_another_type(void **state)
+test_fields_of_wrong_type(void **state)
 {
 	static const struct {
 		const char *field;
@@ -103,25 +108,25 @@
 
 	(void)state;
 	for (i = 0; i < sizeof(wrong) / sizeof(wrong[0]); i++)
-		assert_int_equal(fault_with(wrong[i].field, wrong[i].value),
+		assert_int_equal(error_with(wrong[i].field, wrong[i].value),
 		    GB_POOL_ENTRY_INCOMPLETE);
 }
 
 static void
-test_values_that_cannot_be(void **state)
+test_invalid_values(void **state)
 {
 	(void)state;
 	assert_int_equal(
-	    fault_with("State", "\"resting\""), GB_POOL_ENTRY_STATE);
-	assert_int_equal(fault_with("State", "\"READY\""), GB_POOL_ENTRY_STATE);
+	    error_with("State", "\"resting\""), GB_POOL_ENTRY_STATE);
+	assert_int_equal(error_with("State", "\"READY\""), GB_POOL_ENTRY_STATE);
 	assert_int_equal(
-	    fault_with("Address", "\"nowhere\""), GB_POOL_ENTRY_RANGE);
-	assert_int_equal(fault_with("Address", "\"worker.example:80\""),
+	    error_with("Address", "\"nowhere\""), GB_POOL_ENTRY_RANGE);
+	assert_int_equal(error_with("Address", "\"worker.example:80\""),
 	    GB_POOL_ENTRY_RANGE);
 }
 
 static void
-test_bytes_that_cannot_be_read(void **state)
+test_unreadable_entries(void **state)
 {
 	static const char *const texts[] = {
 	    "", "{", "[]", "7", "\xff\xfe{}", "{\"Service\":\"a\xc3\"}"};
@@ -129,35 +134,36 @@
 
 	(void)state;
 	for (i = 0; i < sizeof(texts) / sizeof(texts[0]); i++)
-		assert_int_equal(fault_of(texts[i]), GB_POOL_ENTRY_UNREADABLE);
+		assert_int_equal(error_of(texts[i]), GB_POOL_ENTRY_UNREADABLE);
 }
 
-/** Every beginning of an entry, and every entry with one byte changed, is
- * refused or gives values in range. */
+/** A truncated entry is unreadable; an entry with one random byte changed is
+ * invalid or gives values in range. */
 static void
 test_entries_with_a_byte_changed(void **state)
 {
-	char text[sizeof(sound)];
+	char text[sizeof(valid_entry)];
 	struct gb_pool_entry entry;
 	uint64_t seed = 7;
 	size_t i;
 
 	(void)state;
-	for (i = 0; i + 1 < sizeof(sound); i++) {
-		plat_entry_decode("i-1", sound, i, &entry);
+	for (i = 0; i + 1 < sizeof(valid_entry); i++) {
+		plat_entry_decode("i-1", valid_entry, i, &entry);
 		assert_int_equal(entry.fault, GB_POOL_ENTRY_UNREADABLE);
 	}
 	for (i = 0; i < 20000; i++) {
-		memcpy(text, sound, sizeof(sound));
-		text[gb_random_next(&seed) % (sizeof(sound) - 1)] =
+		memcpy(text, valid_entry, sizeof(valid_entry));
+		text[gb_random_next(&seed) % (sizeof(valid_entry) - 1)] =
 		    (char)gb_random_next(&seed);
-		plat_entry_decode("i-1", text, sizeof(sound) - 1, &entry);
+		plat_entry_decode("i-1", text, sizeof(valid_entry) - 1, &entry);
 		assert_true(entry.fault < GB_POOL_ENTRY_ERRORS);
 		assert_true(entry.capacity.cpu >= 0);
 		assert_true(entry.label_count <= GB_POOL_LABELS);
 	}
 }
 
+/** Ids of the maximum length are accepted; empty and longer ones are not. */
 static void
 test_ids(void **state)
 {
@@ -167,15 +173,18 @@
 	(void)state;
 	memset(id, 'i', sizeof(id));
 	id[sizeof(id) - 1] = '\0';
-	assert_false(plat_entry_decode(id, sound, strlen(sound), &entry));
-	assert_false(plat_entry_decode("", sound, strlen(sound), &entry));
+	assert_false(
+	    plat_entry_decode(id, valid_entry, strlen(valid_entry), &entry));
+	assert_false(
+	    plat_entry_decode("", valid_entry, strlen(valid_entry), &entry));
 	id[GB_NAME_MAX] = '\0';
-	assert_true(plat_entry_decode(id, sound, strlen(sound), &entry));
+	assert_true(
+	    plat_entry_decode(id, valid_entry, strlen(valid_entry), &entry));
 	assert_string_equal(entry.id, id);
 }
 
-/** A page of the list ends with whatever key another writer chose; the next one
- * is asked for from there. */
+/** The query for the next page of the list contains the last key of the page
+ * before, which may hold any characters, so they are escaped. */
 static void
 test_keys_in_queries(void **state)
 {
@@ -192,11 +201,11 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_a_sound_entry),
-	    cmocka_unit_test(test_fields_that_are_missing),
-	    cmocka_unit_test(test_fields_of_another_type),
-	    cmocka_unit_test(test_values_that_cannot_be),
-	    cmocka_unit_test(test_bytes_that_cannot_be_read),
+	    cmocka_unit_test(test_valid_entry),
+	    cmocka_unit_test(test_missing_fields),
+	    cmocka_unit_test(test_fields_of_wrong_type),
+	    cmocka_unit_test(test_invalid_values),
+	    cmocka_unit_test(test_unreadable_entries),
 	    cmocka_unit_test(test_entries_with_a_byte_changed),
 	    cmocka_unit_test(test_ids),
 	    cmocka_unit_test(test_keys_in_queries),
--- a/tests/test_feed.c
+++ b/tests/test_feed.c
@@ -1,7 +1,8 @@
 /**
  * @file test_feed.c
- * The adapter's feed against a store whose connections go silent and whose
- * history goes.
+ * Guards against a changed configuration that takes effect late or never.  This
+ * comes about when the feed's connection to the store goes silent while a query
+ * waits on it, or when the store drops the history of changes.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,25 +14,26 @@
 
 #include "platform.h"
 
-/** A change is in force this long after the store has taken it. */
-#define APPLY_MOST (2 * GB_SEC)
+/** Longest time from a change in the store until the feed delivers it. */
+#define DELIVERY_MAX (2 * GB_SEC)
 /** The same where every connection works. */
-#define APPLY_QUICK (500 * GB_MSEC)
-#define CONNS_MOST 16
-#define ROUND_MS 5
+#define DELIVERY_MAX_QUICK (500 * GB_MSEC)
+#define CONNS_MAX 16
+/** Interval at which the store answers waiting queries. */
+#define TIMER_MS 5
 
 struct store;
 
-/** A connection of the feed, and the question on it. */
+/** A connection of the feed, and the query on it. */
 struct conn {
 	uv_tcp_t tcp;
 	uv_write_t write;
 	struct store *store;
 	bool open;
-	bool silent;
-	bool waits;	/**< for a change */
-	gb_time until;	/**< it is answered without one */
-	uint64_t after; /**< it knows the changes up to here */
+	bool silent;	/**< gets no answer */
+	bool waits;	/**< the query waits for a change */
+	gb_time until;	/**< when it is answered without one */
+	uint64_t after; /**< newest version that the feed has */
 	char text[1024];
 };
 
@@ -39,30 +41,30 @@
 struct store {
 	uv_loop_t loop;
 	uv_tcp_t tcp;
-	uv_timer_t round;
-	struct conn conns[CONNS_MOST];
+	uv_timer_t timer;
+	struct conn conns[CONNS_MAX];
 	unsigned int conn_count;
 	uint64_t vers;
-	uint64_t kept; /**< changes after this one are in the history */
+	uint64_t kept; /**< the history holds the changes after this version */
 	char addr[GB_NAME_MAX + 1];
 	struct plat plat;
 	struct plat_feed *feed;
-	uint64_t seen; /**< newest version that the feed has told */
+	uint64_t seen; /**< newest version that the feed has delivered */
 };
 
-/** Feeds end with their process: their stores stay. */
+/** A feed can't be freed before the process ends, so that its store stays. */
 static struct store stores[3];
 static unsigned int store_count;
 
 static void
 on_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
-	static char room[4096];
+	static char data[4096];
 
 	(void)handle;
 	(void)size;
-	memset(room, 0, sizeof(room));
-	*buf = uv_buf_init(room, sizeof(room) - 1);
+	memset(data, 0, sizeof(data));
+	*buf = uv_buf_init(data, sizeof(data) - 1);
 }
 
 static void
@@ -77,7 +79,7 @@
 	uv_write(&conn->write, (uv_stream_t *)&conn->tcp, &buf, 1, NULL);
 }
 
-/** Answer with the row, or with none when nothing has changed. */
+/** Answers a query with the row, or with no row if nothing has changed. */
 static void
 conn_answer(struct conn *conn, bool row)
 {
@@ -103,8 +105,10 @@
 	free(text);
 }
 
+/** Handles a query: answers a read at once; lets a query for changes wait, or
+ * answers it with status 410 if the history does not go back far enough. */
 static void
-conn_ask(struct conn *conn, const char *request)
+conn_query(struct conn *conn, const char *request)
 {
 	const char *after = strstr(request, "After=");
 	const char *wait = strstr(request, "WaitMs=");
@@ -134,7 +138,7 @@
 		uv_close((uv_handle_t *)&conn->tcp, NULL);
 	}
 	if (len > 0 && !conn->silent)
-		conn_ask(conn, buf->base);
+		conn_query(conn, buf->base);
 }
 
 static void
@@ -144,7 +148,7 @@
 	struct conn *conn = &store->conns[store->conn_count++];
 
 	assert_int_equal(status, 0);
-	assert_true(store->conn_count <= CONNS_MOST);
+	assert_true(store->conn_count <= CONNS_MAX);
 	conn->store = store;
 	conn->open = true;
 	uv_tcp_init(listener->loop, &conn->tcp);
@@ -153,8 +157,9 @@
 	uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_request);
 }
 
+/** Answers the waiting queries that a change or their timeout has ended. */
 static void
-on_round(uv_timer_t *timer)
+on_timer(uv_timer_t *timer)
 {
 	struct store *store = timer->data;
 	unsigned int i;
@@ -188,9 +193,9 @@
 	(void)whole;
 }
 
-/** Whether the feed waits for a change. */
+/** Whether the feed waits for a change on a connection that works. */
 static bool
-store_asked(const struct store *store)
+store_has_query(const struct store *store)
 {
 	unsigned int i;
 
@@ -201,9 +206,10 @@
 	return false;
 }
 
-/** A store at version 1 whose feed has just begun to wait for the next. */
+/** Starts a store at version 1 and a feed, and runs them until the feed waits
+ * for the next version. */
 static struct store *
-store_begin(void)
+store_start(void)
 {
 	struct store *store = &stores[store_count++];
 	struct sockaddr_in sin;
@@ -218,9 +224,9 @@
 	assert_int_equal(
 	    uv_listen((uv_stream_t *)&store->tcp, 8, on_connection), 0);
 	uv_tcp_getsockname(&store->tcp, (struct sockaddr *)&sin, &len);
-	uv_timer_init(&store->loop, &store->round);
-	store->round.data = store;
-	uv_timer_start(&store->round, on_round, ROUND_MS, ROUND_MS);
+	uv_timer_init(&store->loop, &store->timer);
+	store->timer.data = store;
+	uv_timer_start(&store->timer, on_timer, TIMER_MS, TIMER_MS);
 	store->plat.loop = &store->loop;
 	store->plat.http = plat_http_new(&store->loop, NULL);
 	snprintf(store->plat.settings.store, sizeof(store->plat.settings.store),
@@ -228,15 +234,15 @@
 	store->feed =
 	    plat_feed_new(&store->plat, "op", "config", on_row, on_end, store);
 	plat_feed_start(store->feed);
-	while (!store_asked(store))
+	while (!store_has_query(store))
 		uv_run(&store->loop, UV_RUN_ONCE);
 	assert_int_equal(store->seen, 1);
 	return store;
 }
 
-/** Every connection that stands goes silent; new ones work. */
+/** Makes all present connections silent; new ones work. */
 static void
-store_silence(struct store *store)
+store_silence_conns(struct store *store)
 {
 	unsigned int i;
 
@@ -244,7 +250,8 @@
 		store->conns[i].silent = true;
 }
 
-/** Change the row; returns how long it takes until the feed has told it. */
+/** Changes the row; returns the time until the feed has delivered the change.
+ */
 static gb_time
 store_change(struct store *store)
 {
@@ -252,59 +259,60 @@
 
 	store->vers++;
 	while (store->seen < store->vers &&
-	       gb_clock_boot() - began < 2 * APPLY_MOST)
+	       gb_clock_boot() - began < 2 * DELIVERY_MAX)
 		uv_run(&store->loop, UV_RUN_ONCE);
 	assert_int_equal(store->seen, store->vers);
 	return gb_clock_boot() - began;
 }
 
 static void
-test_change_is_told_at_once(void **state)
+test_change_is_delivered_at_once(void **state)
 {
-	struct store *store = store_begin();
+	struct store *store = store_start();
 
 	(void)state;
-	assert_true(store_change(store) < APPLY_QUICK);
-	assert_true(store_change(store) < APPLY_QUICK);
+	assert_true(store_change(store) < DELIVERY_MAX_QUICK);
+	assert_true(store_change(store) < DELIVERY_MAX_QUICK);
 }
 
-/** The feed's connection goes silent right after its question was sent, and the
- * row changes then: it is told by the next connection. */
+/** The feed's connection goes silent after its query was sent, and then the row
+ * changes.  The feed receives the change over another connection. */
 static void
-test_change_is_told_over_a_silent_connection(void **state)
+test_silent_connection_is_replaced(void **state)
 {
-	struct store *store = store_begin();
+	struct store *store = store_start();
 	gb_time took;
 
 	(void)state;
-	store_silence(store);
+	store_silence_conns(store);
 	took = store_change(store);
-	print_message("told after %d ms\n", (int)(took / GB_MSEC));
-	assert_true(took < APPLY_MOST);
+	print_message("delivered after %d ms\n", (int)(took / GB_MSEC));
+	assert_true(took < DELIVERY_MAX);
 }
 
-/** The history goes with the change in it: the table is read again. */
+/** The store drops the history before the feed has read the change in it, so
+ * the feed reads the whole table again. */
 static void
-test_change_is_told_without_history(void **state)
+test_table_is_read_without_history(void **state)
 {
-	struct store *store = store_begin();
+	struct store *store = store_start();
 
 	(void)state;
 	store->kept = store->vers + 1;
-	store_silence(store);
+	store_silence_conns(store);
 	store->conns[0].silent = false;
 	store->conns[0].waits = false;
 	conn_write(&store->conns[0], 410, "{}");
-	assert_true(store_change(store) < APPLY_QUICK);
+	assert_true(store_change(store) < DELIVERY_MAX_QUICK);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_change_is_told_at_once),
-	    cmocka_unit_test(test_change_is_told_over_a_silent_connection),
-	    cmocka_unit_test(test_change_is_told_without_history),
+	    cmocka_unit_test(test_change_is_delivered_at_once),
+	    cmocka_unit_test(test_silent_connection_is_replaced),
+	    cmocka_unit_test(test_table_is_read_without_history),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -1,6 +1,8 @@
 /**
  * @file test_http_client.c
- * The adapter's HTTP client against servers that answer in unusual ways.
+ * Guards against answers that the adapter's HTTP client loses or misreads, and
+ * against too many connections to a worker.  It comes about when a server sends
+ * no length, closes early, sends malformed text or does not answer.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,13 +16,13 @@
 
 #define CALL_TIMEOUT GB_SEC
 
-/** A server that answers each request with a text, then closes or not. */
+/** A server that answers each request with a fixed text. */
 struct server {
 	uv_tcp_t tcp;
 	uv_tcp_t conn;
 	uv_write_t write;
 	const char *answer;
-	bool closes;
+	bool closes; /**< the connection after the answer */
 	char addr[GB_NAME_MAX + 1];
 };
 
@@ -34,11 +36,11 @@
 static void
 on_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
-	static char room[4096];
+	static char data[4096];
 
 	(void)handle;
 	(void)size;
-	*buf = uv_buf_init(room, sizeof(room));
+	*buf = uv_buf_init(data, sizeof(data));
 }
 
 static void
@@ -106,6 +108,7 @@
 	    (int)res->body_len, res->body);
 }
 
+/** Sends a request to a new server and returns the outcome. */
 static struct outcome
 call(const char *answer, bool closes)
 {
@@ -129,7 +132,7 @@
 }
 
 static void
-test_length(void **state)
+test_answer_with_length(void **state)
 {
 	struct outcome outcome =
 	    call("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", false);
@@ -139,9 +142,9 @@
 	assert_string_equal(outcome.body, "{}");
 }
 
-/** Found by the soak: such an answer counted as lost, for ever. */
+/** Guards against answers without a length that always count as lost. */
 static void
-test_no_length_until_close(void **state)
+test_answer_without_length(void **state)
 {
 	struct outcome outcome =
 	    call("HTTP/1.1 412 Conflict\r\nConnection: close\r\n\r\n{\"a\":1}",
@@ -153,7 +156,7 @@
 }
 
 static void
-test_cut_short(void **state)
+test_truncated_answer(void **state)
 {
 	struct outcome outcome =
 	    call("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", true);
@@ -174,7 +177,7 @@
 }
 
 static void
-test_malformed(void **state)
+test_malformed_answer(void **state)
 {
 	struct outcome outcome = call("no http at all\r\n\r\n", false);
 
@@ -182,12 +185,13 @@
 	assert_int_equal(outcome.status, 0);
 }
 
-/* Load: a worker answers late, and orders go on coming ------------------- */
+/* Many orders for a worker that does not answer --------------------------- */
 
 #define ORDERS 20
-#define CONNS_MOST 6
+/** Largest number of connections to one worker. */
+#define CONNS_MAX 6
 
-/** Takes connections and answers nothing. */
+/** A server that accepts connections and answers nothing. */
 struct silent_server {
 	uv_tcp_t tcp;
 	uv_tcp_t conns[ORDERS];
@@ -206,8 +210,9 @@
 	server->count++;
 }
 
-/** Connections to one worker are few, however many orders there are; an order
- * that waited for one until its time was up was surely not carried out. */
+/** The number of connections to one worker is bounded, however many orders
+ * there are.  An order that timed out while it waited for a connection counts
+ * as not sent, so it is certain that it was not carried out. */
 static void
 test_connections_to_a_worker_are_few(void **state)
 {
@@ -238,10 +243,11 @@
 		assert_int_equal(outcomes[i].status, 0);
 		sent += outcomes[i].sent;
 	}
-	assert_in_range(server.count, 1, CONNS_MOST);
-	assert_in_range(sent, 1, CONNS_MOST);
+	assert_in_range(server.count, 1, CONNS_MAX);
+	assert_in_range(sent, 1, CONNS_MAX);
 }
 
+/** Mark that the test puts on a connection. */
 #define MARK 1790000000001
 
 static void
@@ -255,8 +261,8 @@
 	*res->mark = MARK;
 }
 
-/** A call that prefers a mark goes over the connection that has it; the mark
- * ends with the connection. */
+/** plat_http_prefer() finds the connection that has a mark, so that the next
+ * call goes over it; the mark ends with the connection. */
 static void
 test_mark_ends_with_its_connection(void **state)
 {
@@ -285,11 +291,11 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_length),
-	    cmocka_unit_test(test_no_length_until_close),
-	    cmocka_unit_test(test_cut_short),
+	    cmocka_unit_test(test_answer_with_length),
+	    cmocka_unit_test(test_answer_without_length),
+	    cmocka_unit_test(test_truncated_answer),
 	    cmocka_unit_test(test_no_answer),
-	    cmocka_unit_test(test_malformed),
+	    cmocka_unit_test(test_malformed_answer),
 	    cmocka_unit_test(test_mark_ends_with_its_connection),
 	    cmocka_unit_test(test_connections_to_a_worker_are_few),
 	};
