--- a/tests/run-docs.sh
+++ b/tests/run-docs.sh
@@ -1,12 +1,13 @@
 #!/bin/sh
-# Every command and error that the pages name, on a cell of real processes.
+# Checks the commands and error messages that the documentation names against a
+# cell of real processes.
 cd "$(dirname "$0")/.." || exit 1
 . tests/cell.sh
 trap cell_stop EXIT
 passed=0
 failed=0
 
-expect() { # name wanted-exit-code wanted-text command...
+expect() { # name expected-exit-code expected-text command...
 	name=$1
 	want=$2
 	text=$3
@@ -41,7 +42,7 @@
 } >"$CELL/settings.md"
 expect "settings page" 0 "" cmp "$CELL/settings.md" docs/SETTINGS.md
 
-# The documents of the README.
+# The example documents in README.md must be valid.
 awk '/^```json/ {n++; f = 1; next} /^```/ {f = 0} f {print > "'"$CELL"'/doc" n ".json"}' README.md
 for n in 1 2 3; do
 	expect "README document $n" 0 "a valid document" \
@@ -53,59 +54,60 @@
 cell_instances 3
 cell_ready || exit 1
 
-CTL="$BUILD/gooseberryctl --server http://127.0.0.1:$ENTRY_PORT_0 --token byggepas-token --team byggepas"
-OP="$BUILD/gooseberryctl --server http://127.0.0.1:$ENTRY_PORT_0 --token operator-token"
+# The command-line client with the token of a team, and with that of operators.
+TEAM_CTL="$BUILD/gooseberryctl --server http://127.0.0.1:$ENTRY_PORT_0 --token byggepas-token --team byggepas"
+OPERATOR_CTL="$BUILD/gooseberryctl --server http://127.0.0.1:$ENTRY_PORT_0 --token operator-token"
 
 # shellcheck disable=SC2086
 {
-	expect "check sched" 0 "a valid sched" $CTL check "$CELL/sched0.json"
-	expect "check entry" 0 "a valid entry" $CTL check "$CELL/entry0.json"
+	expect "check sched" 0 "a valid sched" $TEAM_CTL check "$CELL/sched0.json"
+	expect "check entry" 0 "a valid entry" $TEAM_CTL check "$CELL/entry0.json"
 	sed 's/"store"/"stroe"/' "$CELL/sched0.json" >"$CELL/bad.json"
 	expect "check error" 6 "bad.json:3:.*stroe: is not a setting" \
-	    $CTL check --as sched "$CELL/bad.json"
+	    $TEAM_CTL check --as sched "$CELL/bad.json"
 	expect "daemon refuses it too" 1 "stroe: is not a setting" \
 	    "$BUILD/gooseberry-sched" "$CELL/bad.json"
 	expect "print settings" 0 "lease_ms = 20000 (ms, from the default)" \
 	    "$BUILD/gooseberry-sched" --print-settings "$CELL/sched0.json"
 	expect "tokens are hidden" 0 "tokens = hidden" \
 	    "$BUILD/gooseberry-entry" --print-settings "$CELL/entry0.json"
-	expect "help" 0 "Exit codes" $CTL --help
-	expect "usage" 2 "no such command" $CTL fly
-	expect "usage argument" 2 "needs an argument" $CTL get
-	expect "documents" 0 "passport-lookup" $CTL documents
-	expect "get" 0 '"kind": "batch"' $CTL get import
+	expect "help" 0 "Exit codes" $TEAM_CTL --help
+	expect "usage" 2 "no such command" $TEAM_CTL fly
+	expect "usage argument" 2 "needs an argument" $TEAM_CTL get
+	expect "documents" 0 "passport-lookup" $TEAM_CTL documents
+	expect "get" 0 '"kind": "batch"' $TEAM_CTL get import
 	sed 's/2000/3000/' tests/demo/import.json >"$CELL/import2.json"
-	expect "diff" 0 "^+.*3000" $CTL diff "$CELL/import2.json"
+	expect "diff" 0 "^+.*3000" $TEAM_CTL diff "$CELL/import2.json"
 	expect "apply" 0 '"version": 2.*"in_force": true' \
-	    $CTL apply "$CELL/import2.json"
-	expect "history" 0 "^2 .*byggepas" $CTL history import
-	expect "rollback" 0 '"version": 3' $CTL rollback import 1
-	expect "get old" 0 "3000" $CTL get import 2
+	    $TEAM_CTL apply "$CELL/import2.json"
+	expect "history" 0 "^2 .*byggepas" $TEAM_CTL history import
+	expect "rollback" 0 '"version": 3' $TEAM_CTL rollback import 1
+	expect "get old" 0 "3000" $TEAM_CTL get import 2
 	expect "submit" 0 "night1" \
-	    $CTL submit night1 --service import --tasks 4
+	    $TEAM_CTL submit night1 --service import --tasks 4
 	expect "submit again" 0 "night1" \
-	    $CTL submit night1 --service import --tasks 4
+	    $TEAM_CTL submit night1 --service import --tasks 4
 	expect "same name, other job" 4 "another job has this name" \
-	    $CTL submit night1 --service import --tasks 5
+	    $TEAM_CTL submit night1 --service import --tasks 5
 	expect "never runnable" 1 "no worker of the cell could ever hold" \
-	    sh -c "sed 's/2000/900000/; s/\"import\"/\"giant\"/' tests/demo/import.json >$CELL/giant.json && $CTL apply $CELL/giant.json && $CTL submit g1 --service giant"
+	    sh -c "sed 's/2000/900000/; s/\"import\"/\"giant\"/' tests/demo/import.json >$CELL/giant.json && $TEAM_CTL apply $CELL/giant.json && $TEAM_CTL submit g1 --service giant"
 	expect "no such service" 1 "has no document for nothing" \
-	    $CTL submit n2 --service nothing
-	expect "job" 0 "night1" $CTL job night1
-	expect "jobs" 0 "night1" $CTL jobs
-	expect "jobs as JSON" 0 '"jobs": \[' $CTL jobs --json
-	expect "explain" 0 "night1: " $CTL explain night1
-	expect "cancel" 0 "night1" $CTL cancel night1
-	expect "cancel nothing" 1 "no such job" $CTL cancel nothing
-	expect "workers" 0 "fenced" $OP workers
-	expect "drain" 0 "in_force" $OP drain w3
-	expect "drained" 0 "^w3 .* yes" $OP workers
-	expect "undrain" 0 "in_force" $OP undrain w3
-	expect "instances" 0 "^i2 .* yes" $OP instances
-	expect "shards" 0 "^2 " $OP shards
-	expect "status" 0 "EPOCH" $OP status
-	expect "metrics" 0 "gooseberry_view_fresh 1" $OP metrics
-	expect "team may not see workers" 1 "not an operator's" $CTL workers
+	    $TEAM_CTL submit n2 --service nothing
+	expect "job" 0 "night1" $TEAM_CTL job night1
+	expect "jobs" 0 "night1" $TEAM_CTL jobs
+	expect "jobs as JSON" 0 '"jobs": \[' $TEAM_CTL jobs --json
+	expect "explain" 0 "night1: " $TEAM_CTL explain night1
+	expect "cancel" 0 "night1" $TEAM_CTL cancel night1
+	expect "cancel nothing" 1 "no such job" $TEAM_CTL cancel nothing
+	expect "workers" 0 "fenced" $OPERATOR_CTL workers
+	expect "drain" 0 "in_force" $OPERATOR_CTL drain w3
+	expect "drained" 0 "^w3 .* yes" $OPERATOR_CTL workers
+	expect "undrain" 0 "in_force" $OPERATOR_CTL undrain w3
+	expect "instances" 0 "^i2 .* yes" $OPERATOR_CTL instances
+	expect "shards" 0 "^2 " $OPERATOR_CTL shards
+	expect "status" 0 "EPOCH" $OPERATOR_CTL status
+	expect "metrics" 0 "gooseberry_view_fresh 1" $OPERATOR_CTL metrics
+	expect "team may not see workers" 1 "not an operator's" $TEAM_CTL workers
 	expect "other team's documents" 1 "does not open this team" \
 	    "$BUILD/gooseberryctl" --server "http://127.0.0.1:$ENTRY_PORT_0" \
 	    --token byggepas-token --team acdi documents
--- a/tests/run-operations.sh
+++ b/tests/run-operations.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# docs/OPERATIONS.md against the code: every event and counter stands in it, and
-# `trace` finds the cause of a flow in real lines.
+# Checks that docs/OPERATIONS.md names every event of the code, and that `trace`
+# finds in real log lines why a flow ended.
 cd "$(dirname "$0")/.." || exit 1
 BUILD=${BUILD:-build}
 OUT=$(mktemp -d)
@@ -20,7 +20,7 @@
 	    fail "event $event is not in docs/OPERATIONS.md"
 done
 
-# One flow that fails by its own fault, as the tests of the pool core log it.
+# A flow that fails by an error of its own, from the log of the pool core tests.
 GB_POOL_LOG=1 "$BUILD/test-pool" >/dev/null 2>"$OUT/log"
 awk '/"status":"failed"/ {print; exit}' "$OUT/log" >"$OUT/failed"
 [ -s "$OUT/failed" ] || fail "no flow failed in the tests"
--- a/tests/run-organisations.sh
+++ b/tests/run-organisations.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Organisations at real nodes: who is turned away, what comes into force and what
-# does not, and that no key stands in a log or in the counters.
+# Checks at real nodes which callers are rejected, which configurations come into
+# force, and that no key of an organisation appears in logs or metrics.
 cd "$(dirname "$0")/.." || exit 1
 BUILD=${BUILD:-build}
 PORT=${PORT:-27100}
@@ -19,7 +19,7 @@
 	PIDS="$PIDS $!"
 }
 
-node() { # number
+start_node() { # number
 	cat >"$DIR/n$1.json" <<EOT
 {"name": "n$1", "dc": "dc-a", "listen": "127.0.0.1:$((PORT + 10 + $1))",
  "metrics": "127.0.0.1:$((PORT + 20 + $1))", "front": "127.0.0.1:$((PORT + 30 + $1))",
@@ -30,13 +30,13 @@
 	    "$BUILD/gooseberry-node" "$DIR/n$1.json"
 }
 
-config() { # text
+send_config() { # text
 	curl -s -o /dev/null -X POST --data "$1" \
 	    "http://127.0.0.1:$((PORT + 2))/config"
 }
 
-version() { # number, keys of the first organisation
-	config "{\"Version\":$1,\"Routes\":[
+send_version() { # number, keys of the first organisation
+	send_config "{\"Version\":$1,\"Routes\":[
 	    {\"Name\":\"keyed\",\"Host\":\"127.0.0.1\",\"Prefix\":\"/keyed/\",
 	     \"Service\":\"pool\",\"MaxAttempts\":3,\"Stretch\":2.0,\"TargetCompletionMs\":2000},
 	    {\"Name\":\"open\",\"Host\":\"127.0.0.1\",\"Prefix\":\"/open/\",\"Service\":\"pool\",
@@ -46,12 +46,12 @@
 	    {\"Name\":\"two\",\"ApiKeys\":[\"secret-of-two\"],\"Weight\":9}]}"
 }
 
-status() { # node, method, path, key or nothing
+http_status() { # node, method, path, [key, [body]]
 	curl -s -o "$DIR/body" -w '%{http_code}' -X "$2" ${4:+-H "Api-Key: $4"} \
 	    ${5:+--data "$5"} "http://127.0.0.1:$((PORT + 30 + $1))$3"
 }
 
-expect() { # what, expected, got
+expect() { # name, expected, actual
 	if [ "$2" = "$3" ]; then
 		passed=$((passed + 1))
 	else
@@ -60,57 +60,57 @@
 	fi
 }
 
-until_status() { # what, expected, arguments of status...
-	what=$1
+wait_status() { # name, expected, arguments of http_status...
+	name=$1
 	want=$2
 	shift 2
 	tries=0
-	while got=$(status "$@"); [ "$got" != "$want" ] && [ $tries -lt 100 ]; do
+	while got=$(http_status "$@"); [ "$got" != "$want" ] && [ $tries -lt 100 ]; do
 		tries=$((tries + 1))
 		sleep 0.1
 	done
-	expect "$what" "$want" "$got"
+	expect "$name" "$want" "$got"
 }
 
 start emulator "$BUILD/gooseberry-emulator" --store="127.0.0.1:$PORT" \
     --advice="127.0.0.1:$((PORT + 1))" --control="127.0.0.1:$((PORT + 2))" \
     --workers=4 --worker-port=$((PORT + 50)) --listed-port=$((PORT + 50)) --seed=1
 sleep 0.3
-node 1
-node 2
-until_status "nobody is served without a configuration" 503 1 GET /keyed/
-version 3 '"secret-of-one"'
-until_status "a known key is served" 200 1 POST /keyed/$ID secret-of-one "$FLOW"
-until_status "at every node" 200 2 GET /keyed/$ID secret-of-one
+start_node 1
+start_node 2
+wait_status "nobody is served without a configuration" 503 1 GET /keyed/
+send_version 3 '"secret-of-one"'
+wait_status "a known key is served" 200 1 POST /keyed/$ID secret-of-one "$FLOW"
+wait_status "at every node" 200 2 GET /keyed/$ID secret-of-one
 
 for n in 1 2; do
-	expect "unknown key, node $n" 401 "$(status $n GET /keyed/$ID nobody)"
-	expect "no key, node $n" 401 "$(status $n GET /keyed/$ID)"
+	expect "unknown key, node $n" 401 "$(http_status $n GET /keyed/$ID nobody)"
+	expect "no key, node $n" 401 "$(http_status $n GET /keyed/$ID)"
 	expect "unknown key submits, node $n" 401 \
-	    "$(status $n POST /keyed/00000000000000b$n nobody "$FLOW")"
-	expect "unknown key cancels, node $n" 401 "$(status $n DELETE /keyed/$ID nobody)"
-	expect "unknown key counts, node $n" 401 "$(status $n GET /keyed/ nobody)"
-	expect "unknown key on an open queue, node $n" 401 "$(status $n GET /open/ nobody)"
-	expect "no key on an open queue, node $n" 200 "$(status $n GET /open/)"
-	expect "the queue goes first, node $n" 404 "$(status $n GET /none/ nobody)"
-	expect "another one's flow, node $n" 410 "$(status $n GET /keyed/$ID secret-of-two)"
-	expect "nor cancelled, node $n" 410 "$(status $n DELETE /keyed/$ID secret-of-two)"
+	    "$(http_status $n POST /keyed/00000000000000b$n nobody "$FLOW")"
+	expect "unknown key cancels, node $n" 401 "$(http_status $n DELETE /keyed/$ID nobody)"
+	expect "unknown key counts, node $n" 401 "$(http_status $n GET /keyed/ nobody)"
+	expect "unknown key on an open queue, node $n" 401 "$(http_status $n GET /open/ nobody)"
+	expect "no key on an open queue, node $n" 200 "$(http_status $n GET /open/)"
+	expect "the queue goes first, node $n" 404 "$(http_status $n GET /none/ nobody)"
+	expect "another one's flow, node $n" 410 "$(http_status $n GET /keyed/$ID secret-of-two)"
+	expect "nor cancelled, node $n" 410 "$(http_status $n DELETE /keyed/$ID secret-of-two)"
 done
 
-version 5 '"second-of-one"'
+send_version 5 '"second-of-one"'
 for n in 1 2; do
-	until_status "a new key, node $n" 200 $n GET /keyed/$ID second-of-one
-	until_status "one that was taken away, node $n" 401 $n GET /keyed/$ID secret-of-one
+	wait_status "a new key, node $n" 200 $n GET /keyed/$ID second-of-one
+	wait_status "one that was taken away, node $n" 401 $n GET /keyed/$ID secret-of-one
 done
 
-# Neither an older version nor one that can't be read comes into force.
-version 4 '"secret-of-one"'
+# Neither an older version nor one that can't be decoded comes into force.
+send_version 4 '"secret-of-one"'
 sleep 1
-config '{"Version":6,"Tenants":'
+send_config '{"Version":6,"Tenants":'
 sleep 1
 for n in 1 2; do
-	expect "an older version, node $n" 401 "$(status $n GET /keyed/$ID secret-of-one)"
-	expect "the newest holds, node $n" 200 "$(status $n GET /keyed/$ID second-of-one)"
+	expect "an older version, node $n" 401 "$(http_status $n GET /keyed/$ID secret-of-one)"
+	expect "the newest holds, node $n" 200 "$(http_status $n GET /keyed/$ID second-of-one)"
 done
 
 curl -s "http://127.0.0.1:$((PORT + 21))/metrics" "http://127.0.0.1:$((PORT + 22))/metrics" \
--- a/tests/run-processes.sh
+++ b/tests/run-processes.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Rows of the fault matrix that need real processes: SIGKILL, SIGSTOP, a
-# service that hangs, and a rolling restart of all instances under load.  Each
-# phase compares all answers with the workers' ledgers.
+# Runs the faults that need real processes, under load: SIGKILL, SIGSTOP, a table
+# service that hangs or loses answers, and a rolling restart of all instances.
+# After each fault all answers are compared with the workers' ledgers.
 cd "$(dirname "$0")/.." || exit 1
 . tests/cell.sh
 trap cell_stop EXIT
@@ -9,15 +9,15 @@
 passed=0
 failed=0
 
-load() { # name seconds
+load_start() { # name seconds
 	# shellcheck disable=SC2086
 	"$BUILD/gooseberry-load" $ALL -L "$CELL" -P "$1" -s "$2" -r 500 \
 	    -j 6 >"$CELL/load.txt" 2>&1 &
-	LOAD=$!
+	LOAD_PID=$!
 }
 
-verdict() { # name
-	wait $LOAD
+load_check() { # name [text that the output must have]
+	wait $LOAD_PID
 	if [ $? -eq 0 ] && { [ -z "$2" ] || grep -q "$2" "$CELL/load.txt"; }; then
 		passed=$((passed + 1))
 		echo "held: $1: $(tail -2 "$CELL/load.txt" | tr '\n' ' ')"
@@ -29,11 +29,11 @@
 	fi
 }
 
-owner() { # shard -> instance number
+shard_owner() { # shard -> instance number
 	cell_ctl shards | awk -v s="$1" '$1 == s {print $2}' | tr -d i
 }
 
-fault() { # JSON
+fault_inject() { # JSON
 	"$BUILD/gooseberry-standin-fault" "$STORE" "$1" >/dev/null
 }
 
@@ -43,50 +43,50 @@
 cell_ready || { echo "the cell did not come up"; cat "$CELL"/*.log; exit 1; }
 
 ALL=$ENTRIES
-load kill-sched 4
+load_start kill-sched 4
 sleep 1
-v=$(owner 0)
-eval "kill -9 \$SCHED_PID_$v"
+victim=$(shard_owner 0)
+eval "kill -9 \$SCHED_PID_$victim"
 sleep 1
-cell_sched "$v"
-verdict "scheduler killed"
+cell_sched "$victim"
+load_check "scheduler killed"
 
-load stop-sched 6
+load_start stop-sched 6
 sleep 1
-v=$(owner 1)
-eval "pid=\$SCHED_PID_$v"
+victim=$(shard_owner 1)
+eval "pid=\$SCHED_PID_$victim"
 kill -STOP "$pid"
 sleep 3
 kill -CONT "$pid"
-verdict "scheduler frozen for 3 s, beyond its view"
+load_check "scheduler frozen for 3 s, beyond its view"
 
-load kill-entry 3
+load_start kill-entry 3
 sleep 1
 kill -9 "$ENTRY_PID_1"
 sleep 0.5
 cell_entry 1
-verdict "entry killed"
+load_check "entry killed"
 
-load service-hangs 6
+load_start service-hangs 6
 sleep 1
-fault '{"hang": 1}'
+fault_inject '{"hang": 1}'
 sleep 3
-fault '{"hang": 0}'
-verdict "table service hangs for 3 s"
+fault_inject '{"hang": 0}'
+load_check "table service hangs for 3 s"
 
-load answers-lost 4
+load_start answers-lost 4
 sleep 1
-fault '{"lose": 5}'
-verdict "answers of five writes lost"
+fault_inject '{"lose": 5}'
+load_check "answers of five writes lost"
 
-load kill-worker 4
+load_start kill-worker 4
 sleep 1
 kill -9 "$WORKER_PID_5"
 sleep 0.5
-fault '{"instance": {"name": "w5", "state": 2}}'
-verdict "worker killed"
+fault_inject '{"instance": {"name": "w5", "state": 2}}'
+load_check "worker killed"
 
-load rolling $((INSTANCES * 2 + 2))
+load_start rolling $((INSTANCES * 2 + 2))
 sleep 1
 i=0
 while [ $i -lt "$INSTANCES" ]; do
@@ -97,7 +97,7 @@
 	sleep 0.7
 	i=$((i + 1))
 done
-verdict "rolling restart of all instances, none cut off" " cut=0 "
+load_check "rolling restart of all instances, none cut off" " cut=0 "
 
 echo "$passed passed, $failed failed"
 [ $failed -eq 0 ]
--- a/tests/run-soak.sh
+++ b/tests/run-soak.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# A short soak with fixed seeds and kinds of faults: real programs, faults from
-# outside.  soak/run.sh plays more.
+# Runs short soak tests with fixed seeds and kinds of faults: real programs, with
+# faults injected from outside.  soak/run.sh runs many seeds.
 cd "$(dirname "$0")/.." || exit 1
 BUILD=${BUILD:-build}
 failed=0
 for run in '1 --kinds 50' '2 --kinds 50' '68 --kinds 51'; do
-	# The options stand behind the seed.
+	# $run is the seed followed by options, so it is not quoted.
 	# shellcheck disable=SC2086
 	"$BUILD/gooseberry-soak" --build "$BUILD" --seed $run --seconds 6 \
 	    --nodes 3 --workers 12 >/tmp/gb-soak.$$ 2>&1 || {
--- a/tests/run-takeovers.sh
+++ b/tests/run-takeovers.sh
@@ -1,14 +1,15 @@
 #!/bin/sh
-# The pool changes hands only for a cause: connections between all nodes that
-# go silent at once, and an owner that is cut from the other nodes while the
-# store and the workers are in its reach.  The soak judges each takeover.
+# Checks that the pool is taken over only for a reason.  In one run connections
+# between all nodes go silent at once; in the other an owner is cut off from the
+# other nodes but reaches the store and the workers.  The soak test checks each
+# takeover.
 cd "$(dirname "$0")/.." || exit 1
 BUILD=${BUILD:-build}
 PORT=${PORT:-21000}
 failed=0
 for run in '1 --storm --only peers_silence --seconds 8' \
     '1 --only owner_cut --seconds 10'; do
-	# The options stand behind the seed.
+	# $run is the seed followed by options, so it is not quoted.
 	# shellcheck disable=SC2086
 	"$BUILD/gooseberry-soak" --build "$BUILD" --port "$PORT" --nodes 4 \
 	    --workers 12 --seed $run >/tmp/gb-takeovers.$$ 2>&1 || {
