--- a/tests/test_feed.c
+++ b/tests/test_feed.c
@@ -44,7 +44,7 @@
 	uv_timer_t timer;
 	struct conn conns[CONNS_MAX];
 	unsigned int conn_count;
-	uint64_t vers;
+	uint64_t version;
 	uint64_t kept; /**< the history holds the changes after this version */
 	char addr[GB_NAME_MAX + 1];
 	struct plat plat;
@@ -91,14 +91,14 @@
 	size_t len;
 
 	body.gb_body_len = (u_int)snprintf(
-	    value, sizeof(value), "%llu", (unsigned long long)store->vers);
+	    value, sizeof(value), "%llu", (unsigned long long)store->version);
 	if (row)
 		json_array_append_new(
 		    rows, json_pack("{s:s, s:o}", "Key", "config", "Value",
 			      plat_value_encode(&body)));
 	text = plat_json_text(
-	    json_pack("{s:I, s:o, s:b}", "Ver", (json_int_t)store->vers, "rows",
-		rows, "HasMore", 0),
+	    json_pack("{s:I, s:o, s:b}", "Ver", (json_int_t)store->version,
+		"rows", rows, "HasMore", 0),
 	    &len);
 	conn->waits = false;
 	conn_write(conn, 200, text);
@@ -169,7 +169,7 @@
 
 		if (!conn->waits || conn->silent)
 			continue;
-		if (conn->after < store->vers)
+		if (conn->after < store->version)
 			conn_answer(conn, true);
 		else if (conn->until <= gb_clock_boot())
 			conn_answer(conn, false);
@@ -215,7 +215,7 @@
 	struct sockaddr_in sin;
 	int len = sizeof(sin);
 
-	store->vers = 1;
+	store->version = 1;
 	uv_loop_init(&store->loop);
 	uv_ip4_addr("127.0.0.1", 0, &sin);
 	uv_tcp_init(&store->loop, &store->tcp);
@@ -257,11 +257,11 @@
 {
 	gb_time began = gb_clock_boot();
 
-	store->vers++;
-	while (store->seen < store->vers &&
+	store->version++;
+	while (store->seen < store->version &&
 	       gb_clock_boot() - began < 2 * DELIVERY_MAX)
 		uv_run(&store->loop, UV_RUN_ONCE);
-	assert_int_equal(store->seen, store->vers);
+	assert_int_equal(store->seen, store->version);
 	return gb_clock_boot() - began;
 }
 
@@ -298,7 +298,7 @@
 	struct store *store = store_start();
 
 	(void)state;
-	store->kept = store->vers + 1;
+	store->kept = store->version + 1;
 	store_silence_conns(store);
 	store->conns[0].silent = false;
 	store->conns[0].waits = false;
--- a/tests/test_takeovers.c
+++ b/tests/test_takeovers.c
@@ -2,8 +2,8 @@
  * @file test_takeovers.c
  * Guards against a pool whose owner changes over and over while paths are cut,
  * or everything is slow or pauses, and against a dead owner that is succeeded
- * late.  Both come about when eight nodes with one owner's row misjudge the
- * owner's silence.  Runs in virtual time.
+ * late.  Both come about when nodes misjudge an owner's silence.  Simulates
+ * eight nodes, the owner's row and the paths between nodes in virtual time.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -154,8 +154,9 @@
 	return count;
 }
 
-/** Rank of a member in the order of succession, as its owner sees it: members
- * that it has received a hello from lately, by index. */
+/** Rank of a member in the order of succession.  In this model that is the
+ * order of the indexes of the members that the owner has lately had a hello
+ * from. */
 static unsigned int
 member_rank(const struct node *owner, unsigned int member)
 {
