--- a/tests/test_takeovers.c
+++ b/tests/test_takeovers.c
@@ -644,7 +644,8 @@
 	}
 }
 
-/** A takeover takes longer than members wait for a silent owner. */
+/** A takeover takes longer than members wait for an owner that is silent but at
+ * work. */
 static void
 test_slow_takeovers_change_owners_seldom(void **state)
 {
