--- a/libgooseberry/node/handover.c
+++ b/libgooseberry/node/handover.c
@@ -17,16 +17,16 @@
 #include "node_state.h"
 
 /** A member answers at once whether it begins. */
-#define HANDOVER_ASK (500 * GB_MSEC)
+#define HANDOVER_ANSWER_TIMEOUT (500 * GB_MSEC)
 /** A claim that has not come by then has failed: worked out, its read and its
  * write take 1 s when the store is 60 times slower. */
-#define HANDOVER_CLAIM (2500 * GB_MSEC)
+#define HANDOVER_CLAIM_TIMEOUT (2500 * GB_MSEC)
 /** Members that are asked before the owner lets go. */
-#define HANDOVER_TRIES 3
+#define HANDOVER_TRIES_MAX 3
 
 /** An owner stays for this long before it makes way for a larger node, so that
  * the pool does not go to and fro. */
-#define DEFER_AFTER (1500 * GB_MSEC)
+#define OWNERSHIP_MIN (1500 * GB_MSEC)
 
 static void handover_ask(struct gb_node *);
 
@@ -39,7 +39,7 @@
 	node->handover.under_way = false;
 	if (!node->leaving)
 		return;
-	if (node->handover.tries < HANDOVER_TRIES)
+	if (node->handover.tries < HANDOVER_TRIES_MAX)
 		handover_ask(node);
 	if (!node->handover.under_way)
 		gb_pool_release(node->pool, node_now());
@@ -76,7 +76,7 @@
 		node->handover.tries++;
 		node->handover.under_way = true;
 		node->handover.begun = false;
-		node->handover.until = node_now() + HANDOVER_CLAIM;
+		node->handover.deadline = node_now() + HANDOVER_CLAIM_TIMEOUT;
 		node->handover.epoch = gb_pool_epoch(node->pool);
 		gb_event(node->events, GB_EVENT_ALWAYS, "handover_begun",
 		    "{s:s, s:I}", "member", node->handover.to, "epoch",
@@ -85,8 +85,8 @@
 		ask.epoch = gb_pool_epoch(node->pool);
 		gb_rpc_client_call(
 		    gb_rpc_pool_get(node->peers, node->handover.to),
-		    GB_PROC_SUCCEED, &ask, HANDOVER_ASK, handover_answered,
-		    node);
+		    GB_PROC_SUCCEED, &ask, HANDOVER_ANSWER_TIMEOUT,
+		    handover_answered, node);
 	}
 	free(order);
 }
@@ -106,9 +106,9 @@
 void
 node_handover_tick(struct gb_node *node)
 {
-	if (node->handover.under_way && node->handover.until <= node_now()) {
+	if (node->handover.under_way && node->handover.deadline <= node_now()) {
 		/* Another claim would come too late for callers that wait. */
-		node->handover.tries = HANDOVER_TRIES;
+		node->handover.tries = HANDOVER_TRIES_MAX;
 		handover_failed(node, "the claim did not come");
 	}
 }
@@ -118,7 +118,7 @@
 {
 	struct succession_member *order;
 
-	if (node_now() - node->owned_at < DEFER_AFTER ||
+	if (node_now() - node->owned_at < OWNERSHIP_MIN ||
 	    node->largest_milli * 2 < node->cpu_milli * 3)
 		return;
 	order = gb_calloc(HASH_COUNT(node->members), sizeof(*order));
--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -16,28 +16,28 @@
 #include "node_state.h"
 
 /** A try at the owner; the owner writes within 20 to 40 ms when all is calm. */
-#define TRY_TIMEOUT (700 * GB_MSEC)
+#define ATTEMPT_TIMEOUT (700 * GB_MSEC)
 /** Pause between tries. */
-#define TRY_PAUSE (40 * GB_MSEC)
+#define ATTEMPT_PAUSE (40 * GB_MSEC)
 /** A submission waits this long for an owner to appear before this node
  * writes it itself. */
-#define WRITE_AFTER (120 * GB_MSEC)
+#define WRITE_DELAY (120 * GB_MSEC)
 /** A node that finds neither owner nor store turns the caller away after this,
  * and so many reads of the store more: long enough for a takeover, early enough
  * to come back. */
-#define WRITE_PATIENCE (400 * GB_MSEC)
-#define WRITE_PATIENCE_READS 8
+#define OWNER_WAIT (400 * GB_MSEC)
+#define OWNER_WAIT_READS 8
 /** A caller's answer goes out this much before its time is up. */
 #define ANSWER_MARGIN (150 * GB_MSEC)
 /** A look at the store that takes longer says that it is slow for everybody: a
  * write would come too late. */
-#define LOOK_QUICK (40 * GB_MSEC)
+#define CHECK_READ_USUAL (40 * GB_MSEC)
 /** Time to come back after a refusal for want of room on the owner's link. */
 #define SHED_RETRY (2 * GB_SEC)
 /** Nobody has served for so long: it is not just a takeover. */
 #define BUDGET_AFTER (1500 * GB_MSEC)
 /** What was not stored meanwhile is made up for within this. */
-#define BUDGET_MOST (2 * GB_SEC)
+#define BUDGET_TIME (2 * GB_SEC)
 /** Bytes of a start beside its specification. */
 #define FLOW_TASK_BYTES 520
 /** Time to come back after a refusal for want of an owner and the store. */
@@ -71,7 +71,7 @@
 
 	answer.verdict = GB_FLOW_MAYBE;
 	answer.retry_after_us = RETRY_AFTER;
-	in->maybe = true;
+	in->maybe_done = true;
 	in->answered = true;
 	gb_event(in->node->events, GB_EVENT_NORMAL, "request_answered_early",
 	    "{s:s, s:I}", "flow",
@@ -85,12 +85,12 @@
 {
 	gb_flow_answer answer = {0};
 
-	answer.verdict = in->maybe ? GB_FLOW_MAYBE : GB_FLOW_REFUSED;
+	answer.verdict = in->maybe_done ? GB_FLOW_MAYBE : GB_FLOW_REFUSED;
 	answer.retry_after_us = RETRY_AFTER;
 	gb_event(in->node->events, GB_EVENT_NORMAL, "request_given_up",
 	    "{s:s, s:b, s:I, s:I, s:s}", "flow",
 	    in->submit != NULL ? in->submit->flow.id : in->ask.id, "maybe",
-	    in->maybe, "tries", (json_int_t)in->tries, "age_ms",
+	    in->maybe_done, "tries", (json_int_t)in->tries, "age_ms",
 	    (json_int_t)((node_now() - in->began) / GB_MSEC), "owner",
 	    in->node->watch.owner);
 	intake_finish(in, &answer);
@@ -100,7 +100,7 @@
 static void
 intake_refused(struct intake *in, const gb_flow_answer *answer)
 {
-	if (in->maybe)
+	if (in->maybe_done)
 		intake_give_up(in);
 	else
 		intake_finish(in, answer);
@@ -110,14 +110,14 @@
 intake_retry(struct intake *in)
 {
 	in->in_flight = false;
-	in->next_try = node_now() + TRY_PAUSE;
+	in->next_try = node_now() + ATTEMPT_PAUSE;
 }
 
 /* At the store, without the owner ----------------------------------------- */
 
 /** State of a stored flow, as callers of an organisation are told. */
 static gb_flow_status
-state_status(const struct gb_pool_row *row, const char *org)
+flow_state_status(const struct gb_pool_row *row, const char *org)
 {
 	gb_flow_state state = {0};
 	gb_flow_status status = GB_FLOW_QUEUED;
@@ -130,7 +130,7 @@
 }
 
 static void
-state_read(struct node_call *call, const struct gb_pool_read_res *res)
+flow_state_read(struct node_call *call, const struct gb_pool_read_res *res)
 {
 	struct intake *in = call->data;
 	gb_flow_answer answer = {0};
@@ -140,9 +140,9 @@
 		return;
 	}
 	answer.verdict = GB_FLOW_ACCEPTED;
-	answer.status = res->row_count == 0
-			    ? GB_FLOW_UNKNOWN
-			    : state_status(&res->rows[0], in->ask.caller.org);
+	answer.status = res->row_count == 0 ? GB_FLOW_UNKNOWN
+					    : flow_state_status(&res->rows[0],
+						  in->ask.caller.org);
 	if (in->ask.op == GB_FLOW_OP_CANCEL &&
 	    answer.status != GB_FLOW_UNKNOWN) {
 		/* It is there: the owner must hear of it. */
@@ -154,7 +154,7 @@
 
 /** Read the stored state of a flow. */
 static void
-state_ask(struct intake *in, const char *id,
+flow_state_request(struct intake *in, const char *id,
     void (*done)(struct node_call *, const struct gb_pool_read_res *))
 {
 	struct gb_node *node = in->node;
@@ -171,21 +171,20 @@
 static void
 intake_read(struct intake *in)
 {
-	state_ask(in, in->ask.id, state_read);
+	flow_state_request(in, in->ask.id, flow_state_read);
 }
 
 static bool
-intake_patient(const struct intake *in)
+intake_may_wait(const struct intake *in)
 {
 	return node_now() - in->began <=
-	       WRITE_PATIENCE +
-		   WRITE_PATIENCE_READS * in->node->watch.store_took;
+	       OWNER_WAIT + OWNER_WAIT_READS * in->node->watch.store_took;
 }
 
 static void
 flow_not_written(struct intake *in)
 {
-	if (in->stored_once || !intake_patient(in))
+	if (in->tried_store || !intake_may_wait(in))
 		intake_give_up(in);
 	else
 		intake_retry(in);
@@ -211,7 +210,7 @@
 		flow_not_written(in);
 		break;
 	default:
-		in->maybe = true;
+		in->maybe_done = true;
 		flow_not_written(in);
 		break;
 	}
@@ -253,13 +252,13 @@
  * be lost like a write whose caller must then be told that it may have landed.
  */
 static void
-store_looked(struct node_call *call, const struct gb_pool_read_res *res)
+flow_state_checked(struct node_call *call, const struct gb_pool_read_res *res)
 {
 	struct intake *in = call->data;
 	gb_flow_answer answer = {0};
 
 	if (res->status != GB_STORE_OK ||
-	    node_now() - call->sent > LOOK_QUICK) {
+	    node_now() - call->sent > CHECK_READ_USUAL) {
 		answer.verdict = GB_FLOW_REFUSED;
 		answer.retry_after_us = RETRY_AFTER;
 		intake_refused(in, &answer);
@@ -279,14 +278,14 @@
 	gb_flow_answer refused = *answer;
 
 	if (!NODE_USES(in->node, GB_FEATURE_STORE_FOR_OWNER) ||
-	    in->submit == NULL || in->maybe || in->stored_once ||
+	    in->submit == NULL || in->maybe_done || in->tried_store ||
 	    gb_pool_owns(in->node->pool) || node_store_unavailable(in->node)) {
 		refused.verdict = GB_FLOW_REFUSED;
 		intake_refused(in, &refused);
 		return;
 	}
-	in->stored_once = true;
-	state_ask(in, in->submit->flow.id, store_looked);
+	in->tried_store = true;
+	flow_state_request(in, in->submit->flow.id, flow_state_checked);
 }
 
 void
@@ -294,14 +293,14 @@
 {
 	switch (answer->verdict) {
 	case GB_FLOW_NOT_OWNER:
-		watch_recheck(&in->node->watch, node_now());
+		watch_hello_now(&in->node->watch, node_now());
 		intake_retry(in);
 		return;
 	case GB_FLOW_BEHIND:
 		intake_retry(in);
 		return;
 	case GB_FLOW_MAYBE:
-		in->maybe = true;
+		in->maybe_done = true;
 		intake_retry(in);
 		return;
 	case GB_FLOW_CANT_STORE:
@@ -333,7 +332,7 @@
 		return;
 	}
 	if (verdict == GB_MAYBE_RUN)
-		in->maybe = true;
+		in->maybe_done = true;
 	intake_retry(in);
 }
 
@@ -359,7 +358,7 @@
 	struct gb_node *node = in->node;
 	struct gb_rpc_client *peer =
 	    gb_rpc_pool_get(node->peers, node->watch.owner);
-	gb_time timeout = left < TRY_TIMEOUT ? left : TRY_TIMEOUT;
+	gb_time timeout = left < ATTEMPT_TIMEOUT ? left : ATTEMPT_TIMEOUT;
 
 	if (in->submit != NULL)
 		gb_rpc_client_call(peer, GB_PROC_FLOW_SUBMIT, in->submit,
@@ -386,7 +385,7 @@
  * it: once nobody has served for longer than a takeover takes, this node stores
  * no more than its part of half of what such a link carries. */
 static bool
-budget_takes(struct intake *in, gb_time now)
+budget_allows(struct intake *in, gb_time now)
 {
 	struct gb_node *node = in->node;
 	uint64_t rate =
@@ -397,11 +396,11 @@
 	if (rate == 0 ||
 	    watch_time_without_owner(&node->watch, now) <= BUDGET_AFTER)
 		return true;
-	if (passed > BUDGET_MOST)
-		passed = BUDGET_MOST;
+	if (passed > BUDGET_TIME)
+		passed = BUDGET_TIME;
 	node->budget += (int64_t)rate * passed / GB_SEC;
-	if (node->budget > (int64_t)rate * BUDGET_MOST / GB_SEC)
-		node->budget = (int64_t)rate * BUDGET_MOST / GB_SEC;
+	if (node->budget > (int64_t)rate * BUDGET_TIME / GB_SEC)
+		node->budget = (int64_t)rate * BUDGET_TIME / GB_SEC;
 	node->budget_at = now;
 	if (node->budget <= 0)
 		return false;
@@ -415,7 +414,7 @@
 static void
 intake_try_store(struct intake *in, gb_time now)
 {
-	if (!budget_takes(in, now)) {
+	if (!budget_allows(in, now)) {
 		in->in_flight = false;
 		intake_give_up(in);
 		return;
@@ -424,7 +423,7 @@
 	    (!NODE_USES(in->node, GB_FEATURE_STORE_WHILE_QUICK) ||
 		watch_store_quick(&in->node->watch, now))) {
 		intake_write(in);
-	} else if (intake_patient(in)) {
+	} else if (intake_may_wait(in)) {
 		intake_retry(in);
 	} else {
 		in->in_flight = false;
@@ -437,7 +436,7 @@
 static bool
 intake_shed(const struct intake *in)
 {
-	return in->submit != NULL && !in->maybe &&
+	return in->submit != NULL && !in->maybe_done &&
 	       shed_refuses(in->node->shed_told, in->submit->flow.id);
 }
 
@@ -456,10 +455,11 @@
 intake_try(struct intake *in, gb_time now)
 {
 	struct gb_node *node = in->node;
-	bool silent = watch_silence(&node->watch, now) > NODE_OWNER_SILENCE ||
-		      node->watch.refused > 0;
+	bool silent =
+	    watch_owner_silence(&node->watch, now) > NODE_OWNER_SILENCE ||
+	    node->watch.refused > 0;
 	bool owner = node->watch.owner[0] != '\0' && !node->watch.vacant;
-	bool reads = watch_owner_reads(&node->watch, now);
+	bool reads = watch_owner_loads_slowly(&node->watch, now);
 
 	in->tries++;
 	in->in_flight = true;
@@ -474,7 +474,7 @@
 		in->in_flight = false;
 		intake_give_up(in);
 	} else if (in->submit != NULL &&
-		   (silent || reads || now - in->began >= WRITE_AFTER)) {
+		   (silent || reads || now - in->began >= WRITE_DELAY)) {
 		intake_try_store(in, now);
 	} else if (in->submit == NULL && in->ask.op == GB_FLOW_OP_STATE &&
 		   (silent || reads || in->tries > 2)) {
--- a/libgooseberry/node/members.c
+++ b/libgooseberry/node/members.c
@@ -15,10 +15,10 @@
 #include "node_state.h"
 
 /** Members that have not said hello for this long are not told of. */
-#define MEMBER_KEEP (5 * GB_SEC)
+#define MEMBER_TIMEOUT (5 * GB_SEC)
 /** The order of succession is this old at the most: hellos come each 0.2 s, and
  * a successor's silence counts from 0.6 s on. */
-#define MEMBERS_EVERY (100 * GB_MSEC)
+#define MEMBERS_UPDATE_INTERVAL (100 * GB_MSEC)
 
 static void
 member_drop(struct gb_node *node, struct node_member *member)
@@ -54,7 +54,7 @@
 	member->last_heard = now;
 	member->config = hello->config;
 	if (node->config != NULL && hello->config >= node->config->version)
-		member->behind = 0;
+		member->behind_since = 0;
 	member->leaving = hello->leaving;
 	member->cpu_milli = hello->cpu_milli;
 	if (member->incarnation != hello->incarnation) {
@@ -68,18 +68,19 @@
 }
 
 void
-node_members_keep(struct gb_node *node)
+node_members_keep_known(struct gb_node *node)
 {
 	struct node_member *member;
 	gb_time now = node_now();
 
-	free(node->known);
-	node->known = gb_calloc(HASH_COUNT(node->members) + 1, GB_NAME_MAX + 1);
+	free(node->known_members);
+	node->known_members =
+	    gb_calloc(HASH_COUNT(node->members) + 1, GB_NAME_MAX + 1);
 	node->known_count = 0;
 	node->known_vers = 0;
 	for (member = node->members; member != NULL; member = member->hh.next) {
-		if (now - member->last_heard <= MEMBER_KEEP)
-			snprintf(node->known[node->known_count++],
+		if (now - member->last_heard <= MEMBER_TIMEOUT)
+			snprintf(node->known_members[node->known_count++],
 			    GB_NAME_MAX + 1, "%s", member->addr);
 	}
 	watch_members(&node->watch, (unsigned int)node->known_count);
@@ -129,19 +130,19 @@
 
 /** Drop members that are gone, and work out who succeeds. */
 static void
-members_look(struct gb_node *node)
+members_update(struct gb_node *node)
 {
 	struct node_member *member;
 	struct node_member *next;
 	gb_time now = node_now();
 
-	if (node->members_at > now)
+	if (node->members_update_at > now)
 		return;
-	node->members_at = now + MEMBERS_EVERY;
+	node->members_update_at = now + MEMBERS_UPDATE_INTERVAL;
 	node->largest_milli = 0;
 	HASH_ITER(hh, node->members, member, next)
 	{
-		if (now - member->last_heard > MEMBER_KEEP)
+		if (now - member->last_heard > MEMBER_TIMEOUT)
 			member_drop(node, member);
 		else if (member->cpu_milli > node->largest_milli)
 			node->largest_milli = member->cpu_milli;
@@ -155,7 +156,7 @@
 {
 	struct node_member *member;
 
-	members_look(node);
+	members_update(node);
 	res->largest_milli = node->largest_milli;
 	res->rank = to->rank;
 	res->ranked = node->ranked;
--- a/libgooseberry/node/metrics.c
+++ b/libgooseberry/node/metrics.c
@@ -9,9 +9,9 @@
 #include "connection/http.h"
 #include "node_state.h"
 
-#define METRICS_BODY_MOST 1024
+#define METRICS_BODY_MAX 1024
 /** Organisations that are named: the number of series is bounded. */
-#define METRICS_ORGS_MOST 200
+#define METRICS_ORGS_MAX 200
 
 /** Messages of all kinds that there were. */
 static void
@@ -47,8 +47,8 @@
 orgs_print(const struct gb_pool *pool, struct gb_text *out)
 {
 	struct gb_pool_org_stat *orgs =
-	    gb_calloc(METRICS_ORGS_MOST, sizeof(*orgs));
-	size_t count = gb_pool_orgs(pool, orgs, METRICS_ORGS_MOST);
+	    gb_calloc(METRICS_ORGS_MAX, sizeof(*orgs));
+	size_t count = gb_pool_orgs(pool, orgs, METRICS_ORGS_MAX);
 	size_t i;
 
 	for (i = 0; i < count; i++) {
@@ -201,5 +201,5 @@
 node_metrics_serve(struct gb_node *node, struct gb_error *err)
 {
 	return http_server_new(node->loop, node->settings.metrics,
-		   METRICS_BODY_MOST, on_request, node, err) != NULL;
+		   METRICS_BODY_MAX, on_request, node, err) != NULL;
 }
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -16,20 +16,20 @@
 #define TICK_IDLE_MS 25
 /** Calls in a row without success after which the store counts as out for this
  * node, and the pause between looks whether it is back. */
-#define STORE_UNAVAILABLE_LOSSES 2
-#define STORE_PROBE (200 * GB_MSEC)
+#define STORE_FAILURES_MAX 2
+#define STORE_PROBE_INTERVAL (200 * GB_MSEC)
 /** Silence of the owner after which a node without the store isn't ready. */
 #define READY_SILENCE (1500 * GB_MSEC)
 /** Descriptors for callers, members, the store and files. */
 #define FILES_RESERVED 900
 /** Callers are answered this much before a stopping process would be killed. */
-#define LEAVE_ANSWERED (1200 * GB_MSEC)
+#define LEAVE_MARGIN (1200 * GB_MSEC)
 /** The link is said to be full when what was sent waits this long, which a hold
  * is given beside its own wait, and free again below the other. */
-#define LINK_FULL (200 * GB_MSEC)
-#define LINK_FREE (20 * GB_MSEC)
+#define LINK_FULL_DELAY (200 * GB_MSEC)
+#define LINK_FREE_DELAY (20 * GB_MSEC)
 /** Headers of TCP and IP of an answer, and of what acknowledges a request. */
-#define LINK_ANSWER_HEAD 80
+#define LINK_HEADER_BYTES 80
 /** A call of advice by way of a member. */
 #define ADVISE_TIMEOUT (3 * GB_SEC)
 
@@ -57,7 +57,7 @@
 }
 
 static struct node_call *
-node_call_take(struct gb_node *node, uint64_t id)
+node_call_remove(struct gb_node *node, uint64_t id)
 {
 	struct node_call *call;
 
@@ -68,7 +68,7 @@
 }
 
 static struct node_caller *
-node_caller_take(struct gb_node *node, uint64_t token)
+node_caller_remove(struct gb_node *node, uint64_t token)
 {
 	struct node_caller *caller;
 
@@ -161,7 +161,7 @@
 op_answer(void *data, uint64_t token, const gb_flow_answer *answer)
 {
 	struct gb_node *node = data;
-	struct node_caller *caller = node_caller_take(node, token);
+	struct node_caller *caller = node_caller_remove(node, token);
 
 	if (caller == NULL)
 		return;
@@ -193,7 +193,7 @@
 	if (!owns && !handed)
 		watch_lost(&node->watch, node_now(), 0);
 	if (!owns)
-		node_members_keep(node);
+		node_members_keep_known(node);
 	if (handed)
 		gb_pool_handed(node->pool);
 	node->released = !owns && !handed && node->leaving;
@@ -207,18 +207,18 @@
 bool
 node_store_unavailable(const struct gb_node *node)
 {
-	return node->store_losses >= STORE_UNAVAILABLE_LOSSES;
+	return node->store_failures >= STORE_FAILURES_MAX;
 }
 
 static void
-store_heard(struct gb_node *node, gb_store_status status)
+store_answered(struct gb_node *node, gb_store_status status)
 {
 	bool out = node_store_unavailable(node);
 
 	if (status == GB_STORE_OK || status == GB_STORE_CONFLICT)
-		node->store_losses = 0;
+		node->store_failures = 0;
 	else
-		node->store_losses++;
+		node->store_failures++;
 	if (out != node_store_unavailable(node))
 		gb_event(node->events, GB_EVENT_ALWAYS,
 		    out ? "store_regained" : "store_out", "{s:i}", "status",
@@ -230,7 +230,7 @@
 {
 	(void)res;
 	call->node->store_probing = false;
-	call->node->store_probe_at = node_now() + STORE_PROBE;
+	call->node->store_probe_at = node_now() + STORE_PROBE_INTERVAL;
 }
 
 /** A store that is out is asked for a small row, until it answers. */
@@ -238,7 +238,7 @@
 store_probe(struct gb_node *node)
 {
 	const struct gb_pool_read read = {
-	    node->partition_asked++ % GB_POOL_PARTITIONS, GB_POOL_OWNERS,
+	    node->next_partition++ % GB_POOL_PARTITIONS, GB_POOL_OWNERS,
 	    GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, 0};
 
 	if (!node_store_unavailable(node) || node->store_probing ||
@@ -282,7 +282,7 @@
 		gb_pool_advise_done(node->pool, node_now(), call, res);
 		return;
 	}
-	caller = node_caller_take(node, call & ~NODE_CALL);
+	caller = node_caller_remove(node, call & ~NODE_CALL);
 	if (caller == NULL)
 		return;
 	gb_rpc_call_reply(caller->call, (void *)res);
@@ -295,12 +295,12 @@
 {
 	struct node_call *call;
 
-	store_heard(node, res->status);
+	store_answered(node, res->status);
 	if ((id & NODE_CALL) == 0) {
 		gb_pool_txn_done(node->pool, node_now(), id, res);
 		return;
 	}
-	call = node_call_take(node, id);
+	call = node_call_remove(node, id);
 	if (call == NULL)
 		return;
 	call->txn_done(call, res);
@@ -313,12 +313,12 @@
 {
 	struct node_call *call;
 
-	store_heard(node, res->status);
+	store_answered(node, res->status);
 	if ((id & NODE_CALL) == 0) {
 		gb_pool_read_done(node->pool, node_now(), id, res);
 		return;
 	}
-	call = node_call_take(node, id);
+	call = node_call_remove(node, id);
 	if (call == NULL)
 		return;
 	call->read_done(call, res);
@@ -416,10 +416,10 @@
 
 /** Parts are asked in turn: some may be out while others answer. */
 static void
-owner_row_unread(struct gb_node *node)
+owner_row_failed(struct gb_node *node)
 {
-	node->partition_asked++;
-	watch_row_failed(&node->watch, node_now());
+	node->next_partition++;
+	watch_read_failed(&node->watch, node_now());
 }
 
 static void
@@ -432,13 +432,13 @@
 	if (res->status != GB_STORE_OK ||
 	    (res->row_count > 0 &&
 		!gb_owner_record_decode(&record, &res->rows[0].value))) {
-		owner_row_unread(node);
+		owner_row_failed(node);
 		return;
 	}
 	/* A part that the owner could not attach names an earlier one. */
 	if (record.row.epoch < gb_pool_epoch(node->pool)) {
 		gb_owner_record_clear(&record);
-		owner_row_unread(node);
+		owner_row_failed(node);
 		return;
 	}
 	row.addr = record.row.addr;
@@ -451,16 +451,16 @@
 }
 
 static void
-owner_row_ask(struct gb_node *node)
+owner_row_request(struct gb_node *node)
 {
 	struct gb_pool_read read = {
 	    0, GB_POOL_OWNERS, GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, 0};
 
-	if (watch_compares(&node->watch, node_now()))
+	if (watch_read_compared(&node->watch, node_now()))
 		read.partition =
-		    node->partition_asked % GB_POOL_PARTITIONS_RENEWED;
+		    node->next_partition % GB_POOL_PARTITIONS_RENEWED;
 	else
-		read.partition = node->partition_asked++ % GB_POOL_PARTITIONS;
+		read.partition = node->next_partition++ % GB_POOL_PARTITIONS;
 	watch_reading(&node->watch, node_now());
 	node->platform.read(node->platform.data,
 	    node_call_new(node, NULL, NULL, owner_row_read), &read);
@@ -473,7 +473,7 @@
 	uint64_t epoch;
 
 	if (gb_pool_owns(node->pool))
-		watch_owns_pool(&node->watch, node_now());
+		watch_set_self_owner(&node->watch, node_now());
 	if (gb_pool_owns(node->pool) || gb_pool_acquiring(node->pool)) {
 		if (!gb_pool_owns(node->pool))
 			return;
@@ -485,7 +485,7 @@
 	}
 	switch (watch_next(&node->watch, node_now())) {
 	case WATCH_READ:
-		owner_row_ask(node);
+		owner_row_request(node);
 		break;
 	case WATCH_HELLO:
 		node_hello(node);
@@ -521,7 +521,7 @@
 		const struct gb_traffic *kind = gb_link_traffic(link, i);
 
 		if (i != GB_TRAFFIC_STORE_READ)
-			bytes += kind->in + kind->sent * LINK_ANSWER_HEAD;
+			bytes += kind->in + kind->sent * LINK_HEADER_BYTES;
 	}
 	return bytes;
 }
@@ -541,14 +541,15 @@
 
 /** Tell when the link is busy for long, and with what, and when it is not. */
 static void
-link_look(struct gb_node *node)
+link_events(struct gb_node *node)
 {
 	const struct gb_link *link = gb_env_link(node->env);
 	gb_time queued = gb_link_queued(link, node_now());
 	unsigned int most = 0;
 	unsigned int i;
 
-	if (node->link_full ? queued > LINK_FREE : queued < LINK_FULL)
+	if (node->link_full ? queued > LINK_FREE_DELAY
+			    : queued < LINK_FULL_DELAY)
 		return;
 	node->link_full = !node->link_full;
 	for (i = 0; i < GB_TRAFFIC_KINDS; i++) {
@@ -576,7 +577,7 @@
 	watch_tick(node);
 	store_probe(node);
 	intake_tick(node);
-	link_look(node);
+	link_events(node);
 	link_shed(node);
 	busy = gb_pool_owns(node->pool) || gb_pool_acquiring(node->pool) ||
 	       !TAILQ_EMPTY(&node->intakes) || node->leaving;
@@ -653,7 +654,7 @@
 
 	node->leaving = true;
 	node->leave_by =
-	    node_now() + node->settings.grace_s * GB_SEC - LEAVE_ANSWERED;
+	    node_now() + node->settings.grace_s * GB_SEC - LEAVE_MARGIN;
 	TAILQ_FOREACH(in, &node->intakes, next)
 	{
 		if (in->deadline > node->leave_by)
--- a/libgooseberry/node/node_state.h
+++ b/libgooseberry/node/node_state.h
@@ -1,6 +1,6 @@
 /**
  * @file node_state.h
- * State of a node, shared by the files that make it up.
+ * State of a node, shared by the source files of the node.
  */
 #ifndef GB_NODE_STATE_H
 #define GB_NODE_STATE_H
@@ -15,29 +15,33 @@
 #include "shed.h"
 #include "watch.h"
 
-/** Marks calls of the node itself among those of the pool core. */
+/** Flag in the number of a call that the node itself has made; calls of the
+ * pool core do not have it. */
 #define NODE_CALL (UINT64_C(1) << 62)
 
-/** An owner that was not heard for this long is not asked: it answers a hello
- * each 0.2 s. */
+/** An owner that was not heard for this long is sent no requests, and counts as
+ * unreachable in votes.  It answers a hello each 0.2 s. */
 #define NODE_OWNER_SILENCE (600 * GB_MSEC)
 
+/** A member as the owner knows it from its hellos. */
 struct node_member {
 	UT_hash_handle hh;
 	char addr[GB_NAME_MAX + 1];
 	gb_time last_heard;
 	uint64_t incarnation; /**< of its process */
-	/** When that process started, by its first hello: ages that come later
-	 * differ by the way they took, and ranks must not change by that. */
+	/** When that process started, computed from its first hello only: later
+	 * hellos differ by their delays on the network, and ranks must not
+	 * change by that. */
 	gb_time started;
-	uint64_t config;
-	gb_time behind; /**< since then it has an older configuration, 0 */
-	bool leaving;
+	uint64_t config;      /**< version of its configuration */
+	gb_time behind_since; /**< it has had an older configuration than the
+			 owner since then, 0: it has not */
+	bool leaving;	      /**< its process is stopping */
 	uint32_t cpu_milli;
 	uint32_t rank; /**< in the order of succession */
 };
 
-/** What the end of a call of the node's own has to go on with. */
+/** Context of a call to the store that the node itself has made. */
 struct node_call {
 	UT_hash_handle hh;
 	uint64_t id;
@@ -48,20 +52,21 @@
 	gb_time sent;
 };
 
-/** A caller's request that is on its way. */
+/** A caller's request that is in progress. */
 struct intake {
 	TAILQ_ENTRY(intake) next;
 	struct gb_node *node;
-	gb_flow_submit *submit; /**< or null, and then ask holds */
+	gb_flow_submit *submit; /**< a submission; null: the request is `ask` */
 	gb_flow_ask ask;
 	gb_time began;
 	gb_time deadline;
-	gb_time next_try;
-	bool in_flight; /**< a try is out */
-	bool
-	    answered; /**< its caller has its answer; waits for the try's end */
-	bool maybe;   /**< an earlier try may have been carried out */
-	bool stored_once; /**< this node tried the store for an owner */
+	gb_time next_try; /**< no attempt before */
+	bool in_flight;	  /**< an attempt is in flight */
+	bool answered;	  /**< the caller has its answer, the end of the attempt
+			     is awaited */
+	bool maybe_done;  /**< an earlier attempt may have been carried out */
+	bool tried_store; /**< this node has tried to store it for an owner that
+			     has lost the store */
 	unsigned int tries;
 	gb_node_answer answer;
 	void *data;
@@ -69,30 +74,31 @@
 
 TAILQ_HEAD(intakes, intake);
 
-/** A caller of the pool core, here or at a peer. */
+/** A request to the pool core that waits for its answer. */
 struct node_caller {
 	UT_hash_handle hh;
 	uint64_t token;
-	struct gb_rpc_call *call; /**< of a peer, or null */
-	struct intake *intake;
+	struct gb_rpc_call *call; /**< from a peer; null: from this node */
+	struct intake *intake;	  /**< from this node */
 };
 
-/** The owner hands the pool to a member. */
+/** Handover of the pool from this owner to a member. */
 struct node_handover {
 	bool under_way;
-	bool begun; /**< the member has said that it claims the pool */
-	char to[GB_NAME_MAX + 1];
-	unsigned int tries; /**< members asked */
-	uint64_t epoch;	    /**< of this owner */
-	gb_time until;
+	bool begun; /**< the member has answered that it claims the pool */
+	char to[GB_NAME_MAX + 1]; /**< address of the member */
+	unsigned int tries;	  /**< members asked so far */
+	uint64_t epoch;		  /**< of this owner */
+	gb_time deadline;	  /**< it has failed after this */
 };
 
 struct gb_node {
 	uv_loop_t *loop;
 	uv_timer_t tick;
-	uint32_t partition_asked; /**< part of the tables that is asked next */
-	bool busy_tick;		  /**< ticks as often as an owner does */
-	bool link_full;		  /**< as it was last told */
+	/** Partition to read the owner's row from, modulo their number. */
+	uint32_t next_partition;
+	bool busy_tick; /**< ticks at the short interval */
+	bool link_full; /**< the last event was link_full */
 	const struct gb_env *env;
 	struct gb_events *events;
 	struct gb_node_settings settings;
@@ -104,53 +110,62 @@
 	struct owner_monitor owner_monitor;
 	uint64_t incarnation;
 	struct shed shed; /**< while this node owns the pool */
-	uint64_t sheds;	  /**< flows that were turned away for it */
-	uint32_t
-	    shed_told;	/**< the share that the owner has told, in percent */
-	int64_t budget; /**< bytes of flows that may be stored for an owner */
-	gb_time budget_at;
-	uint32_t cpu_milli; /**< processor of this node */
+	uint64_t sheds;	  /**< flows rejected by load shedding */
+	/** Percentage of new flows to reject, as received from the owner. */
+	uint32_t shed_told;
+	/** Bytes of flows that this node may still store while the pool has no
+	 * owner. */
+	int64_t budget;
+	gb_time budget_at;  /**< when the budget was last increased */
+	uint32_t cpu_milli; /**< processor of this node in milli-cores */
 	gb_time owned_at;   /**< when it last gained the pool */
 	struct gb_pool_config *config;
-	char *config_text;
+	char *config_text; /**< the same in the stored form */
 	size_t config_len;
-	uint64_t
-	    config_newest_known; /**< newest version that another node has */
-	gb_time config_newest_known_at; /**< when it was first heard of */
+	uint64_t config_newest_known;	/**< newest version of another node */
+	gb_time config_newest_known_at; /**< when it was first announced */
 	uint64_t configs_unreadable;
-	uint64_t orgs_bad; /**< organisations and keys that were left out */
-	gb_time push_at;   /**< no configuration is sent to a member before */
-	gb_time owner_behind; /**< since then the owner's is older, 0 */
-	bool owner_told;      /**< this node's is on its way to the owner */
-	uint64_t told_epoch;  /**< owner that it was last sent to */
-	uint64_t told_config; /**< version that was */
-	gb_time tell_at;      /**< the same is not sent again before */
-	struct node_member *members; /**< the owner's: those that say hello */
-	uint64_t members_vers;	     /**< grows when one comes or goes */
-	gb_time members_at;	     /**< the list is looked through then */
-	uint32_t largest_milli;	     /**< processor of the largest member */
-	uint32_t ranked;	     /**< members with a rank */
-	char (*known)[GB_NAME_MAX + 1]; /**< others: told by the owner */
+	uint64_t orgs_bad; /**< organisations and keys that were invalid */
+	/** Earliest time to send the configuration to another member. */
+	gb_time config_push_at;
+	/** The owner has had an older configuration since then, 0: it has not.
+	 */
+	gb_time owner_behind_since;
+	/** The configuration is being sent to the owner. */
+	bool config_in_flight;
+	uint64_t config_sent_epoch;   /**< owner that it was last sent to */
+	uint64_t config_sent_version; /**< version that was sent */
+	/** Earliest time to send the same version to the same owner again. */
+	gb_time config_resend_at;
+	struct node_member *members; /**< of an owner: nodes that send hellos */
+	uint64_t members_vers; /**< grows when a member is added or removed */
+	gb_time members_update_at; /**< next update of the members and ranks */
+	uint32_t largest_milli;	   /**< milli-cores of the largest member */
+	uint32_t ranked;	   /**< members with a rank */
+	/** Addresses of the other members, as received from the owner. */
+	char (*known_members)[GB_NAME_MAX + 1];
 	size_t known_count;
-	uint64_t known_vers; /**< version of that list, as the owner has it */
+	uint64_t known_vers; /**< the owner's version of that list */
 	struct node_call *calls;
-	unsigned int
-	    store_losses; /**< calls in a row that did not come through */
-	gb_time store_probe_at;
-	bool store_probing;
+	unsigned int store_failures; /**< failed store calls in a row */
+	gb_time store_probe_at;	     /**< no probe of the store before */
+	bool store_probing;	     /**< a probe is in flight */
 	struct node_caller *callers;
-	uint64_t next_id;
+	uint64_t next_id; /**< last number given to a call or caller */
 	struct intakes intakes;
 	gb_time started;
-	uint32_t
-	    disabled_features; /**< mechanisms that are switched off, as bits */
+	uint32_t disabled_features; /**< one bit for each feature */
 	struct node_handover handover;
-	bool leaving;
-	bool released;	  /**< gave the pool up: the next may take it at once */
+	bool leaving; /**< the process is stopping */
+	/** Has released the pool, so that a successor may claim it at once. */
+	bool released;
 	gb_time leave_by; /**< all callers are answered by then */
 };
 
+/** Clock of the node, in microseconds. */
 gb_time node_now(void);
+/** Register a call to the store and return its number; the function for its
+ * kind is called at its end, the other one may be null. */
 uint64_t node_call_new(struct gb_node *, void *data,
     void (*txn_done)(struct node_call *, const struct gb_pool_txn_res *),
     void (*read_done)(struct node_call *, const struct gb_pool_read_res *));
@@ -158,51 +173,60 @@
 /** Another node has this version of the configuration. */
 void node_config_announced(struct gb_node *, uint64_t version);
 
-/** Whether the store does not answer this node for now. */
+/** Whether the last calls of this node to the store have failed. */
 bool node_store_unavailable(const struct gb_node *);
 
-/** Whether a mechanism is in use. */
+/** Whether a feature is enabled. */
 #define NODE_USES(node, feature) \
 	(((node)->disabled_features & (UINT32_C(1) << (feature))) == 0)
 
 /* intake.c */
+/** Start the attempts that are due and answer requests whose time is up. */
 void intake_tick(struct gb_node *);
-/** The pool core answered. */
+/** The pool core answered, here or at the owner. */
 void intake_answered(struct intake *, const gb_flow_answer *);
 
 /* handover.c */
 /** Ask a member to take the pool over; false when none can. */
 bool node_handover_begin(struct gb_node *);
+/** End a handover whose claim has not come in time. */
 void node_handover_tick(struct gb_node *);
-/** A member that is much larger should own the pool. */
+/** Begin a handover if a member is much larger than this node. */
 void node_handover_to_larger(struct gb_node *);
-/** The pool was lost; tells whether to a member that was asked to take it.  The
- * epoch is the newest that is known. */
+/** This node has lost the pool.
+ * @param epoch the newest that is known
+ * @return whether a handover was in progress, which is done by this
+ */
 bool node_handover_done(struct gb_node *, uint64_t epoch);
+/** Serve an owner's request to take the pool over. */
 void node_serve_succeed(
     struct gb_node *, struct gb_rpc_call *, const gb_succeed *);
 
 /* members.c */
-/** A member said hello to this owner. */
+/** This owner received a hello of a member. */
 struct node_member *node_member_hello_received(
     struct gb_node *, const gb_hello *);
-/** Tell a member its rank, and of the others, unless it has this version of the
- * list.  The names that are pointed to last until the next call. */
+/** Fill in a member's rank and, unless `known` is the current version of it,
+ * the list of members.  The addresses in the list belong to the node and are
+ * valid until the next call. */
 void node_members_fill(struct gb_node *, const struct node_member *,
     uint64_t known, gb_hello_res *);
-/** The pool was lost: the members that this owner knew are those that it asks
- * about the next one. */
-void node_members_keep(struct gb_node *);
-/** Order the members by how well they would own the pool; returns how many of
- * them could.  There is room for all members. */
+/** The pool was lost: keep the members that this owner knew as those that it
+ * may poll about the next owner. */
+void node_members_keep_known(struct gb_node *);
+/** Write the members that can own the pool, the most suitable first, and return
+ * their number.  The array must have space for all members. */
 size_t node_members_order(struct gb_node *, struct succession_member *);
 
 /* metrics.c */
 bool node_metrics_serve(struct gb_node *, struct gb_error *);
 
 /* peers.c */
+/** Serve a call of another node. */
 void node_serve(void *, struct gb_rpc_call *, uint32_t proc, void *arg);
+/** Send a hello to the owner. */
 void node_hello(struct gb_node *);
+/** Poll some members about the owner. */
 void node_poll_members(struct gb_node *);
 
 #endif
--- a/libgooseberry/node/owner_monitor.c
+++ b/libgooseberry/node/owner_monitor.c
@@ -11,12 +11,12 @@
 
 /** Silence of an owner whose end is worth a line: a single hello without an
  * answer takes this long. */
-#define MONITOR_SILENCE (600 * GB_MSEC)
+#define MONITOR_SILENCE_MIN (600 * GB_MSEC)
 /** The loop counts as stalled when a tick comes this much too late. */
-#define MONITOR_STALL (200 * GB_MSEC)
+#define MONITOR_STALL_MIN (200 * GB_MSEC)
 /** Members that said hello within this count as heard; each does so five times
  * a second. */
-#define MONITOR_MEMBER_HEARD (500 * GB_MSEC)
+#define MONITOR_MEMBER_SILENCE_MAX (500 * GB_MSEC)
 /** In place of a rank or of a time that there is not. */
 #define MONITOR_NONE (-1)
 
@@ -49,7 +49,7 @@
 	gb_time now = node_now();
 
 	if (owner_monitor->silent &&
-	    now - owner_monitor->answered > MONITOR_SILENCE)
+	    now - owner_monitor->answered > MONITOR_SILENCE_MIN)
 		gb_event(node->events, GB_EVENT_ALWAYS, "owner_heard_again",
 		    "{s:s, s:I}", "owner", owner_monitor->asked, "silent_ms",
 		    monitor_ms(now - owner_monitor->answered));
@@ -104,7 +104,7 @@
 monitor_row(const struct watch *watch)
 {
 	switch (watch->renewal.state) {
-	case RENEWAL_GOES_ON:
+	case RENEWAL_CONTINUES:
 		return "renewed";
 	case RENEWAL_STOPPED:
 		return "stopped";
@@ -148,7 +148,7 @@
 	unsigned int count = 0;
 
 	for (member = node->members; member != NULL; member = member->hh.next)
-		count += now - member->last_heard < MONITOR_MEMBER_HEARD;
+		count += now - member->last_heard < MONITOR_MEMBER_SILENCE_MAX;
 	return count;
 }
 
@@ -200,7 +200,7 @@
 	    owner_monitor->ticked == 0 ? 0 : now - owner_monitor->ticked;
 
 	owner_monitor->ticked = now;
-	if (gap <= period + MONITOR_STALL)
+	if (gap <= period + MONITOR_STALL_MIN)
 		return;
 	owner_monitor->stalls++;
 	owner_monitor->stalled += gap;
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -12,22 +12,22 @@
 /** A hello without answer after this counts as silence. */
 #define HELLO_TIMEOUT (600 * GB_MSEC)
 /** Members that are asked whether they hear the owner. */
-#define POLL_MEMBERS 3
+#define POLL_MEMBERS_MAX 3
 /** A member that is behind with its configuration for this long is sent it; the
  * bound for all of them is 2 s. */
 #define PUSH_AFTER (500 * GB_MSEC)
 /** An owner that is behind is sent it by the first member in the order of
  * succession, unless that has not got it: each waits for those before it, and
  * those that are far behind leave it. */
-#define PUSH_RANK (100 * GB_MSEC)
-#define PUSH_RANKS 10
+#define PUSH_RANK_DELAY (100 * GB_MSEC)
+#define PUSH_RANKS_MAX 10
 /** An owner that has not taken it is left alone for this long: its program may
  * be too old for it. */
-#define PUSH_AGAIN (10 * GB_SEC)
+#define PUSH_REPEAT_PAUSE (10 * GB_SEC)
 /** What a node spends on that: a tenth of its link, and a third of one of
  * 10 Mbit/s where its bandwidth is not known. */
-#define PUSH_SHARE 10
-#define PUSH_BYTES_PER_S 400000
+#define PUSH_LINK_DIVISOR 10
+#define PUSH_BYTES_PER_S_MAX 400000
 
 static void
 hello_fill(struct gb_node *node, gb_hello *hello)
@@ -46,27 +46,28 @@
 }
 
 static void
-members_learn(struct gb_node *node, const gb_hello_res *res)
+known_members_update(struct gb_node *node, const gb_hello_res *res)
 {
 	u_int i;
 
 	if (res->members_vers == node->known_vers)
 		return;
 	node->known_vers = res->members_vers;
-	free(node->known);
-	node->known = gb_calloc(res->members.members_len, GB_NAME_MAX + 1);
+	free(node->known_members);
+	node->known_members =
+	    gb_calloc(res->members.members_len, GB_NAME_MAX + 1);
 	node->known_count = 0;
 	for (i = 0; i < res->members.members_len; i++) {
 		if (strcmp(res->members.members_val[i], node->settings.addr) ==
 		    0)
 			continue;
-		snprintf(node->known[node->known_count++], GB_NAME_MAX + 1,
-		    "%s", res->members.members_val[i]);
+		snprintf(node->known_members[node->known_count++],
+		    GB_NAME_MAX + 1, "%s", res->members.members_val[i]);
 	}
 }
 
 static void
-config_learn(struct gb_node *node, const gb_hello_res *res)
+config_received(struct gb_node *node, const gb_hello_res *res)
 {
 	node_config_announced(node, res->config);
 	if (res->config_text.gb_body_len > 0)
@@ -76,7 +77,7 @@
 
 /** Place of this node in the order of succession. */
 static struct succession
-place_learn(const struct gb_node *node, const gb_hello_res *res)
+succession_from_hello(const struct gb_node *node, const gb_hello_res *res)
 {
 	struct succession place = {SUCCESSION_UNRANKED, 0, 0};
 
@@ -88,13 +89,13 @@
 }
 
 static void
-config_told(void *data, gb_verdict verdict, void *arg)
+config_send_done(void *data, gb_verdict verdict, void *arg)
 {
 	struct gb_node *node = data;
 	const gb_config_news_res *res = arg;
 
-	node->owner_told = false;
-	node->tell_at = node_now() + PUSH_AGAIN;
+	node->config_in_flight = false;
+	node->config_resend_at = node_now() + PUSH_REPEAT_PAUSE;
 	gb_event(node->events, GB_EVENT_ALWAYS, "config_sent_to_owner",
 	    "{s:s, s:i, s:I}", "owner", node->watch.owner, "verdict",
 	    (int)verdict, "version",
@@ -103,39 +104,41 @@
 
 /** Whether this owner was sent this version a short while ago. */
 static bool
-owner_just_told(const struct gb_node *node, const gb_hello_res *res)
+config_sent_recently(const struct gb_node *node, const gb_hello_res *res)
 {
-	return node->told_epoch == res->epoch &&
-	       node->told_config == node->config->version &&
-	       node_now() < node->tell_at;
+	return node->config_sent_epoch == res->epoch &&
+	       node->config_sent_version == node->config->version &&
+	       node_now() < node->config_resend_at;
 }
 
 /** An owner that is cut from the operator's table, or reads an old copy of it,
  * would keep the flows of newer members waiting: it is sent what they have, by
  * the first in the order of succession that has it. */
 static void
-config_tell(struct gb_node *node, const gb_hello_res *res, unsigned int rank)
+config_send_to_owner(
+    struct gb_node *node, const gb_hello_res *res, unsigned int rank)
 {
 	gb_time now = node_now();
 	gb_config_news news;
 
 	if (node->config == NULL || res->config >= node->config->version) {
-		node->owner_behind = 0;
+		node->owner_behind_since = 0;
 		return;
 	}
-	if (node->owner_behind == 0)
-		node->owner_behind = now;
-	if (node->owner_told || owner_just_told(node, res) ||
-	    rank >= PUSH_RANKS ||
-	    now - node->owner_behind < PUSH_AFTER + PUSH_RANK * (gb_time)rank)
+	if (node->owner_behind_since == 0)
+		node->owner_behind_since = now;
+	if (node->config_in_flight || config_sent_recently(node, res) ||
+	    rank >= PUSH_RANKS_MAX ||
+	    now - node->owner_behind_since <
+		PUSH_AFTER + PUSH_RANK_DELAY * (gb_time)rank)
 		return;
-	node->owner_told = true;
-	node->told_epoch = res->epoch;
-	node->told_config = node->config->version;
+	node->config_in_flight = true;
+	node->config_sent_epoch = res->epoch;
+	node->config_sent_version = node->config->version;
 	news.text.gb_body_val = node->config_text;
 	news.text.gb_body_len = (u_int)node->config_len;
 	gb_rpc_client_call(gb_rpc_pool_get(node->peers, node->watch.owner),
-	    GB_PROC_CONFIG, &news, HELLO_TIMEOUT, config_told, node);
+	    GB_PROC_CONFIG, &news, HELLO_TIMEOUT, config_send_done, node);
 }
 
 /** A hello that is out, and to whom. */
@@ -162,7 +165,7 @@
 		return;
 	}
 	owner_monitor_hello_answered(node);
-	config_learn(node, res);
+	config_received(node, res);
 	if (res->acquiring) {
 		node->shed_told = 0;
 		watch_owner_acquiring(&node->watch, now);
@@ -173,15 +176,15 @@
 		return;
 	}
 	gb_pool_epoch_seen(node->pool, now, res->epoch);
-	members_learn(node, res);
+	known_members_update(node, res);
 	news.epoch = res->epoch;
 	news.vacating = res->vacating && !node->leaving;
 	news.store_unavailable = res->store_unavailable;
 	news.store_silent = res->store_silent_us;
 	news.largest_milli = res->largest_milli;
-	news.place = place_learn(node, res);
+	news.place = succession_from_hello(node, res);
 	node->shed_told = res->shed;
-	config_tell(node, res, res->rank);
+	config_send_to_owner(node, res, res->rank);
 	watch_hello_answered(&node->watch, now, &news);
 }
 
@@ -196,7 +199,7 @@
 	if (strcmp(call->to, node->watch.owner) == 0)
 		owner_answered(node, call, verdict, arg);
 	else if (verdict == GB_RUN)
-		config_learn(node, arg);
+		config_received(node, arg);
 	free(call);
 }
 
@@ -226,7 +229,7 @@
 		watch_polled(&node->watch, WATCH_VOTE_NONE);
 		return;
 	}
-	config_learn(node, res);
+	config_received(node, res);
 	if (res->owner || res->acquiring ||
 	    res->owner_heard_us < NODE_OWNER_SILENCE)
 		watch_polled(&node->watch, WATCH_VOTE_REACHABLE);
@@ -246,8 +249,9 @@
 	from = node->known_count == 0
 		   ? 0
 		   : gb_random_next(&node->watch.seed) % node->known_count;
-	for (i = 0; i < node->known_count && asked < POLL_MEMBERS; i++) {
-		const char *addr = node->known[(from + i) % node->known_count];
+	for (i = 0; i < node->known_count && asked < POLL_MEMBERS_MAX; i++) {
+		const char *addr =
+		    node->known_members[(from + i) % node->known_count];
 
 		if (strcmp(addr, node->watch.owner) == 0)
 			continue;
@@ -256,7 +260,8 @@
 	owner_monitor_suspected(node, asked);
 	watch_poll_begun(&node->watch, node_now(), asked);
 	for (i = 0; i < node->known_count && asked > 0; i++) {
-		const char *addr = node->known[(from + i) % node->known_count];
+		const char *addr =
+		    node->known_members[(from + i) % node->known_count];
 
 		if (strcmp(addr, node->watch.owner) == 0)
 			continue;
@@ -271,7 +276,7 @@
 /** Whether to send a member the configuration: it reads it from the store
  * itself, and is helped only when it does not come to it. */
 static bool
-config_push(struct gb_node *node, const struct gb_hello *hello)
+config_push_due(struct gb_node *node, const struct gb_hello *hello)
 {
 	struct node_member *member;
 	gb_time now = node_now();
@@ -280,15 +285,16 @@
 	if (node->config == NULL || hello->config >= node->config->version)
 		return false;
 	HASH_FIND_STR(node->members, hello->addr, member);
-	if (member != NULL && member->behind == 0)
-		member->behind = now;
-	if ((member != NULL && now - member->behind < PUSH_AFTER) ||
-	    node->push_at > now)
+	if (member != NULL && member->behind_since == 0)
+		member->behind_since = now;
+	if ((member != NULL && now - member->behind_since < PUSH_AFTER) ||
+	    node->config_push_at > now)
 		return false;
-	rate = gb_link_rate(gb_env_link(node->env)) / PUSH_SHARE;
-	if (rate == 0 || rate > PUSH_BYTES_PER_S)
-		rate = PUSH_BYTES_PER_S;
-	node->push_at = now + (gb_time)(node->config_len * GB_SEC / rate);
+	rate = gb_link_rate(gb_env_link(node->env)) / PUSH_LINK_DIVISOR;
+	if (rate == 0 || rate > PUSH_BYTES_PER_S_MAX)
+		rate = PUSH_BYTES_PER_S_MAX;
+	node->config_push_at =
+	    now + (gb_time)(node->config_len * GB_SEC / rate);
 	return true;
 }
 
@@ -311,7 +317,7 @@
 	if (node->watch.epoch > res.epoch)
 		res.epoch = node->watch.epoch;
 	res.owner_addr = node->watch.owner;
-	res.owner_heard_us = watch_silence(&node->watch, now);
+	res.owner_heard_us = watch_owner_silence(&node->watch, now);
 	if (gb_pool_owns(node->pool)) {
 		node_members_fill(node, node_member_hello_received(node, hello),
 		    hello->members_known, &res);
@@ -324,7 +330,7 @@
 		res.shed = node->shed.percent;
 	}
 	res.config = node->config == NULL ? 0 : node->config->version;
-	if (config_push(node, hello)) {
+	if (config_push_due(node, hello)) {
 		res.config_text.gb_body_val = node->config_text;
 		res.config_text.gb_body_len = (u_int)node->config_len;
 	}
--- a/libgooseberry/node/renewal.c
+++ b/libgooseberry/node/renewal.c
@@ -12,9 +12,9 @@
 
 /** An owner renews its row each 0.5 s, and the write waits for the one before
  * it. */
-#define RENEWAL_WINDOW (620 * GB_MSEC)
+#define RENEWAL_TIME_MAX (620 * GB_MSEC)
 /** A write takes twice as long as a read. */
-#define RENEWAL_WRITE_READS 2
+#define RENEWAL_WRITE_FACTOR 2
 
 void
 renewal_reset(struct renewal *r)
@@ -23,29 +23,29 @@
 }
 
 static gb_time
-renewal_window(gb_time store_took)
+renewal_time_max(gb_time store_took)
 {
-	return RENEWAL_WINDOW + RENEWAL_WRITE_READS * store_took;
+	return RENEWAL_TIME_MAX + RENEWAL_WRITE_FACTOR * store_took;
 }
 
 bool
-renewal_due(const struct renewal *r, gb_time now, gb_time store_took)
+renewal_read_due(const struct renewal *r, gb_time now, gb_time store_took)
 {
 	return r->read_at == 0 ||
-	       now - r->read_at >= renewal_window(store_took);
+	       now - r->read_at >= renewal_time_max(store_took);
 }
 
 void
-renewal_read(
+renewal_add_read(
     struct renewal *r, gb_time sent, gb_time store_took, uint64_t serial)
 {
-	if (!renewal_due(r, sent, store_took))
+	if (!renewal_read_due(r, sent, store_took))
 		return;
 	if (r->read_at != 0 && serial == r->serial) {
 		r->state = RENEWAL_STOPPED;
 		r->stopped++;
 	} else if (r->read_at != 0) {
-		r->state = RENEWAL_GOES_ON;
+		r->state = RENEWAL_CONTINUES;
 		r->stopped = 0;
 	}
 	r->read_at = sent;
--- a/libgooseberry/node/renewal.h
+++ b/libgooseberry/node/renewal.h
@@ -10,7 +10,7 @@
 enum renewal_state {
 	RENEWAL_UNKNOWN, /**< fewer than two reads, or too close together */
 	RENEWAL_STOPPED,
-	RENEWAL_GOES_ON
+	RENEWAL_CONTINUES
 };
 
 /** Reads of the same part's row, since the owner was last heard. */
@@ -24,10 +24,10 @@
 /** The owner was heard, or is another one. */
 void renewal_reset(struct renewal *);
 /** Whether another read of the row would tell something new. */
-bool renewal_due(const struct renewal *, gb_time now, gb_time store_took);
+bool renewal_read_due(const struct renewal *, gb_time now, gb_time store_took);
 /** The row still names the owner.  `sent` is when the read was sent, and
  * `store_took` the time that it took, in microseconds. */
-void renewal_read(
+void renewal_add_read(
     struct renewal *, gb_time sent, gb_time store_took, uint64_t serial);
 
 #endif
--- a/libgooseberry/node/shed.c
+++ b/libgooseberry/node/shed.c
@@ -11,15 +11,15 @@
 
 #include "shed.h"
 
-#define SHED_EVERY (250 * GB_MSEC)
+#define SHED_INTERVAL (250 * GB_MSEC)
 /** Shares of the link, in percent, above which more is turned away, and below
  * which less is. */
-#define SHED_FULL 97
-#define SHED_ROOM 88
+#define SHED_USE_HIGH 97
+#define SHED_USE_LOW 88
 /** What is still taken is cut to this, in percent. */
-#define SHED_CUT 75
-#define SHED_BACK 4
-#define SHED_MOST 95
+#define SHED_CUT_PERCENT 75
+#define SHED_RECOVERY_STEP 4
+#define SHED_PERCENT_MAX 95
 
 void
 shed_tick(struct shed *shed, gb_time now, uint64_t bytes, uint64_t rate)
@@ -27,20 +27,22 @@
 	gb_time passed = now - shed->at;
 	uint64_t use;
 
-	if (rate == 0 || passed < SHED_EVERY)
+	if (rate == 0 || passed < SHED_INTERVAL)
 		return;
 	use = (bytes - shed->bytes) * 100 * GB_SEC / rate / (uint64_t)passed;
 	if (shed->at == 0 || bytes < shed->bytes)
 		use = 0;
 	shed->at = now;
 	shed->bytes = bytes;
-	if (use > SHED_FULL)
-		shed->percent = 100 - (100 - shed->percent) * SHED_CUT / 100;
-	else if (use < SHED_ROOM)
-		shed->percent -=
-		    shed->percent < SHED_BACK ? shed->percent : SHED_BACK;
-	if (shed->percent > SHED_MOST)
-		shed->percent = SHED_MOST;
+	if (use > SHED_USE_HIGH)
+		shed->percent =
+		    100 - (100 - shed->percent) * SHED_CUT_PERCENT / 100;
+	else if (use < SHED_USE_LOW)
+		shed->percent -= shed->percent < SHED_RECOVERY_STEP
+				     ? shed->percent
+				     : SHED_RECOVERY_STEP;
+	if (shed->percent > SHED_PERCENT_MAX)
+		shed->percent = SHED_PERCENT_MAX;
 }
 
 bool
--- a/libgooseberry/node/succession.c
+++ b/libgooseberry/node/succession.c
@@ -19,25 +19,26 @@
 #include "succession.h"
 
 /** Hellos come each 0.2 s: a member that missed three may be gone. */
-#define SUCCESSION_SILENCE (600 * GB_MSEC)
+#define SUCCESSION_SILENCE_MAX (600 * GB_MSEC)
 /** A process that has just started has yet to learn of workers and members. */
-#define SUCCESSION_UP (500 * GB_MSEC)
+#define SUCCESSION_UPTIME_MIN (500 * GB_MSEC)
 /** A claim until others can see it: a read and a write take 16 ms when all is
  * calm, and a write takes twice a read. */
-#define SUCCESSION_CLAIM_LEAST (40 * GB_MSEC)
+#define SUCCESSION_CLAIM_MIN (40 * GB_MSEC)
 #define SUCCESSION_CLAIM_READS 3
 /** Most that is waited for one claim; reads of a store that is a hundred times
  * slower take 0.4 s. */
-#define SUCCESSION_CLAIM_MOST (1200 * GB_MSEC)
+#define SUCCESSION_CLAIM_MAX (1200 * GB_MSEC)
 /** Nodes without a rank wait a random time of up to one claim for each of them,
  * and of so many at the least. */
-#define SUCCESSION_CLAIMS_SPREAD 2
+#define SUCCESSION_UNRANKED_CLAIMS 2
 
 static bool
 member_can(const struct succession_member *m)
 {
-	return !m->leaving && m->current && m->silent <= SUCCESSION_SILENCE &&
-	       m->up >= SUCCESSION_UP;
+	return !m->leaving && m->current &&
+	       m->silent <= SUCCESSION_SILENCE_MAX &&
+	       m->up >= SUCCESSION_UPTIME_MIN;
 }
 
 /** The larger first: the owner's work takes a fifth of a core at 350 workers.
@@ -75,12 +76,12 @@
     const struct succession *order, gb_time store_took, uint64_t *seed)
 {
 	gb_time claim = SUCCESSION_CLAIM_READS * store_took;
-	unsigned int claims = SUCCESSION_CLAIMS_SPREAD;
+	unsigned int claims = SUCCESSION_UNRANKED_CLAIMS;
 
-	if (claim < SUCCESSION_CLAIM_LEAST)
-		claim = SUCCESSION_CLAIM_LEAST;
-	if (claim > SUCCESSION_CLAIM_MOST)
-		claim = SUCCESSION_CLAIM_MOST;
+	if (claim < SUCCESSION_CLAIM_MIN)
+		claim = SUCCESSION_CLAIM_MIN;
+	if (claim > SUCCESSION_CLAIM_MAX)
+		claim = SUCCESSION_CLAIM_MAX;
 	if (order->rank != SUCCESSION_UNRANKED)
 		return claim * order->rank;
 	if (order->members > order->ranked + claims)
--- a/libgooseberry/node/watch.c
+++ b/libgooseberry/node/watch.c
@@ -1,87 +1,93 @@
 /**
  * @file watch.c
- * When to take the pool over.
+ * Decides when to take the pool over.
  *
- * A takeover costs a second read of all state and the tickets that were
- * fetched, but nothing that runs.  It is begun when the owner's address refuses
- * connections, when the owner is silent and other members do not hear it
- * either, when the owner itself has lost the store, or at once when the owner
- * says that it stops.  A node that reaches nobody at all is more likely cut
- * off itself, and waits longer; it never takes the pool from an owner that goes
- * on renewing its row.
+ * A takeover reads all state again and loses the tickets that were fetched, but
+ * no run.  It begins when the owner's address refuses connections, when the
+ * owner is silent and other members do not reach it either, when the owner has
+ * lost the store, or at once when the owner announces that it stops.  A node
+ * that reaches no other node is more likely cut off itself and waits longer; it
+ * never takes the pool from an owner that still renews its row.
  *
- * Silence alone does not tell an owner that is gone from one that is slow,
- * paused or cut off.  After takeovers from owners that were at work members
- * wait ever longer, and longest while the owner renews its row, so that the
- * pool stays with somebody whatever is wrong.
+ * Silence alone does not show whether the owner has terminated or is slow,
+ * paused or cut off.  After takeovers from working owners the suspicion timeout
+ * grows, most while the owner renews its row, so that the pool does not keep
+ * changing its owner whatever the failure is.
  */
 #include <string.h>
 
 #include "watch.h"
 
-/** Interval of hellos to the owner, and of the first successors' hellos, which
- * learn of an owner without the store. */
-#define WATCH_HELLO_EVERY (200 * GB_MSEC)
-#define WATCH_HELLO_FIRST (100 * GB_MSEC)
-/** Silence after which the owner is suspected; pauses of processors that are
- * shared stay well under it. */
-#define WATCH_SUSPECT (900 * GB_MSEC)
-/** The same when this node reaches no other member either. */
-#define WATCH_ALONE (3500 * GB_MSEC)
-/** A hello without answer for this long, and twice the time that the last one
- * took, is missed: the owner's row is read, to be compared with a second read
- * by the time the owner is suspected. */
-#define WATCH_LATE (50 * GB_MSEC)
-/** One takeover from an owner at work is as good as none: owners freeze.  Then
- * the patience with silence doubles with each, and doubles twice while the
- * owner renews its row. */
-#define WATCH_CONTESTS_FREE 1
-#define WATCH_DOUBLINGS_MOST 2
-/** An owner that has not renewed its row since it claimed it is still reading
- * what is stored, for seconds where everything is slow.  Once owners at work
- * have been deposed, it is given this long. */
-#define WATCH_TAKING (4 * GB_SEC)
-/** A new owner has read what is stored within this, unless its link is thin. */
-#define WATCH_READS (400 * GB_MSEC)
+/** Interval of hellos to the owner. */
+#define WATCH_HELLO_INTERVAL (200 * GB_MSEC)
+/** Interval of hellos of the first successors, which are to learn early that
+ * the owner has lost the store. */
+#define WATCH_SUCCESSOR_HELLO_INTERVAL (100 * GB_MSEC)
+/** Silence after which the owner is suspected.  Pauses of a process on a shared
+ * processor are much shorter. */
+#define WATCH_SUSPICION_TIMEOUT (900 * GB_MSEC)
+/** Silence after which the owner may be deposed when this node reaches no other
+ * member either. */
+#define WATCH_ISOLATED_TIMEOUT (3500 * GB_MSEC)
+/** A hello counts as missed when it has no answer after this plus twice the
+ * last round trip.  Then the owner's row is read, so that a second read can be
+ * compared with it by the time the owner is suspected. */
+#define WATCH_HELLO_OVERDUE (50 * GB_MSEC)
+/** Number of recent takeovers from working owners that leave the suspicion
+ * timeout as it is: a single one may come from a paused owner.  Each further
+ * one doubles the timeout, or quadruples it while the owner renews its row. */
+#define WATCH_CONTENTION_FREE 1
+#define WATCH_DOUBLINGS_MAX 2
+/** Suspicion timeout of an owner that has not renewed its row since its claim,
+ * after takeovers from working owners.  It is still loading the stored state,
+ * which takes seconds when the store or its link is slow. */
+#define WATCH_ACQUIRING_TIMEOUT (4 * GB_SEC)
+/** A new owner loads the stored state within this, unless its link is slow. */
+#define WATCH_LOAD_TIME_USUAL (400 * GB_MSEC)
+/** Serial of the owner's row when it has not been renewed since the claim. */
 #define WATCH_SERIAL_CLAIM 1
-/** A node that hears nobody believes that the owner has stopped after so many
- * reads: one renewal may be late. */
-#define WATCH_STOPPED_ALONE 3
-/** Time between two looks that counts as this process standing still: it could
- * not have heard the owner meanwhile. */
-#define WATCH_STOOD (150 * GB_MSEC)
-/** Hellos in a row that find nobody listening.  A restarted process listens
- * again after a moment, but has forgotten everything. */
-#define WATCH_REFUSED 2
-/** An owner that refuses connections so soon may have been cut off like the one
- * before it: each member could depose one at once. */
-#define WATCH_BRIEF (5 * GB_SEC)
-/** An owner without the store can't accept work or record ends.  It writes each
- * 0.5 s at the least. */
-#define WATCH_STORE_SILENT (1300 * GB_MSEC)
-/** A store that answers this node within this is not what is wrong. */
-#define WATCH_STORE_QUICK (150 * GB_MSEC)
-/** A read that is as quick as usual.  When it takes longer, a part of the
- * tables carries out fewer writes than callers bring. */
-#define WATCH_STORE_USUAL (40 * GB_MSEC)
-/** What is known of the store is this old at the most. */
-#define WATCH_STORE_KNOWN (400 * GB_MSEC)
+/** Reads in a row without a renewal after which a node that reaches no other
+ * member takes the owner for stopped; a single renewal may be late. */
+#define WATCH_ISOLATED_READS 3
+/** Time between two calls of watch_next above which this process was paused and
+ * could not receive the owner's answers. */
+#define WATCH_PAUSE (150 * GB_MSEC)
+/** Refused hellos in a row after which the owner counts as terminated.  If its
+ * process has restarted and listens again, it has lost its state. */
+#define WATCH_REFUSALS_MIN 2
+/** An owner that refuses connections this soon after its takeover may be cut
+ * off like the one before it.  Such a takeover counts as one from a working
+ * owner: otherwise each member could depose an owner at once. */
+#define WATCH_OWNERSHIP_SHORT (5 * GB_SEC)
+/** An owner that the store has not answered for this long has lost it and can't
+ * accept work or record ends.  It writes at least every 0.5 s. */
+#define WATCH_STORE_SILENCE (1300 * GB_MSEC)
+/** A store that answers this node slower than this is slow for the owner too,
+ * and a takeover does not help. */
+#define WATCH_STORE_READ_SLOW (150 * GB_MSEC)
+/** Longest read that is as quick as usual.  When reads take longer, a partition
+ * of the tables carries out fewer writes than callers request. */
+#define WATCH_STORE_READ_USUAL (40 * GB_MSEC)
+/** Age up to which the duration of the last read is valid. */
+#define WATCH_STORE_READ_MAX_AGE (400 * GB_MSEC)
 /** Pause between reads of the owner's row. */
-#define WATCH_READ_EVERY (150 * GB_MSEC)
-/** Nodes that see the same thing read the owner's row one after the other. */
-#define WATCH_SPREAD (60 * GB_MSEC)
-/** An owner that can't write is succeeded by a node that has the store for so
- * long meanwhile: the owner tries again each 0.15 s at the least, so that a
- * store that has just come back is not taken for one that turns the owner away.
- */
-#define WATCH_SERVED (250 * GB_MSEC)
-/** Successors that look whether they have the store when the owner has not. */
-#define WATCH_DOUBTERS 3
-/** Head start of larger nodes: longer than a claim takes. */
-#define WATCH_DEFER (400 * GB_MSEC)
+#define WATCH_READ_INTERVAL (150 * GB_MSEC)
+/** Random delay of reads, so that nodes do not all read at the same time. */
+#define WATCH_READ_DELAY_MAX (60 * GB_MSEC)
+/** Time for which the store must answer this node before it takes over from an
+ * owner that has lost the store.  The owner retries at least every 0.15 s, so a
+ * store that has just recovered is not mistaken for one that rejects the owner
+ * alone. */
+#define WATCH_STORE_OK_TIME (250 * GB_MSEC)
+/** First successors that check the store when the owner reports that the store
+ * does not take its writes. */
+#define WATCH_STORE_CHECKERS 3
+/** Delay of a small node's claim: longer than a larger node's claim takes. */
+#define WATCH_SMALL_NODE_DELAY (400 * GB_MSEC)
+/** Milli-cores of a processor core. */
 #define CORE_MILLI 1000
-/** Members have this long to say whether they hear the owner. */
-#define WATCH_POLL_WAIT (350 * GB_MSEC)
+/** Time that polled members have to answer. */
+#define WATCH_POLL_TIMEOUT (350 * GB_MSEC)
 
 const char *
 watch_cause_name(enum watch_cause cause)
@@ -107,34 +113,34 @@
 	w->place.rank = SUCCESSION_UNRANKED;
 }
 
-/** The owner is at work, as far as this node knows. */
+/** Drop all suspicion: the owner answered or is a new one. */
 static void
-watch_trust(struct watch *w, gb_time now)
+watch_clear_suspicion(struct watch *w, gb_time now)
 {
 	w->last_heard = now;
 	w->paused = 0;
 	w->last_checked = now;
 	w->missed = 0;
 	w->refused = 0;
-	w->polled = 0;
+	w->poll_size = 0;
 	renewal_reset(&w->renewal);
 }
 
 gb_time
-watch_silence(const struct watch *w, gb_time now)
+watch_owner_silence(const struct watch *w, gb_time now)
 {
 	return now - w->last_heard - w->paused;
 }
 
 bool
-watch_owner_reads(const struct watch *w, gb_time now)
+watch_owner_loads_slowly(const struct watch *w, gb_time now)
 {
 	return w->acquiring_since != 0 &&
-	       now - w->acquiring_since > WATCH_READS;
+	       now - w->acquiring_since > WATCH_LOAD_TIME_USUAL;
 }
 
 void
-watch_owns_pool(struct watch *w, gb_time now)
+watch_set_self_owner(struct watch *w, gb_time now)
 {
 	w->owner_confirmed_at = now;
 	w->acquiring_since = 0;
@@ -146,174 +152,183 @@
 	return now - w->owner_confirmed_at;
 }
 
-/** Whether the owner has not answered when it should have. */
+/** Whether the owner has left a hello without answer. */
 static bool
-watch_missed(const struct watch *w, gb_time now)
+watch_hello_overdue(const struct watch *w, gb_time now)
 {
 	return w->missed > 0 ||
 	       (w->hello_in_flight &&
-		   now - w->hello_at > WATCH_LATE + 2 * w->hello_took);
+		   now - w->hello_sent >
+		       WATCH_HELLO_OVERDUE + 2 * w->hello_round_trip);
 }
 
+/** Notice a pause of this process since the last call. */
 static void
-watch_look(struct watch *w, gb_time now)
+watch_detect_pause(struct watch *w, gb_time now)
 {
-	if (w->last_checked != 0 && now - w->last_checked > WATCH_STOOD)
-		w->paused += now - w->last_checked - WATCH_STOOD;
+	if (w->last_checked != 0 && now - w->last_checked > WATCH_PAUSE)
+		w->paused += now - w->last_checked - WATCH_PAUSE;
 	w->last_checked = now;
 }
 
+/** How often the suspicion timeout is doubled. */
 static unsigned int
-watch_doublings(const struct watch *w)
+watch_timeout_doublings(const struct watch *w)
 {
-	if (w->contested <= WATCH_CONTESTS_FREE)
+	if (w->contested <= WATCH_CONTENTION_FREE)
 		return 0;
-	if (w->contested - WATCH_CONTESTS_FREE > WATCH_DOUBLINGS_MOST)
-		return WATCH_DOUBLINGS_MOST;
-	return w->contested - WATCH_CONTESTS_FREE;
+	if (w->contested - WATCH_CONTENTION_FREE > WATCH_DOUBLINGS_MAX)
+		return WATCH_DOUBLINGS_MAX;
+	return w->contested - WATCH_CONTENTION_FREE;
 }
 
-/** Silence after which this owner may be deposed. */
+/** Silence after which this owner may be deposed (suspicion timeout). */
 static gb_time
-watch_patience(const struct watch *w)
+watch_suspicion_timeout(const struct watch *w)
 {
-	unsigned int doublings = watch_doublings(w);
+	unsigned int doublings = watch_timeout_doublings(w);
 
 	if (w->contested > 0 && w->renewal.read_at != 0 &&
 	    w->renewal.serial == WATCH_SERIAL_CLAIM)
-		return WATCH_TAKING;
-	if (w->renewal.state == RENEWAL_GOES_ON)
+		return WATCH_ACQUIRING_TIMEOUT;
+	if (w->renewal.state == RENEWAL_CONTINUES)
 		doublings *= 2;
-	return WATCH_SUSPECT << doublings;
+	return WATCH_SUSPICION_TIMEOUT << doublings;
 }
 
 static gb_time
-watch_spread(struct watch *w)
+watch_random_delay(struct watch *w)
 {
-	return (gb_time)(gb_random_next(&w->seed) % WATCH_SPREAD);
+	return (gb_time)(gb_random_next(&w->seed) % WATCH_READ_DELAY_MAX);
 }
 
-/** A small node leaves the pool to a larger one, which has more for the owner's
- * work. */
+/** Delay of this node's claim for its size: the owner's work needs processor
+ * time, so larger nodes claim first. */
 static gb_time
-watch_deference(const struct watch *w)
+watch_size_delay(const struct watch *w)
 {
 	if (w->largest_milli == 0)
 		return w->own_milli >= CORE_MILLI
 			   ? 0
-			   : WATCH_DEFER *
+			   : WATCH_SMALL_NODE_DELAY *
 				 (CORE_MILLI - (gb_time)w->own_milli) /
 				 CORE_MILLI;
 	return (uint64_t)w->own_milli * 5 < (uint64_t)w->largest_milli * 4
-		   ? WATCH_DEFER
+		   ? WATCH_SMALL_NODE_DELAY
 		   : 0;
 }
 
 static void
-watch_vacate(struct watch *w, gb_time now, enum watch_cause cause)
+watch_set_vacant(struct watch *w, gb_time now, enum watch_cause cause)
 {
 	if (w->vacant)
 		return;
 	w->vacant = true;
 	w->cause = cause;
-	w->take_at = now + watch_deference(w) +
-		     succession_delay(&w->place, w->store_took, &w->seed);
+	w->takeover_at = now + watch_size_delay(w) +
+			 succession_delay(&w->place, w->store_took, &w->seed);
 }
 
-/** What the members that were asked have said. */
+/** Whether the votes of the polled members allow a takeover. */
 static bool
-watch_agreed(struct watch *w, gb_time now)
+watch_votes_allow_takeover(struct watch *w, gb_time now)
 {
-	bool works = w->renewal.state == RENEWAL_GOES_ON;
+	bool works = w->renewal.state == RENEWAL_CONTINUES;
 
 	if (w->votes_reachable > 0) {
-		/* It is this node that can't reach the owner.  What it tells
-		 * others of the owner must not change by that. */
-		w->polled = 0;
-		w->cleared_until = now + WATCH_SUSPECT / 2;
+		/* Only this node does not reach the owner.  last_heard stays,
+		 * since this node's own votes in other polls go by it. */
+		w->poll_size = 0;
+		w->suspect_after = now + WATCH_SUSPICION_TIMEOUT / 2;
 		return false;
 	}
 	if (works)
-		return w->votes_unreachable * 2 > w->polled;
+		return w->votes_unreachable * 2 > w->poll_size;
 	return w->votes_unreachable > 0 ||
-	       (watch_silence(w, now) > WATCH_ALONE &&
-		   w->renewal.stopped >= WATCH_STOPPED_ALONE);
+	       (watch_owner_silence(w, now) > WATCH_ISOLATED_TIMEOUT &&
+		   w->renewal.stopped >= WATCH_ISOLATED_READS);
 }
 
-/** Whether nobody listens at the owner's address, and that means that it is
- * gone: paths may be cut so that they refuse. */
+/** Whether refused connections show that the owner's process has terminated.  A
+ * cut network path may refuse connections as well, so an owner that renews its
+ * row has not, and after takeovers from working owners the row must be seen to
+ * have stopped. */
 static bool
-watch_gone(const struct watch *w)
+watch_owner_terminated(const struct watch *w)
 {
-	if (w->refused < WATCH_REFUSED || w->renewal.state == RENEWAL_GOES_ON)
+	if (w->refused < WATCH_REFUSALS_MIN ||
+	    w->renewal.state == RENEWAL_CONTINUES)
 		return false;
 	return w->contested == 0 || w->renewal.state == RENEWAL_STOPPED;
 }
 
-/** Whether enough is known of the row.  While the store is slow, and no owner
- * at work was deposed lately, the answers of members are enough: two reads
- * would take longer than the takeover. */
+/** Whether enough is known of the row.  While the store is slow and there were
+ * no recent takeovers from working owners, the members' votes suffice: two
+ * reads would take longer than the takeover. */
 static bool
-watch_knows(const struct watch *w)
+watch_row_known(const struct watch *w)
 {
 	return w->renewal.state != RENEWAL_UNKNOWN ||
-	       (w->store_took >= WATCH_STORE_USUAL && w->contested == 0 &&
+	       (w->store_took >= WATCH_STORE_READ_USUAL && w->contested == 0 &&
 		   w->place.members >= 2);
 }
 
-/** The owner is silent, or refuses. */
+/** Next action while the owner is silent or refuses connections. */
 static enum watch_action
-watch_suspicion(struct watch *w, gb_time now)
+watch_suspicion_next(struct watch *w, gb_time now)
 {
 	if (w->renewal.read_at == 0)
 		return w->next_read <= now ? WATCH_READ : WATCH_NOTHING;
-	if (watch_gone(w)) {
-		watch_vacate(w, now, WATCH_CAUSE_REFUSED);
+	if (watch_owner_terminated(w)) {
+		watch_set_vacant(w, now, WATCH_CAUSE_REFUSED);
 		return WATCH_NOTHING;
 	}
-	if (!watch_knows(w) || watch_silence(w, now) <= watch_patience(w))
+	if (!watch_row_known(w) ||
+	    watch_owner_silence(w, now) <= watch_suspicion_timeout(w))
 		return WATCH_NOTHING;
 	if (w->place.members < 2) {
 		if (w->renewal.state == RENEWAL_STOPPED)
-			watch_vacate(w, now, WATCH_CAUSE_NO_MEMBERS);
+			watch_set_vacant(w, now, WATCH_CAUSE_NO_MEMBERS);
 		return WATCH_NOTHING;
 	}
-	if (w->polled == 0)
+	if (w->poll_size == 0)
 		return WATCH_POLL;
-	if (w->votes < w->polled && now - w->polled_at < WATCH_POLL_WAIT)
+	if (w->votes < w->poll_size && now - w->polled_at < WATCH_POLL_TIMEOUT)
 		return WATCH_NOTHING;
-	if (watch_agreed(w, now)) {
-		watch_vacate(w, now,
+	if (watch_votes_allow_takeover(w, now)) {
+		watch_set_vacant(w, now,
 		    w->votes_unreachable > 0 ? WATCH_CAUSE_SILENT
 					     : WATCH_CAUSE_NO_ANSWER);
 		return WATCH_NOTHING;
 	}
-	if (now - w->polled_at > WATCH_SUSPECT)
-		w->polled = 0;
+	if (now - w->polled_at > WATCH_SUSPICION_TIMEOUT)
+		w->poll_size = 0;
 	return WATCH_NOTHING;
 }
 
-/** Whether a silent owner's row is to be read, to tell if it is at work. */
+/** Whether to read a silent owner's row, to see whether it is renewed. */
 static bool
-watch_reads(const struct watch *w, gb_time now)
+watch_read_due(const struct watch *w, gb_time now)
 {
-	return w->next_read <= now && watch_missed(w, now) &&
-	       renewal_due(&w->renewal, now, w->store_took);
+	return w->next_read <= now && watch_hello_overdue(w, now) &&
+	       renewal_read_due(&w->renewal, now, w->store_took);
 }
 
-/** What to do while no read is out, but hellos. */
+/** Next action other than a hello, while no read is in flight. */
 static enum watch_action
-watch_decide(struct watch *w, gb_time now)
+watch_next_takeover_step(struct watch *w, gb_time now)
 {
-	if (w->vacant && w->take_at <= now)
+	if (w->vacant && w->takeover_at <= now)
 		return WATCH_TAKE_OVER;
 	if (w->vacant || w->owner[0] == '\0')
 		return w->next_read <= now ? WATCH_READ : WATCH_NOTHING;
-	if ((w->store_doubted && w->next_read <= now) || watch_reads(w, now))
+	if ((w->owner_lacks_store && w->next_read <= now) ||
+	    watch_read_due(w, now))
 		return WATCH_READ;
-	if (w->cleared_until <= now && (watch_silence(w, now) > WATCH_SUSPECT ||
-					   w->refused >= WATCH_REFUSED))
-		return watch_suspicion(w, now);
+	if (w->suspect_after <= now &&
+	    (watch_owner_silence(w, now) > WATCH_SUSPICION_TIMEOUT ||
+		w->refused >= WATCH_REFUSALS_MIN))
+		return watch_suspicion_next(w, now);
 	return WATCH_NOTHING;
 }
 
@@ -322,58 +337,58 @@
 {
 	enum watch_action action = WATCH_NOTHING;
 
-	watch_look(w, now);
+	watch_detect_pause(w, now);
 	if (!w->read_in_flight)
-		action = watch_decide(w, now);
+		action = watch_next_takeover_step(w, now);
 	if (action != WATCH_NOTHING || w->vacant || w->owner[0] == '\0' ||
 	    w->hello_in_flight || w->next_hello > now)
 		return action;
-	w->hello_at = now;
+	w->hello_sent = now;
 	return WATCH_HELLO;
 }
 
 bool
-watch_compares(const struct watch *w, gb_time now)
+watch_read_compared(const struct watch *w, gb_time now)
 {
-	return w->owner[0] != '\0' && !w->vacant && watch_missed(w, now);
+	return w->owner[0] != '\0' && !w->vacant && watch_hello_overdue(w, now);
 }
 
 void
 watch_reading(struct watch *w, gb_time now)
 {
-	w->read_compared = watch_compares(w, now);
+	w->read_compared = watch_read_compared(w, now);
 	w->read_in_flight = true;
 	w->read_sent = now;
 }
 
-/** Whether an owner that can't write may be deposed for it.  After takeovers
- * from owners at work each is given time. */
+/** Whether an owner that has lost the store may be deposed for it.  After
+ * takeovers from working owners a new owner gets some time first. */
 static bool
-watch_store_matters(const struct watch *w, gb_time now)
+watch_store_loss_counts(const struct watch *w, gb_time now)
 {
-	unsigned int doublings = watch_doublings(w);
+	unsigned int doublings = watch_timeout_doublings(w);
 
-	return doublings == 0 || now - w->owner_since >= WATCH_SUSPECT
+	return doublings == 0 || now - w->owner_since >= WATCH_SUSPICION_TIMEOUT
 							     << doublings;
 }
 
-/** The store has answered this node while the owner says that it has it not. */
+/** The store has answered this node while the owner may have lost it. */
 static void
-watch_store_served(struct watch *w, gb_time now)
+watch_store_answered(struct watch *w, gb_time now)
 {
-	if (!w->store_doubted)
+	if (!w->owner_lacks_store)
 		return;
-	if (w->store_took >= WATCH_STORE_QUICK) {
-		w->store_doubted = false;
+	if (w->store_took >= WATCH_STORE_READ_SLOW) {
+		w->owner_lacks_store = false;
 		w->store_ok_since = 0;
 	} else if (w->store_ok_since != 0 &&
-		   now - w->store_ok_since >= WATCH_SERVED &&
-		   watch_store_matters(w, now)) {
-		w->store_doubted = false;
-		watch_vacate(w, now, WATCH_CAUSE_STORE);
+		   now - w->store_ok_since >= WATCH_STORE_OK_TIME &&
+		   watch_store_loss_counts(w, now)) {
+		w->owner_lacks_store = false;
+		watch_set_vacant(w, now, WATCH_CAUSE_STORE);
 	} else if (w->store_ok_since == 0) {
 		w->store_ok_since = now;
-		w->next_read = now + WATCH_SERVED;
+		w->next_read = now + WATCH_STORE_OK_TIME;
 	}
 }
 
@@ -387,15 +402,15 @@
 		w->store_read_at = now;
 	}
 	w->read_in_flight = false;
-	w->next_read = now + WATCH_READ_EVERY + w->store_took;
+	w->next_read = now + WATCH_READ_INTERVAL + w->store_took;
 	if (addr[0] == '\0' || strcmp(addr, w->self) == 0) {
 		w->epoch = row->epoch;
-		watch_vacate(w, now,
+		watch_set_vacant(w, now,
 		    addr[0] == '\0' ? WATCH_CAUSE_NO_ROW : WATCH_CAUSE_OWN_ROW);
-		/* This node owned the pool before its restart, and the others
-		 * turn to it first. */
+		/* This node owned the pool before its restart, and the other
+		 * nodes still take it for the owner: it claims first. */
 		if (addr[0] != '\0')
-			w->take_at = now;
+			w->takeover_at = now;
 		return;
 	}
 	if (row->epoch != w->epoch || strcmp(addr, w->owner) != 0) {
@@ -405,9 +420,9 @@
 	}
 	w->contested = row->contested;
 	if (w->read_compared)
-		renewal_read(
+		renewal_add_read(
 		    &w->renewal, w->read_sent, w->store_took, row->serial);
-	watch_store_served(w, now);
+	watch_store_answered(w, now);
 }
 
 enum takeover_cause
@@ -415,50 +430,51 @@
 {
 	bool refused = w->cause == WATCH_CAUSE_REFUSED;
 
-	if (w->renewal.state == RENEWAL_GOES_ON ||
-	    (refused && now - w->owner_since < WATCH_BRIEF))
+	if (w->renewal.state == RENEWAL_CONTINUES ||
+	    (refused && now - w->owner_since < WATCH_OWNERSHIP_SHORT))
 		return TAKEOVER_WORKING_OWNER;
 	return TAKEOVER_SILENT_OWNER;
 }
 
 void
-watch_row_failed(struct watch *w, gb_time now)
+watch_read_failed(struct watch *w, gb_time now)
 {
 	w->read_in_flight = false;
-	w->store_doubted = false;
+	w->owner_lacks_store = false;
 	w->store_ok_since = 0;
-	/* The next read is of another part. */
+	/* The next read goes to another partition. */
 	renewal_reset(&w->renewal);
-	w->next_read = now + WATCH_READ_EVERY + watch_spread(w);
+	w->next_read = now + WATCH_READ_INTERVAL + watch_random_delay(w);
 }
 
 void
 watch_hello_answered(
-    struct watch *w, gb_time now, const struct watch_owner_status *news)
+    struct watch *w, gb_time now, const struct watch_owner_status *status)
 {
 	if (w->hello_in_flight)
-		w->hello_took = now - w->hello_at;
+		w->hello_round_trip = now - w->hello_sent;
 	w->hello_in_flight = false;
-	w->next_hello =
-	    now + (news->place.rank < WATCH_DOUBTERS ? WATCH_HELLO_FIRST
-						     : WATCH_HELLO_EVERY);
-	watch_trust(w, now);
-	watch_owns_pool(w, now);
-	if (news->epoch > w->epoch) {
-		w->epoch = news->epoch;
+	w->next_hello = now + (status->place.rank < WATCH_STORE_CHECKERS
+				      ? WATCH_SUCCESSOR_HELLO_INTERVAL
+				      : WATCH_HELLO_INTERVAL);
+	watch_clear_suspicion(w, now);
+	watch_set_self_owner(w, now);
+	if (status->epoch > w->epoch) {
+		w->epoch = status->epoch;
 		w->owner_since = now;
 	}
-	w->largest_milli = news->largest_milli;
-	w->place = news->place;
-	w->store_doubted =
-	    !news->vacating &&
-	    (news->store_silent > WATCH_STORE_SILENT ||
-		(news->store_unavailable && news->place.rank < WATCH_DOUBTERS));
-	if (!w->store_doubted)
+	w->largest_milli = status->largest_milli;
+	w->place = status->place;
+	w->owner_lacks_store =
+	    !status->vacating &&
+	    (status->store_silent > WATCH_STORE_SILENCE ||
+		(status->store_unavailable &&
+		    status->place.rank < WATCH_STORE_CHECKERS));
+	if (!w->owner_lacks_store)
 		w->store_ok_since = 0;
-	if (news->vacating)
-		watch_vacate(w, now, WATCH_CAUSE_VACATING);
-	else if (!w->store_doubted)
+	if (status->vacating)
+		watch_set_vacant(w, now, WATCH_CAUSE_VACATING);
+	else if (!w->owner_lacks_store)
 		w->vacant = false;
 }
 
@@ -468,9 +484,9 @@
 	snprintf(w->owner, sizeof(w->owner), "%s", addr);
 	w->epoch = epoch;
 	w->vacant = false;
-	w->store_doubted = false;
+	w->owner_lacks_store = false;
 	w->acquiring_since = 0;
-	watch_trust(w, now);
+	watch_clear_suspicion(w, now);
 	w->hello_in_flight = false;
 	w->owner_since = now;
 	w->next_hello = now;
@@ -485,7 +501,7 @@
 }
 
 void
-watch_recheck(struct watch *w, gb_time now)
+watch_hello_now(struct watch *w, gb_time now)
 {
 	if (!w->hello_in_flight && w->next_hello > now)
 		w->next_hello = now;
@@ -495,14 +511,14 @@
 watch_denied(struct watch *w, gb_time now, const char *owner, uint64_t epoch)
 {
 	w->hello_in_flight = false;
-	w->next_hello = now + WATCH_HELLO_EVERY / 2;
+	w->next_hello = now + WATCH_HELLO_INTERVAL / 2;
 	if (epoch > w->epoch && owner[0] != '\0' &&
 	    strcmp(owner, w->self) != 0) {
 		watch_handed(w, now, owner, epoch);
 		return;
 	}
-	/* It owned the pool by the row, but has forgotten so.  It learns of
-	 * it from the row itself; if it does not, this counts as silence. */
+	/* The row names it, but it has restarted since.  It will find that in
+	 * the row itself; if it does not, its denials count as silence. */
 	w->missed++;
 }
 
@@ -510,21 +526,21 @@
 watch_owner_acquiring(struct watch *w, gb_time now)
 {
 	w->hello_in_flight = false;
-	w->next_hello = now + WATCH_HELLO_EVERY / 4;
+	w->next_hello = now + WATCH_HELLO_INTERVAL / 4;
 	if (w->acquiring_since == 0)
 		w->acquiring_since = now;
-	watch_trust(w, now);
+	watch_clear_suspicion(w, now);
 }
 
 void
 watch_hello_failed(struct watch *w, gb_time now, bool refused)
 {
 	w->hello_in_flight = false;
-	/* The first is followed at once by another, over a new connection if
-	 * the one before has gone silent. */
+	/* The first failure is followed by another hello at once, over a new
+	 * connection if the old one has become silent. */
 	w->next_hello = now;
 	if (w->missed++ > 0 || refused)
-		w->next_hello += WATCH_HELLO_EVERY;
+		w->next_hello += WATCH_HELLO_INTERVAL;
 	if (refused)
 		w->refused++;
 }
@@ -532,31 +548,32 @@
 void
 watch_poll_begun(struct watch *w, gb_time now, unsigned int members)
 {
-	w->polled = members;
+	w->poll_size = members;
 	w->asked = members;
 	w->polled_at = now;
 	w->votes = 0;
 	w->votes_unreachable = 0;
 	w->votes_reachable = 0;
 	if (members == 0)
-		w->polled = 1;
+		w->poll_size = 1;
 }
 
 void
-watch_polled(struct watch *w, enum watch_vote word)
+watch_polled(struct watch *w, enum watch_vote vote)
 {
 	w->votes++;
-	if (word == WATCH_VOTE_REACHABLE)
+	if (vote == WATCH_VOTE_REACHABLE)
 		w->votes_reachable++;
-	if (word == WATCH_VOTE_UNREACHABLE)
+	if (vote == WATCH_VOTE_UNREACHABLE)
 		w->votes_unreachable++;
 }
 
 bool
 watch_store_quick(struct watch *w, gb_time now)
 {
-	if (w->store_read_at != 0 && now - w->store_read_at < WATCH_STORE_KNOWN)
-		return w->store_took < WATCH_STORE_USUAL;
+	if (w->store_read_at != 0 &&
+	    now - w->store_read_at < WATCH_STORE_READ_MAX_AGE)
+		return w->store_took < WATCH_STORE_READ_USUAL;
 	if (w->next_read > now)
 		w->next_read = now;
 	return false;
@@ -566,9 +583,9 @@
 watch_lost(struct watch *w, gb_time now, gb_time pause)
 {
 	w->vacant = false;
-	w->store_doubted = false;
+	w->owner_lacks_store = false;
 	w->owner[0] = '\0';
-	watch_trust(w, now);
+	watch_clear_suspicion(w, now);
 	w->hello_in_flight = false;
-	w->next_read = now + watch_spread(w) + pause;
+	w->next_read = now + watch_random_delay(w) + pause;
 }
--- a/libgooseberry/node/watch.h
+++ b/libgooseberry/node/watch.h
@@ -1,6 +1,7 @@
 /**
  * @file watch.h
- * Watches the owner of the pool and decides when to take over.  No I/O.
+ * Monitors the owner of the pool and decides when to take the pool over.
+ * Does no I/O: the caller sends the messages and reports the answers.
  */
 #ifndef GB_WATCH_H
 #define GB_WATCH_H
@@ -13,141 +14,161 @@
 /** What to do next. */
 enum watch_action {
 	WATCH_NOTHING,
-	WATCH_READ,	/**< the owner's row */
-	WATCH_HELLO,	/**< to the owner */
-	WATCH_POLL,	/**< other members: do they hear the owner? */
-	WATCH_TAKE_OVER /**< the pool */
+	WATCH_READ,	/**< read the owner's row from the store */
+	WATCH_HELLO,	/**< send a hello to the owner */
+	WATCH_POLL,	/**< ask other members whether they reach the owner */
+	WATCH_TAKE_OVER /**< claim the pool */
 };
 
-/** Answer of a member that was asked about the owner. */
+/** Vote of a member that was polled about the owner. */
 enum watch_vote {
 	WATCH_VOTE_REACHABLE,
 	WATCH_VOTE_UNREACHABLE,
-	WATCH_VOTE_NONE
+	WATCH_VOTE_NONE /**< no answer, or one that tells nothing */
 };
 
 /** Why the pool counts as vacant. */
 enum watch_cause {
 	WATCH_CAUSE_NONE,
-	WATCH_CAUSE_REFUSED,	/**< nobody listens at the owner's address */
-	WATCH_CAUSE_SILENT,	/**< other members do not hear it either */
-	WATCH_CAUSE_NO_ANSWER,	/**< no member that was asked has answered */
+	WATCH_CAUSE_REFUSED,	/**< the owner's address refuses connections */
+	WATCH_CAUSE_SILENT,	/**< other members do not reach it either */
+	WATCH_CAUSE_NO_ANSWER,	/**< no polled member has answered */
 	WATCH_CAUSE_NO_MEMBERS, /**< it is silent, no other member is known */
-	WATCH_CAUSE_VACATING,	/**< it said that it stops */
-	WATCH_CAUSE_STORE,	/**< it misses the store, this node has it */
-	WATCH_CAUSE_OWN_ROW,	/**< the row names this node */
-	WATCH_CAUSE_NO_ROW,	/**< the row names nobody */
-	WATCH_CAUSES
+	WATCH_CAUSE_VACATING,	/**< it has announced that it stops */
+	WATCH_CAUSE_STORE,	/**< it has lost the store, this node has not */
+	WATCH_CAUSE_OWN_ROW,	/**< the owner's row names this node */
+	WATCH_CAUSE_NO_ROW,	/**< the owner's row names no owner */
+	WATCH_CAUSES		/**< number of causes */
 };
 
+/** Name of a cause in log events and metrics. */
 const char *watch_cause_name(enum watch_cause);
 
 struct watch {
 	char self[GB_NAME_MAX + 1];  /**< address of this node */
-	char owner[GB_NAME_MAX + 1]; /**< address, empty: not known */
-	uint64_t epoch;
-	gb_time owner_since;	/**< this node knows of this owner */
-	bool vacant;		/**< nobody owns the pool */
+	char owner[GB_NAME_MAX + 1]; /**< address, empty: unknown */
+	uint64_t epoch;		     /**< of the owner */
+	gb_time owner_since;	/**< when this node learned of this owner */
+	bool vacant;		/**< no node owns the pool */
 	enum watch_cause cause; /**< why it was found vacant last */
-	bool read_in_flight;
-	bool read_compared; /**< its part is one that the owner renews */
+	bool read_in_flight;	/**< a read of the owner's row */
+	bool read_compared; /**< the read in flight goes to renewal_add_read */
 	bool hello_in_flight;
-	gb_time next_read;
-	gb_time read_sent;
-	bool store_doubted; /**< the owner misses the store: does this node? */
-	gb_time
-	    store_ok_since; /**< this node has the store, the owner not, 0 */
-	gb_time next_hello;
-	gb_time hello_at;	    /**< when the last one was to be sent */
-	gb_time hello_took;	    /**< until the last that was answered was */
-	gb_time last_heard;	    /**< the owner's last answer */
-	gb_time owner_confirmed_at; /**< the last that it gave as the owner */
-	gb_time
-	    acquiring_since;  /**< it reads what is stored since, 0: it owns */
-	gb_time paused;	      /**< this process stood still since, in all */
-	gb_time last_checked; /**< last call of watch_next, 0: none */
-	unsigned int missed;  /**< hellos in a row without answer */
-	unsigned int refused; /**< hellos in a row that reached nobody */
-	uint32_t contested;   /**< as the owner's row says */
+	gb_time next_read; /**< no read before */
+	gb_time read_sent; /**< when the last read was sent */
+	/** The owner reports that it has lost the store. */
+	bool owner_lacks_store;
+	/** Since then the store has answered this node while the owner lacks
+	 * it; 0: it has not. */
+	gb_time store_ok_since;
+	gb_time next_hello;	  /**< no hello before */
+	gb_time hello_sent;	  /**< when the last hello was sent */
+	gb_time hello_round_trip; /**< round trip of the last answered hello */
+	gb_time last_heard;	  /**< last answer of the owner */
+	gb_time owner_confirmed_at; /**< last answer it gave as the owner */
+	/** The new owner has been loading the stored state since then, 0: it is
+	 * not loading. */
+	gb_time acquiring_since;
+	gb_time paused; /**< pauses of this process since last_heard, total */
+	gb_time last_checked;	/**< last call of watch_next, 0: none */
+	unsigned int missed;	/**< hellos in a row without answer */
+	unsigned int refused;	/**< connections in a row that were refused */
+	uint32_t contested;	/**< from the owner's row, see watch_row */
 	struct renewal renewal; /**< of the row, while the owner is silent */
-	gb_time take_at;	/**< not before */
-	unsigned int polled;	/**< members asked */
-	unsigned int asked;	/**< the same, kept after the poll's end */
-	unsigned int votes;	/**< answers and failures of these */
-	unsigned int votes_unreachable; /**< do not hear the owner either */
+	gb_time takeover_at;	/**< no takeover before */
+	unsigned int poll_size; /**< members in the current poll, 0: none */
+	unsigned int asked;	/**< members in the last poll */
+	unsigned int votes;	/**< answers to the poll and failures */
+	unsigned int votes_unreachable; /**< do not reach the owner either */
 	unsigned int votes_reachable;
 	gb_time polled_at;
-	gb_time cleared_until;	 /**< others hear the owner: no suspicion */
-	struct succession place; /**< as the owner told it last */
-	gb_time store_took;	 /**< by the last read that was answered */
-	gb_time store_read_at;	 /**< when that answer came, 0: never */
-	uint32_t own_milli;	 /**< processor of this node, in thousandths */
+	gb_time suspect_after;	 /**< no suspicion before: a member has
+				    reached the owner */
+	struct succession place; /**< of this node, as the owner sent it last */
+	gb_time store_took;	 /**< duration of the last answered read */
+	gb_time store_read_at;	 /**< when that answer came, 0: none yet */
+	uint32_t own_milli;	 /**< processor of this node in milli-cores */
 	uint32_t largest_milli;	 /**< of the largest live member, 0: unknown */
-	uint64_t seed;
+	uint64_t seed;		 /**< of the random delays */
 };
 
+/** Initialise for the node with the address `self` and a processor of
+ * `own_milli` milli-cores. */
 void watch_init(struct watch *, const char *self, uint32_t own_milli,
     gb_time now, uint64_t seed);
+/** Return what the caller has to do now. */
 enum watch_action watch_next(struct watch *, gb_time now);
 /** A read of the owner's row was sent. */
 void watch_reading(struct watch *, gb_time now);
-/** The owner's row, as a part of the tables has it. */
+/** The owner's row, as a partition of the tables has it. */
 struct watch_row {
-	const char *addr; /**< null or empty: nobody owns the pool */
+	const char *addr; /**< null or empty: no owner */
 	uint64_t epoch;
 	uint64_t serial;    /**< grows with each write of the row */
-	uint32_t contested; /**< takeovers from owners at work, lately */
+	uint32_t contested; /**< recent takeovers from working owners */
 };
 
+/** The read of the owner's row was answered. */
 void watch_row(struct watch *, gb_time now, const struct watch_row *);
-/** Why the pool is taken, if it is now. */
+/** Cause to record if the pool is taken over now. */
 enum takeover_cause watch_takeover_cause(const struct watch *, gb_time now);
-/** Whether the next read is compared with others of the same part, of those
- * that an owner renews whatever else it writes. */
-bool watch_compares(const struct watch *, gb_time now);
-void watch_row_failed(struct watch *, gb_time now);
-/** What an owner says of itself when it answers a hello. */
+/** Whether the next read is to be compared with earlier ones.  Then all reads
+ * must go to one partition, of those whose row the owner renews regularly even
+ * when it writes nothing else. */
+bool watch_read_compared(const struct watch *, gb_time now);
+/** The read of the owner's row failed. */
+void watch_read_failed(struct watch *, gb_time now);
+/** Status of an owner in its answer to a hello. */
 struct watch_owner_status {
-	uint64_t epoch;		/**< of its ownership */
-	bool vacating;		/**< it stops: whoever is next may claim */
-	bool store_unavailable; /**< the store does not take its writes */
-	gb_time store_silent;	/**< since the store last answered it */
-	uint32_t largest_milli; /**< processor of the largest member */
-	struct succession place;
+	uint64_t epoch;		 /**< of its ownership */
+	bool vacating;		 /**< it stops: the next in rank may claim */
+	bool store_unavailable;	 /**< the store does not take its writes */
+	gb_time store_silent;	 /**< since the store last answered it */
+	uint32_t largest_milli;	 /**< milli-cores of the largest member */
+	struct succession place; /**< of the node that sent the hello */
 };
 
 /** The owner answered a hello. */
 void watch_hello_answered(
     struct watch *, gb_time now, const struct watch_owner_status *);
-/** The owner has handed the pool to a member. */
+/** The owner has handed the pool over to the member `addr`, or that member was
+ * found to be a newer owner. */
 void watch_handed(
     struct watch *, gb_time now, const char *addr, uint64_t epoch);
-/** Members that this node learned of while it owned the pool itself. */
+/** Set the number of members that this node knows after it has owned the pool
+ * itself. */
 void watch_members(struct watch *, unsigned int members);
-/** Ask the owner anew, at once: it did not know its part. */
-void watch_recheck(struct watch *, gb_time now);
-/** The node that was said to own the pool does not, and knows this much. */
+/** Send a hello at once: the presumed owner has answered that it is not the
+ * owner. */
+void watch_hello_now(struct watch *, gb_time now);
+/** The presumed owner answered that it does not own the pool, and named the
+ * owner and epoch that it knows. */
 void watch_denied(
     struct watch *, gb_time now, const char *owner, uint64_t epoch);
-/** The node that the row names is taking the pool over: wait for it. */
+/** The node in the owner's row is still taking the pool over: wait for it. */
 void watch_owner_acquiring(struct watch *, gb_time now);
-/** A hello got no answer; refused when nobody was reached at all. */
+/** A hello got no answer.
+ * @param refused the connection was refused
+ */
 void watch_hello_failed(struct watch *, gb_time now, bool refused);
+/** A poll was sent to so many members. */
 void watch_poll_begun(struct watch *, gb_time now, unsigned int members);
+/** A polled member has answered, or failed to. */
 void watch_polled(struct watch *, enum watch_vote);
-/** Whether the owner is still reading what is stored, for longer than that
- * takes where the link is no matter: it can't take anything in yet. */
-bool watch_owner_reads(const struct watch *, gb_time now);
+/** Whether the new owner is loading the stored state for longer than usual, as
+ * over a slow link.  It can't accept flows before it has finished. */
+bool watch_owner_loads_slowly(const struct watch *, gb_time now);
 /** This node owns the pool. */
-void watch_owns_pool(struct watch *, gb_time now);
-/** How long nobody has answered as the owner. */
+void watch_set_self_owner(struct watch *, gb_time now);
+/** Time since a node last answered as the owner. */
 gb_time watch_time_without_owner(const struct watch *, gb_time now);
-/** How long the owner was not heard while this process could have heard it. */
-gb_time watch_silence(const struct watch *, gb_time now);
-/** Whether the store has answered a moment ago, and as quickly as usual.  If it
- * is not known, the owner's row is read at once. */
+/** Time since the owner's last answer, without pauses of this process. */
+gb_time watch_owner_silence(const struct watch *, gb_time now);
+/** Whether the store has answered recently, and as quickly as usual.  If this
+ * is unknown, the owner's row is read at once. */
 bool watch_store_quick(struct watch *, gb_time now);
-/** Another node took the pool, or this one failed to. */
+/** This node has lost the pool or failed to claim it.  The row is read again
+ * after the given pause. */
 void watch_lost(struct watch *, gb_time now, gb_time pause);
 
 #endif
