--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -1,12 +1,12 @@
 /**
  * @file intake.c
- * Takes callers' requests to the owner of the pool.
+ * Forwards callers' requests to the owner of the pool.
  *
- * Load: the owner is lost for a second or two while callers go on.  A
- * submission that finds no owner is written to the store by this node, under
- * the same condition that the owner would use, so that it is accepted without
- * waiting; the new owner finds it there.  Whether it may have been accepted is
- * kept apart from whether it surely was not: only the latter is refused.
+ * Callers go on submitting while the pool has no owner for a second or two.
+ * Then this node writes a submission to the store itself, under the same
+ * condition that the owner would use, and accepts it without waiting; the new
+ * owner finds it there.  A submission that may have been accepted is answered
+ * as such; it is refused only when it certainly was not.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -15,32 +15,35 @@
 
 #include "node_state.h"
 
-/** A try at the owner; the owner writes within 20 to 40 ms when all is calm. */
+/** Timeout of an attempt at the owner, which writes a flow within 20 to 40 ms
+ * when the store is fast. */
 #define ATTEMPT_TIMEOUT (700 * GB_MSEC)
-/** Pause between tries. */
+/** Pause between attempts. */
 #define ATTEMPT_PAUSE (40 * GB_MSEC)
-/** A submission waits this long for an owner to appear before this node
- * writes it itself. */
+/** Time that a submission waits for an owner before this node writes it itself.
+ */
 #define WRITE_DELAY (120 * GB_MSEC)
-/** A node that finds neither owner nor store turns the caller away after this,
- * and so many reads of the store more: long enough for a takeover, early enough
- * to come back. */
+/** Time after which a node without owner and store rejects a request, in
+ * addition to OWNER_WAIT_READS times the duration of a read: long enough for a
+ * takeover, short enough for the caller to retry. */
 #define OWNER_WAIT (400 * GB_MSEC)
 #define OWNER_WAIT_READS 8
-/** A caller's answer goes out this much before its time is up. */
+/** A caller is answered this long before its timeout. */
 #define ANSWER_MARGIN (150 * GB_MSEC)
-/** A look at the store that takes longer says that it is slow for everybody: a
- * write would come too late. */
+/** Longest read of the store before a write in place of the owner.  A slower
+ * store is slow for all nodes, and the write would come too late. */
 #define CHECK_READ_USUAL (40 * GB_MSEC)
-/** Time to come back after a refusal for want of room on the owner's link. */
+/** Retry time in a refusal because the owner's link is full. */
 #define SHED_RETRY (2 * GB_SEC)
-/** Nobody has served for so long: it is not just a takeover. */
+/** Time without an owner from which the bytes that this node stores are
+ * limited.  A takeover is shorter. */
 #define BUDGET_AFTER (1500 * GB_MSEC)
-/** What was not stored meanwhile is made up for within this. */
+/** Time for which an unused budget of bytes accumulates. */
 #define BUDGET_TIME (2 * GB_SEC)
-/** Bytes of a start beside its specification. */
+/** Bytes of an order to start a task, without the specification. */
 #define FLOW_TASK_BYTES 520
-/** Time to come back after a refusal for want of an owner and the store. */
+/** Retry time in a refusal because neither an owner nor the store was reached.
+ */
 #define RETRY_AFTER (GB_SEC)
 
 static void
@@ -63,7 +66,8 @@
 	intake_free(in);
 }
 
-/** The caller's time is up while a try is out: it may have been accepted. */
+/** The caller's time is up while an attempt is in flight: the request may have
+ * been carried out. */
 static void
 intake_answer_early(struct intake *in)
 {
@@ -96,7 +100,8 @@
 	intake_finish(in, &answer);
 }
 
-/** The owner refused it; an earlier try may have been accepted. */
+/** The owner refused the request, but may have carried out an earlier attempt.
+ */
 static void
 intake_refused(struct intake *in, const gb_flow_answer *answer)
 {
@@ -115,7 +120,7 @@
 
 /* At the store, without the owner ----------------------------------------- */
 
-/** State of a stored flow, as callers of an organisation are told. */
+/** Status of a stored flow that callers of an organisation may see. */
 static gb_flow_status
 flow_state_status(const struct gb_pool_row *row, const char *org)
 {
@@ -145,7 +150,7 @@
 						  in->ask.caller.org);
 	if (in->ask.op == GB_FLOW_OP_CANCEL &&
 	    answer.status != GB_FLOW_UNKNOWN) {
-		/* It is there: the owner must hear of it. */
+		/* The flow exists, so the owner must cancel it. */
 		intake_retry(in);
 		return;
 	}
@@ -174,6 +179,7 @@
 	flow_state_request(in, in->ask.id, flow_state_read);
 }
 
+/** Whether the request may go on waiting for an owner. */
 static bool
 intake_may_wait(const struct intake *in)
 {
@@ -216,6 +222,7 @@
 	}
 }
 
+/** Write a submission to the store, unless the flow is there already. */
 static void
 intake_write(struct intake *in)
 {
@@ -248,9 +255,9 @@
 
 /* At the owner ------------------------------------------------------------ */
 
-/** Whether the store takes what it refuses the owner: a read tells, and can't
- * be lost like a write whose caller must then be told that it may have landed.
- */
+/** The store, which does not take the owner's writes, has answered this node's
+ * read.  The read is sent before the write, since a caller whose write gets no
+ * answer must be told that it may have been carried out. */
 static void
 flow_state_checked(struct node_call *call, const struct gb_pool_read_res *res)
 {
@@ -270,8 +277,8 @@
 	}
 }
 
-/** The store refuses the owner, and perhaps the owner alone: this node tries
- * once itself, so that the flow is there when another takes over. */
+/** The store rejects the owner's writes, perhaps only the owner's: this node
+ * tries once to store the flow itself, for the next owner to find. */
 static void
 intake_owner_cant_store(struct intake *in, const gb_flow_answer *answer)
 {
@@ -315,7 +322,7 @@
 	}
 	if (in->submit == NULL && in->ask.op != GB_FLOW_OP_PENDING &&
 	    answer->status == GB_FLOW_UNKNOWN) {
-		/* The owner may have missed it: the store has the last word. */
+		/* The owner may not know the flow yet: look in the store. */
 		intake_read(in);
 		return;
 	}
@@ -336,6 +343,7 @@
 	intake_retry(in);
 }
 
+/** Pass the request to the pool core of this node, which owns the pool. */
 static void
 intake_local(struct intake *in)
 {
@@ -352,6 +360,7 @@
 		gb_pool_ask(node->pool, node_now(), caller->token, &in->ask);
 }
 
+/** Send the request to the owner. */
 static void
 intake_remote(struct intake *in, gb_time left)
 {
@@ -368,8 +377,8 @@
 		    owner_answered, in);
 }
 
-/** Bytes that an owner sends and reads for a flow: what is stored, and a start
- * of each task. */
+/** Bytes that an owner reads and sends for a flow: the stored flow, and an
+ * order to start each task. */
 static uint64_t
 flow_bytes(const gb_flow *flow)
 {
@@ -381,9 +390,9 @@
 	return tasks * (FLOW_TASK_BYTES + strlen(flow->spec));
 }
 
-/** Whether the next owner's link can be expected to carry what is stored for
- * it: once nobody has served for longer than a takeover takes, this node stores
- * no more than its part of half of what such a link carries. */
+/** Whether this node may store another flow.  When the pool has had no owner
+ * for longer than a takeover takes, all nodes together store no more than half
+ * of what the next owner's link can carry, each an equal part. */
 static bool
 budget_allows(struct intake *in, gb_time now)
 {
@@ -408,9 +417,9 @@
 	return true;
 }
 
-/** Nobody owns the pool.  While the store is slow the writes of all nodes would
- * hold up the claim of the next owner, by seconds with 35 nodes: it is waited
- * for. */
+/** Store a submission while the pool has no owner.  With a slow store it waits
+ * for the next owner instead: the writes of 35 nodes would delay that owner's
+ * claim by seconds. */
 static void
 intake_try_store(struct intake *in, gb_time now)
 {
@@ -431,8 +440,8 @@
 	}
 }
 
-/** Whether the owner has no room for a flow on its link.  One that it may have
- * got already is asked about. */
+/** Whether the flow is rejected because the owner's link is full.  A flow that
+ * an earlier attempt may have stored is not. */
 static bool
 intake_shed(const struct intake *in)
 {
@@ -459,25 +468,25 @@
 	    watch_owner_silence(&node->watch, now) > NODE_OWNER_SILENCE ||
 	    node->watch.refused > 0;
 	bool owner = node->watch.owner[0] != '\0' && !node->watch.vacant;
-	bool reads = watch_owner_loads_slowly(&node->watch, now);
+	bool loading = watch_owner_loads_slowly(&node->watch, now);
 
 	in->tries++;
 	in->in_flight = true;
 	if (gb_pool_owns(node->pool)) {
 		intake_local(in);
-	} else if (owner && !silent && !reads && intake_shed(in)) {
+	} else if (owner && !silent && !loading && intake_shed(in)) {
 		intake_refuse_for_link(in);
-	} else if (owner && !silent && !reads) {
+	} else if (owner && !silent && !loading) {
 		intake_remote(in, in->deadline - now);
 	} else if (in->submit != NULL && node_store_unavailable(node)) {
-		/* Neither an owner nor the store: known at once. */
+		/* Neither an owner nor the store: refuse at once. */
 		in->in_flight = false;
 		intake_give_up(in);
 	} else if (in->submit != NULL &&
-		   (silent || reads || now - in->began >= WRITE_DELAY)) {
+		   (silent || loading || now - in->began >= WRITE_DELAY)) {
 		intake_try_store(in, now);
 	} else if (in->submit == NULL && in->ask.op == GB_FLOW_OP_STATE &&
-		   (silent || reads || in->tries > 2)) {
+		   (silent || loading || in->tries > 2)) {
 		intake_read(in);
 	} else {
 		intake_retry(in);
@@ -512,7 +521,7 @@
 	gb_time now = node_now();
 	gb_time most = node->leave_by - now;
 
-	/* A process that stops answers all before its end. */
+	/* A stopping process answers all callers before it ends. */
 	if (node->leaving && timeout > most)
 		timeout = most > 0 ? most : 1;
 	in->node = node;
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -1,7 +1,7 @@
 /**
  * @file node.c
- * The process of a node: carries events into the pool core and the watch, and
- * what they ask for out.
+ * The process of a node: passes events to the pool core and to the watch, and
+ * sends the calls that they request.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,27 +10,30 @@
 
 #include "node_state.h"
 
-/** Tick of an owner, and of a node with callers that wait. */
+/** Tick interval of an owner, and of a node with callers that wait. */
 #define TICK_BUSY_MS 5
-/** Tick of a node that has little to do. */
+/** Tick interval of other nodes. */
 #define TICK_IDLE_MS 25
-/** Calls in a row without success after which the store counts as out for this
- * node, and the pause between looks whether it is back. */
+/** Failed calls in a row from which the store counts as unavailable to this
+ * node. */
 #define STORE_FAILURES_MAX 2
+/** Pause between probes of a store that is unavailable. */
 #define STORE_PROBE_INTERVAL (200 * GB_MSEC)
 /** Silence of the owner after which a node without the store isn't ready. */
 #define READY_SILENCE (1500 * GB_MSEC)
-/** Descriptors for callers, members, the store and files. */
+/** Descriptors that are reserved for callers, members, the store and files; the
+ * others are for connections to workers. */
 #define FILES_RESERVED 900
-/** Callers are answered this much before a stopping process would be killed. */
+/** Callers are answered this long before a stopping process would be killed. */
 #define LEAVE_MARGIN (1200 * GB_MSEC)
-/** The link is said to be full when what was sent waits this long, which a hold
- * is given beside its own wait, and free again below the other. */
+/** The link counts as full when sent bytes wait for longer than this.  Timeouts
+ * of heartbeats allow for such a wait. */
 #define LINK_FULL_DELAY (200 * GB_MSEC)
+/** A full link counts as free again when the wait is at most this. */
 #define LINK_FREE_DELAY (20 * GB_MSEC)
-/** Headers of TCP and IP of an answer, and of what acknowledges a request. */
+/** TCP and IP headers of an answer and of the acknowledgement of a request. */
 #define LINK_HEADER_BYTES 80
-/** A call of advice by way of a member. */
+/** Timeout of a call to the advice service through a member. */
 #define ADVISE_TIMEOUT (3 * GB_SEC)
 
 gb_time
@@ -105,7 +108,7 @@
 	node->platform.heartbeat(node->platform.data, call, heartbeat);
 }
 
-/** What the end of a member's call of advice needs. */
+/** Context of a call to the advice service through a member. */
 struct advise_op {
 	struct gb_node *node;
 	uint64_t call;
@@ -213,16 +216,16 @@
 static void
 store_answered(struct gb_node *node, gb_store_status status)
 {
-	bool out = node_store_unavailable(node);
+	bool unavailable = node_store_unavailable(node);
 
 	if (status == GB_STORE_OK || status == GB_STORE_CONFLICT)
 		node->store_failures = 0;
 	else
 		node->store_failures++;
-	if (out != node_store_unavailable(node))
+	if (unavailable != node_store_unavailable(node))
 		gb_event(node->events, GB_EVENT_ALWAYS,
-		    out ? "store_regained" : "store_out", "{s:i}", "status",
-		    (int)status);
+		    unavailable ? "store_regained" : "store_out", "{s:i}",
+		    "status", (int)status);
 }
 
 static void
@@ -233,7 +236,7 @@
 	call->node->store_probe_at = node_now() + STORE_PROBE_INTERVAL;
 }
 
-/** A store that is out is asked for a small row, until it answers. */
+/** Read a small row from a store that is unavailable, until it answers. */
 static void
 store_probe(struct gb_node *node)
 {
@@ -325,9 +328,9 @@
 	free(call);
 }
 
-/* News -------------------------------------------------------------------- */
+/* Configurations and workers ---------------------------------------------- */
 
-/** Organisations and keys that can't be used, by reason. */
+/** Log the organisations and keys that are invalid, by reason. */
 static void
 org_errors_log(struct gb_node *node, const struct gb_pool_config *config)
 {
@@ -360,7 +363,7 @@
 	       node->config_newest_known > node->config->version;
 }
 
-/** How long others have been known to have a newer version. */
+/** Time since this node learned that another one has a newer version. */
 static gb_time
 config_behind_for(const struct gb_node *node)
 {
@@ -384,7 +387,8 @@
 		gb_pool_config_unref(config);
 		return;
 	}
-	/* Without its list of organisations it must not open all queues. */
+	/* Once keys were required, a version without organisations must not
+	 * open the queues to callers without a key. */
 	if (node->config != NULL && node->config->keyed)
 		config->keyed = true;
 	gb_event(node->events, GB_EVENT_ALWAYS, "config_taken",
@@ -414,7 +418,8 @@
 
 /* Watch ------------------------------------------------------------------- */
 
-/** Parts are asked in turn: some may be out while others answer. */
+/** The row could not be read: the next read goes to the next partition, as some
+ * may be unavailable while others answer. */
 static void
 owner_row_failed(struct gb_node *node)
 {
@@ -435,7 +440,8 @@
 		owner_row_failed(node);
 		return;
 	}
-	/* A part that the owner could not attach names an earlier one. */
+	/* A partition that the owner could not attach names an earlier owner.
+	 */
 	if (record.row.epoch < gb_pool_epoch(node->pool)) {
 		gb_owner_record_clear(&record);
 		owner_row_failed(node);
@@ -509,8 +515,8 @@
 	}
 }
 
-/** Bytes that were received, with the headers of the network, but for what an
- * owner reads: it asks for no more than the link has room for. */
+/** Bytes received, with network headers.  Reads of the store don't count, since
+ * an owner requests no more than its link can carry. */
 static uint64_t
 link_received(const struct gb_link *link)
 {
@@ -526,7 +532,7 @@
 	return bytes;
 }
 
-/** The owner tells members how much of what callers send they keep from it. */
+/** Update the percentage of new flows that members are to reject. */
 static void
 link_shed(struct gb_node *node)
 {
@@ -539,7 +545,8 @@
 		    gb_link_rate(link));
 }
 
-/** Tell when the link is busy for long, and with what, and when it is not. */
+/** Log when the link becomes full, with the kind of traffic that sent most, and
+ * when it is free again. */
 static void
 link_events(struct gb_node *node)
 {
@@ -676,7 +683,8 @@
 	bool owner = gb_pool_owns(node->pool) ||
 		     node_now() - node->watch.last_heard < READY_SILENCE;
 
-	/* A node that reaches neither an owner nor the store serves nobody. */
+	/* A node that reaches neither an owner nor the store can't serve
+	 * callers. */
 	return node->config != NULL && !node->leaving &&
 	       (owner || !node_store_unavailable(node));
 }
--- a/libgooseberry/node/node.h
+++ b/libgooseberry/node/node.h
@@ -1,8 +1,8 @@
 /**
  * @file node.h
- * A node: one process on each instance.  Takes callers' flows in, hands them
- * to the owner of the pool, calls the advice service for the owner, and takes
- * the pool over when the owner is lost.
+ * A node: the process on each instance.  It accepts callers' flows and forwards
+ * them to the owner of the pool, calls the advice service for the owner, and
+ * takes the pool over when the owner is lost.
  */
 #ifndef GB_NODE_H
 #define GB_NODE_H
@@ -11,8 +11,8 @@
 
 struct gb_node;
 
-/** The outside systems.  Every call ends later with one of the functions
- * below that bear its name, exactly once, under the same number. */
+/** Calls to the outside systems.  Each call ends later, exactly once, with the
+ * function gb_node_<name>_done below and the same call number. */
 struct gb_node_platform {
 	void (*start)(void *, uint64_t call, const struct gb_pool_order *);
 	void (*stop)(void *, uint64_t call, const struct gb_pool_order *);
@@ -21,15 +21,16 @@
 	void (*advise)(void *, uint64_t call, const gb_advice_ask *);
 	void (*txn)(void *, uint64_t call, const struct gb_pool_txn *);
 	void (*read)(void *, uint64_t call, const struct gb_pool_read *);
-	/** Follow the list of workers, or stop doing so. */
+	/** Start or stop following the list of workers, whose changes are
+	 * reported with gb_node_workers_seen. */
 	void (*follow_workers)(void *, bool on);
-	/** Decode a configuration in the form in which it was stored; null when
-	 * it is malformed. */
+	/** Decode a configuration from its stored form; null when it is
+	 * malformed. */
 	struct gb_pool_config *(*config_decode)(const char *, size_t);
 	void *data;
 };
 
-/** In place of an address: the one where the node listens. */
+/** Setting `advertise`: other nodes reach the node where it listens. */
 #define GB_NODE_SAME_ADDR "0.0.0.0:0"
 
 /** Settings of gooseberry-node. */
@@ -38,16 +39,16 @@
 	char dc[GB_NAME_MAX + 1];
 	char listen[GB_NAME_MAX + 1]; /**< of the peer port */
 	char addr[GB_NAME_MAX + 1];   /**< where other nodes reach it */
-	char front[GB_NAME_MAX + 1];
-	char ready[GB_NAME_MAX + 1];
+	char front[GB_NAME_MAX + 1];  /**< where it listens for callers */
+	char ready[GB_NAME_MAX + 1];  /**< where it answers the balancer */
 	char metrics[GB_NAME_MAX + 1];
 	char store[GB_NAME_MAX + 1];
 	char advice[GB_NAME_MAX + 1];
-	char cpu_share[GB_NAME_MAX + 1];
-	char link_mbps[GB_NAME_MAX + 1];
+	char cpu_share[GB_NAME_MAX + 1]; /**< number of cores */
+	char link_mbps[GB_NAME_MAX + 1]; /**< 0: unlimited */
 	char orders[GB_NAME_MAX + 1];
-	char disabled_features[GB_KEY_MAX +
-			       1]; /**< mechanisms that are switched off */
+	/** Names of disabled features, separated by commas. */
+	char disabled_features[GB_KEY_MAX + 1];
 	int64_t lease_ms, stop_ms, keep_s;
 	int64_t log_lines, log_level, grace_s, files, strict_keys_ms;
 };
@@ -55,15 +56,18 @@
 extern const struct gb_setting gb_node_settings_table[];
 extern const size_t gb_node_settings_count;
 
+/** Create a node and listen for other nodes.  Returns null with an error when a
+ * setting is invalid or an address can't be used. */
 struct gb_node *gb_node_new(struct uv_loop_s *, const struct gb_env *,
     const struct gb_node_settings *, const struct gb_node_platform *,
     struct gb_events *, struct gb_error *);
-/** Planned stop: hand the pool over. */
+/** Begin the planned stop of the process: hand the pool over. */
 void gb_node_leave(struct gb_node *);
-/** Whether the pool has been handed over. */
+/** Whether the node neither owns the pool nor is taking it over. */
 bool gb_node_left(const struct gb_node *);
-/** Whether callers should be sent here. */
+/** Whether the balancer may send callers to this node. */
 bool gb_node_ready(const struct gb_node *);
+/** Configuration in use, null before the first one. */
 const struct gb_pool_config *gb_node_config(const struct gb_node *);
 /** Whether another node is known to have a newer configuration. */
 bool gb_node_config_behind(const struct gb_node *);
@@ -72,17 +76,22 @@
 
 typedef void (*gb_node_answer)(void *, const gb_flow_answer *);
 
-/** Take a flow in; answered once, within the timeout. */
+/** Submit a flow.  The answer comes once, within the timeout. */
 void gb_node_submit(struct gb_node *, const gb_flow_submit *, gb_time timeout,
     gb_node_answer, void *);
+/** Ask for the state of a flow, or cancel one.  The answer comes once, within
+ * the timeout. */
 void gb_node_ask(struct gb_node *, const gb_flow_ask *, gb_time timeout,
     gb_node_answer, void *);
 
-/* News of the platform ---------------------------------------------------- */
+/* Reports of the platform ------------------------------------------------- */
 
-/** The newest configuration, as it is stored. */
+/** A configuration was received, in its stored form.  It is ignored unless it
+ * is newer than the present one. */
 void gb_node_config_seen(struct gb_node *, const char *, size_t);
-/** Entries of the list of workers; a whole list names all there are. */
+/** Entries of the list of workers were received.
+ * @param whole they are all the workers that exist, not just changes
+ */
 void gb_node_workers_seen(
     struct gb_node *, const struct gb_pool_entry *, size_t count, bool whole);
 void gb_node_start_done(
@@ -98,7 +107,7 @@
 void gb_node_read_done(
     struct gb_node *, uint64_t call, const struct gb_pool_read_res *);
 
-/** Counters in the common text form. */
+/** Add the counters and histograms in the text format of Prometheus. */
 void gb_node_metrics(struct gb_node *, struct gb_text *);
 
 #endif
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -9,24 +9,25 @@
 
 #include "node_state.h"
 
-/** A hello without answer after this counts as silence. */
+/** Timeout of a hello, and of a configuration that is sent to the owner. */
 #define HELLO_TIMEOUT (600 * GB_MSEC)
-/** Members that are asked whether they hear the owner. */
+/** Members that are polled about the owner. */
 #define POLL_MEMBERS_MAX 3
-/** A member that is behind with its configuration for this long is sent it; the
- * bound for all of them is 2 s. */
+/** A node that has had an older configuration for this long is sent the newest
+ * one.  All nodes must have it within 2 s. */
 #define PUSH_AFTER (500 * GB_MSEC)
-/** An owner that is behind is sent it by the first member in the order of
- * succession, unless that has not got it: each waits for those before it, and
- * those that are far behind leave it. */
+/** An owner with an older configuration is sent the newest one by the first
+ * successor that has it: each waits this long for each one before it. */
 #define PUSH_RANK_DELAY (100 * GB_MSEC)
+/** Successors that send the owner a configuration at all. */
 #define PUSH_RANKS_MAX 10
-/** An owner that has not taken it is left alone for this long: its program may
- * be too old for it. */
+/** Pause before the same version is sent to the same owner again.  It may be
+ * unable to read it because its program is too old. */
 #define PUSH_REPEAT_PAUSE (10 * GB_SEC)
-/** What a node spends on that: a tenth of its link, and a third of one of
- * 10 Mbit/s where its bandwidth is not known. */
+/** Configurations are sent to members at a tenth of the link's rate at most. */
 #define PUSH_LINK_DIVISOR 10
+/** Largest rate for that, and the rate when the bandwidth is unknown: a third
+ * of a link of 10 Mbit/s. */
 #define PUSH_BYTES_PER_S_MAX 400000
 
 static void
@@ -102,7 +103,7 @@
 	    (json_int_t)(verdict == GB_RUN ? res->config : 0));
 }
 
-/** Whether this owner was sent this version a short while ago. */
+/** Whether this owner was sent this version recently. */
 static bool
 config_sent_recently(const struct gb_node *node, const gb_hello_res *res)
 {
@@ -111,9 +112,9 @@
 	       node_now() < node->config_resend_at;
 }
 
-/** An owner that is cut from the operator's table, or reads an old copy of it,
- * would keep the flows of newer members waiting: it is sent what they have, by
- * the first in the order of succession that has it. */
+/** Send the owner the configuration of this node if the owner's is older.  An
+ * owner that is cut off from the operator's table, or reads an old copy of it,
+ * would keep flows waiting that members with a newer version have accepted. */
 static void
 config_send_to_owner(
     struct gb_node *node, const gb_hello_res *res, unsigned int rank)
@@ -141,24 +142,24 @@
 	    GB_PROC_CONFIG, &news, HELLO_TIMEOUT, config_send_done, node);
 }
 
-/** A hello that is out, and to whom. */
+/** A hello that is in flight. */
 struct hello_call {
 	struct gb_node *node;
 	char to[GB_NAME_MAX + 1];
 	gb_time sent;
 };
 
-/** The answer of the owner, or none. */
+/** The hello to the owner was answered, or failed. */
 static void
 owner_answered(struct gb_node *node, const struct hello_call *call,
     gb_verdict verdict, const gb_hello_res *res)
 {
-	struct watch_owner_status news = {0};
+	struct watch_owner_status status = {0};
 	gb_time now = node_now();
 
 	if (verdict != GB_RUN) {
-		/* A connection that does not come about in time was not
-		 * refused: its packets may be lost. */
+		/* A connection that timed out was not refused: its packets may
+		 * have been lost. */
 		watch_hello_failed(&node->watch, now,
 		    verdict == GB_NOT_RUN && now - call->sent < HELLO_TIMEOUT);
 		owner_monitor_hello_lost(node);
@@ -177,15 +178,15 @@
 	}
 	gb_pool_epoch_seen(node->pool, now, res->epoch);
 	known_members_update(node, res);
-	news.epoch = res->epoch;
-	news.vacating = res->vacating && !node->leaving;
-	news.store_unavailable = res->store_unavailable;
-	news.store_silent = res->store_silent_us;
-	news.largest_milli = res->largest_milli;
-	news.place = succession_from_hello(node, res);
+	status.epoch = res->epoch;
+	status.vacating = res->vacating && !node->leaving;
+	status.store_unavailable = res->store_unavailable;
+	status.store_silent = res->store_silent_us;
+	status.largest_milli = res->largest_milli;
+	status.place = succession_from_hello(node, res);
 	node->shed_told = res->shed;
 	config_send_to_owner(node, res, res->rank);
-	watch_hello_answered(&node->watch, now, &news);
+	watch_hello_answered(&node->watch, now, &status);
 }
 
 static void
@@ -194,8 +195,7 @@
 	struct hello_call *call = data;
 	struct gb_node *node = call->node;
 
-	/* What another owner than the present one answers says nothing of this
-	 * one. */
+	/* An answer of an earlier owner says nothing about the present one. */
 	if (strcmp(call->to, node->watch.owner) == 0)
 		owner_answered(node, call, verdict, arg);
 	else if (verdict == GB_RUN)
@@ -273,8 +273,9 @@
 
 /* Serving ----------------------------------------------------------------- */
 
-/** Whether to send a member the configuration: it reads it from the store
- * itself, and is helped only when it does not come to it. */
+/** Whether to send a member the configuration in the answer to its hello.
+ * Members read it from the store themselves; it is sent only to those that have
+ * not done so for some time. */
 static bool
 config_push_due(struct gb_node *node, const struct gb_hello *hello)
 {
@@ -313,7 +314,7 @@
 	res.vacating =
 	    node->released || (node->leaving && !node->handover.under_way);
 	res.epoch = gb_pool_epoch(node->pool);
-	/* Of the member that the pool was handed to. */
+	/* The epoch of the member that the pool was handed to may be newer. */
 	if (node->watch.epoch > res.epoch)
 		res.epoch = node->watch.epoch;
 	res.owner_addr = node->watch.owner;
