--- a/libgooseberry/node/caller.c
+++ b/libgooseberry/node/caller.c
@@ -1,12 +1,12 @@
 /**
  * @file caller.c
- * Who calls: the organisation of a request, by its key.
+ * Identifies the organisation of a caller by the key of its request.
  *
- * Load: keys are taken away while a node is cut from the store.  It can't know
- * whether the version that it has is the newest.  Serving by it keeps callers
- * served through outages of the store, which are far more frequent than keys
- * that are taken away; where an operator asks for the opposite, keys are not
- * judged by a version that has not been confirmed for some time.
+ * A key may be revoked while a node is cut off from the store, so that the node
+ * can't know whether its configuration is the newest.  By default it goes on
+ * verifying keys with it, since outages of the store are far more frequent than
+ * revoked keys.  An operator can choose the opposite: then keys are not
+ * verified with a version that has not been confirmed for some time.
  */
 #include <string.h>
 
--- a/libgooseberry/node/caller.h
+++ b/libgooseberry/node/caller.h
@@ -1,6 +1,6 @@
 /**
  * @file caller.h
- * Who calls: the organisation of a request, by its key.
+ * Identifies the organisation of a caller by the key of its request.
  */
 #ifndef GB_CALLER_H
 #define GB_CALLER_H
@@ -8,10 +8,12 @@
 #include "pool.h"
 
 enum gb_caller_verdict {
-	GB_CALLER_ANONYMOUS, /**< no key is asked for, and none came */
+	GB_CALLER_ANONYMOUS, /**< no key is required, or none was sent and the
+				queue accepts that */
 	GB_CALLER_KNOWN,
-	GB_CALLER_UNKNOWN, /**< nobody has the key, or none came */
-	/** A key came, and the configuration may be too old to judge it. */
+	GB_CALLER_UNKNOWN, /**< no organisation has the key, or a required key
+			      is missing */
+	/** The configuration may be too old to verify the key. */
 	GB_CALLER_NOT_VERIFIED
 };
 
@@ -21,16 +23,21 @@
 	struct gb_pool_key_digest digest;
 };
 
-/** Whether a configuration that was last known to be the newest so long ago may
- * judge keys: always where `most` is 0, and otherwise for so long. */
+/** Whether keys may be verified with a configuration.
+ * @param age time since it was last confirmed to be the newest
+ * @param most largest age for that, 0: any
+ */
 bool gb_caller_current(gb_time age, gb_time most);
-/** Find out who calls a queue; the key is null when the request has none.  The
- * organisation belongs to the configuration, which may judge keys or not. */
+/** Identify the caller of a queue.  The organisation that is filled in belongs
+ * to the configuration.
+ * @param key of the request, or null
+ * @param current whether keys may be verified with the configuration
+ */
 enum gb_caller_verdict gb_caller_identify(const struct gb_pool_config *,
     const struct gb_pool_queue *, const char *key, bool current,
     struct gb_caller *);
-/** Describe a caller to the owner of the pool.  What is filled in points to the
- * caller and to the configuration. */
+/** Fill in the caller for a message to the owner of the pool.  The message
+ * refers to memory of the caller and of the configuration. */
 void gb_caller_fill(
     const struct gb_caller *, const struct gb_pool_config *, gb_flow_caller *);
 
--- a/libgooseberry/node/handover.c
+++ b/libgooseberry/node/handover.c
@@ -1,14 +1,14 @@
 /**
  * @file handover.c
- * Hands the pool to a member while it is still being served.
+ * Hands the pool over to a member while the owner goes on serving it.
  *
- * Load: every instance is stopped and started in turn while callers go on, and
- * the store may be slow meanwhile.  An owner that first writes all it has and
- * then lets go leaves the pool without an owner for a quarter of a second when
- * all is calm and for 2 s and more when the store is 25 times slower.  So the
- * owner asks a member to claim the pool and serves on until the claim is there,
- * which takes its rows from it; the claim is the same as after a loss, so that
- * nothing is handed over but the turn.
+ * In a rolling restart every instance is stopped and started in turn while
+ * callers go on, and the store may be slow meanwhile.  An owner that first
+ * writes all its state and then releases the pool leaves it without an owner
+ * for 0.25 s, and for 2 s and more when the store is 25 times slower.
+ * Therefore the owner asks a member to claim the pool and serves until that
+ * claim has replaced its own rows.  The claim is the same as after the loss of
+ * an owner; no state is sent to the member.
  */
 #include <string.h>
 
@@ -16,20 +16,22 @@
 
 #include "node_state.h"
 
-/** A member answers at once whether it begins. */
+/** Timeout of the request to take the pool over, which is answered at once. */
 #define HANDOVER_ANSWER_TIMEOUT (500 * GB_MSEC)
-/** A claim that has not come by then has failed: worked out, its read and its
- * write take 1 s when the store is 60 times slower. */
+/** Time from the request after which the claim counts as failed.  Its read and
+ * its write take 1 s when the store is 60 times slower. */
 #define HANDOVER_CLAIM_TIMEOUT (2500 * GB_MSEC)
-/** Members that are asked before the owner lets go. */
+/** Members that are asked before a stopping owner releases the pool. */
 #define HANDOVER_TRIES_MAX 3
 
-/** An owner stays for this long before it makes way for a larger node, so that
- * the pool does not go to and fro. */
+/** An owner keeps the pool at least this long before it hands it over to a
+ * larger node, so that ownership does not change back and forth. */
 #define OWNERSHIP_MIN (1500 * GB_MSEC)
 
 static void handover_ask(struct gb_node *);
 
+/** End this attempt.  An owner that is stopping asks the next member, and in
+ * the end releases the pool. */
 static void
 handover_failed(struct gb_node *node, const char *why)
 {
@@ -61,7 +63,7 @@
 		node->handover.begun = true;
 }
 
-/** Ask the best member that has not been asked. */
+/** Ask the most suitable member that has not been asked yet. */
 static void
 handover_ask(struct gb_node *node)
 {
@@ -107,7 +109,8 @@
 node_handover_tick(struct gb_node *node)
 {
 	if (node->handover.under_way && node->handover.deadline <= node_now()) {
-		/* Another claim would come too late for callers that wait. */
+		/* A claim of another member would come too late for callers
+		 * that wait: release the pool. */
 		node->handover.tries = HANDOVER_TRIES_MAX;
 		handover_failed(node, "the claim did not come");
 	}
--- a/libgooseberry/node/members.c
+++ b/libgooseberry/node/members.c
@@ -1,11 +1,11 @@
 /**
  * @file members.c
- * The members that an owner knows, by their hellos.
+ * The members that an owner knows from their hellos.
  *
- * Load: 97 nodes say hello five times a second each.  What is sent and worked
- * out for each hello grows with the square of the nodes, so a member is sent
- * the list of all only when it has an older one, and the order of succession is
- * worked out at intervals.
+ * Each of up to 97 nodes sends five hellos a second.  If every answer had the
+ * list of members and a new order of succession, the cost would grow with the
+ * square of the number of nodes.  Therefore a member is sent the list only when
+ * its own is older, and the order is updated at intervals.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,10 +14,10 @@
 
 #include "node_state.h"
 
-/** Members that have not said hello for this long are not told of. */
+/** Members that have sent no hello for this long are removed from the list. */
 #define MEMBER_TIMEOUT (5 * GB_SEC)
-/** The order of succession is this old at the most: hellos come each 0.2 s, and
- * a successor's silence counts from 0.6 s on. */
+/** Interval at which the order of succession is updated.  Hellos come each
+ * 0.2 s, and a successor is dropped after a silence of 0.6 s. */
 #define MEMBERS_UPDATE_INTERVAL (100 * GB_MSEC)
 
 static void
@@ -106,7 +106,7 @@
 	return succession_order(out, count);
 }
 
-/** Rank the members by how well they would own the pool. */
+/** Give the most suitable successors a rank. */
 static void
 members_rank(struct gb_node *node)
 {
@@ -128,7 +128,7 @@
 	free(order);
 }
 
-/** Drop members that are gone, and work out who succeeds. */
+/** Drop silent members and update the ranks, if that is due. */
 static void
 members_update(struct gb_node *node)
 {
--- a/libgooseberry/node/metrics.c
+++ b/libgooseberry/node/metrics.c
@@ -1,6 +1,6 @@
 /**
  * @file metrics.c
- * Counters and histograms of a node in the common text form.
+ * Counters and histograms of a node in the text format of Prometheus.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -9,11 +9,12 @@
 #include "connection/http.h"
 #include "node_state.h"
 
+/** Largest body of a request, in bytes. */
 #define METRICS_BODY_MAX 1024
-/** Organisations that are named: the number of series is bounded. */
+/** Organisations that have metrics; bounds the number of series. */
 #define METRICS_ORGS_MAX 200
 
-/** Messages of all kinds that there were. */
+/** Add the messages and bytes of each kind of traffic that has occurred. */
 static void
 traffic_print(const struct gb_link *link, struct gb_text *out)
 {
@@ -33,16 +34,16 @@
 	}
 }
 
-/** One figure of an organisation. */
+/** Add one metric of an organisation. */
 static void
 org_print(
-    struct gb_text *out, const char *figure, const char *org, int64_t value)
+    struct gb_text *out, const char *metric, const char *org, int64_t value)
 {
-	gb_text_add(out, "gooseberry_org_%s{org=\"%s\"} %" PRId64 "\n", figure,
+	gb_text_add(out, "gooseberry_org_%s{org=\"%s\"} %" PRId64 "\n", metric,
 	    org, value);
 }
 
-/** Organisations, as the owner of the pool sees them. */
+/** Add the metrics of organisations, which only the owner of the pool has. */
 static void
 orgs_print(const struct gb_pool *pool, struct gb_text *out)
 {
--- a/libgooseberry/node/node_settings.c
+++ b/libgooseberry/node/node_settings.c
@@ -1,5 +1,5 @@
 /**
- * @file settings.c
+ * @file node_settings.c
  * Settings of gooseberry-node.
  */
 #include "node.h"
--- a/libgooseberry/node/owner_monitor.c
+++ b/libgooseberry/node/owner_monitor.c
@@ -1,6 +1,6 @@
 /**
  * @file owner_monitor.c
- * Lines and counters by which a change of owner is understood later.
+ * Log events and counters that explain changes of the owner.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -9,15 +9,15 @@
 
 #include "node_state.h"
 
-/** Silence of an owner whose end is worth a line: a single hello without an
- * answer takes this long. */
+/** Shortest silence of the owner whose end is logged: the timeout of a hello.
+ */
 #define MONITOR_SILENCE_MIN (600 * GB_MSEC)
-/** The loop counts as stalled when a tick comes this much too late. */
+/** The event loop counts as stalled when a tick is later than this. */
 #define MONITOR_STALL_MIN (200 * GB_MSEC)
-/** Members that said hello within this count as heard; each does so five times
+/** Silence up to which a member counts as connected.  Members send five hellos
  * a second. */
 #define MONITOR_MEMBER_SILENCE_MAX (500 * GB_MSEC)
-/** In place of a rank or of a time that there is not. */
+/** Logged in place of a missing rank or time. */
 #define MONITOR_NONE (-1)
 
 static json_int_t
@@ -26,7 +26,7 @@
 	return (json_int_t)(time / GB_MSEC);
 }
 
-/* The owner, as a member sees it ------------------------------------------ */
+/* On a member ------------------------------------------------------------- */
 
 void
 owner_monitor_hello_sent(struct gb_node *node)
@@ -91,7 +91,7 @@
 		   : (json_int_t)watch->place.rank;
 }
 
-/** How long ago the members were last asked. */
+/** Milliseconds since the last poll of members. */
 static json_int_t
 monitor_poll_age(const struct watch *watch, gb_time now)
 {
@@ -138,9 +138,9 @@
 	    monitor_ms(watch->paused));
 }
 
-/* The owner itself -------------------------------------------------------- */
+/* On the owner ------------------------------------------------------------ */
 
-/** Members that said hello to this owner a short while ago. */
+/** Number of members that have recently sent a hello to this owner. */
 static unsigned int
 monitor_members(const struct gb_node *node, gb_time now)
 {
@@ -152,7 +152,7 @@
 	return count;
 }
 
-/** How long ago any of them did. */
+/** Milliseconds since the last hello of any member. */
 static json_int_t
 monitor_hello_age(const struct gb_node *node, gb_time now)
 {
@@ -175,8 +175,8 @@
 	if (owns) {
 		owner_monitor->gained = now;
 		owner_monitor->gained_epoch = epoch;
-		/* No hellos are sent until the pool is lost, and the end of one
-		 * that is out says nothing. */
+		/* No hellos are sent until the pool is lost, and the result of
+		 * one in flight does not matter. */
 		owner_monitor->asked[0] = '\0';
 		owner_monitor->silent = false;
 		return;
@@ -190,7 +190,7 @@
 	    monitor_hello_age(node, now));
 }
 
-/* The loop ---------------------------------------------------------------- */
+/* Event loop -------------------------------------------------------------- */
 
 void
 owner_monitor_tick(struct gb_node *node, gb_time now, gb_time period)
--- a/libgooseberry/node/renewal.c
+++ b/libgooseberry/node/renewal.c
@@ -1,19 +1,21 @@
 /**
  * @file renewal.c
- * Whether an owner that is not heard goes on renewing its row.
+ * Detects whether a silent owner goes on renewing its row.
  *
- * Load: the paths between members are cut, or their connections carry nothing,
- * while all reach the store and the workers.  An owner that goes on renewing
- * its row is at work, however silent it is; one that is gone renews nothing.
+ * The network between members may be cut, or their connections may be stuck,
+ * while all members reach the store and the workers.  An owner that renews its
+ * row is working even though no member reaches it; one that has terminated
+ * renews nothing.
  */
 #include <string.h>
 
 #include "renewal.h"
 
-/** An owner renews its row each 0.5 s, and the write waits for the one before
- * it. */
+/** Longest time between two renewals, without the duration of the write.  An
+ * owner renews its row each 0.5 s, and the write waits for the one before it.
+ */
 #define RENEWAL_TIME_MAX (620 * GB_MSEC)
-/** A write takes twice as long as a read. */
+/** A write takes as long as this many reads. */
 #define RENEWAL_WRITE_FACTOR 2
 
 void
@@ -22,6 +24,7 @@
 	memset(r, 0, sizeof(*r));
 }
 
+/** Longest time between two renewals of a working owner. */
 static gb_time
 renewal_time_max(gb_time store_took)
 {
--- a/libgooseberry/node/renewal.h
+++ b/libgooseberry/node/renewal.h
@@ -1,6 +1,7 @@
 /**
  * @file renewal.h
- * Whether an owner that is not heard goes on renewing its row.  No I/O.
+ * Detects from reads of the owner's row whether a silent owner goes on renewing
+ * it.  Does no I/O.
  */
 #ifndef GB_RENEWAL_H
 #define GB_RENEWAL_H
@@ -8,25 +9,28 @@
 #include "gooseberry.h"
 
 enum renewal_state {
-	RENEWAL_UNKNOWN, /**< fewer than two reads, or too close together */
+	RENEWAL_UNKNOWN, /**< fewer than two reads that can be compared */
 	RENEWAL_STOPPED,
 	RENEWAL_CONTINUES
 };
 
-/** Reads of the same part's row, since the owner was last heard. */
+/** Reads of the row in one partition since the owner's last answer. */
 struct renewal {
-	gb_time read_at; /**< when the read that counts was sent, 0: none */
-	uint64_t serial; /**< of the row then */
+	gb_time read_at; /**< when the last compared read was sent, 0: none */
+	uint64_t serial; /**< of the row in that read */
 	enum renewal_state state;
-	unsigned int stopped; /**< reads in a row that found nothing new */
+	unsigned int stopped; /**< reads in a row without a renewal */
 };
 
-/** The owner was heard, or is another one. */
+/** Start anew: the owner answered, or is a different one. */
 void renewal_reset(struct renewal *);
-/** Whether another read of the row would tell something new. */
+/** Whether the last read is old enough to compare it with another one. */
 bool renewal_read_due(const struct renewal *, gb_time now, gb_time store_took);
-/** The row still names the owner.  `sent` is when the read was sent, and
- * `store_took` the time that it took, in microseconds. */
+/** Add a read that found the same owner in the row.
+ * @param sent when the read was sent
+ * @param store_took duration of the read in microseconds
+ * @param serial of the row
+ */
 void renewal_add_read(
     struct renewal *, gb_time sent, gb_time store_took, uint64_t serial);
 
--- a/libgooseberry/node/shed.c
+++ b/libgooseberry/node/shed.c
@@ -1,24 +1,30 @@
 /**
  * @file shed.c
- * Load: callers send more than the owner's link takes in.  What members ask and
- * what workers and the store answer then waits behind flows that are refused in
- * the end, leases lapse, and the owner is taken for one that is gone.  So
- * members turn a share of the flows away before they are sent: it grows quickly
- * while the link is full, and shrinks slowly, as callers that were turned away
- * come back.
+ * Load shedding for the owner's link.
+ *
+ * When callers send more than the owner's link can carry, hellos of members and
+ * answers of workers and of the store wait behind flows that are refused in the
+ * end.  Leases lapse, and the owner seems to have terminated.  Therefore
+ * members reject a percentage of the flows before they send them.  It grows
+ * quickly while the link is full and shrinks slowly, since rejected callers
+ * retry.
  */
 #include <string.h>
 
 #include "shed.h"
 
+/** Interval at which the percentage is updated. */
 #define SHED_INTERVAL (250 * GB_MSEC)
-/** Shares of the link, in percent, above which more is turned away, and below
- * which less is. */
+/** Use of the link, in percent, above which more flows are rejected, and below
+ * which fewer are. */
 #define SHED_USE_HIGH 97
 #define SHED_USE_LOW 88
-/** What is still taken is cut to this, in percent. */
+/** Each increase reduces the percentage of accepted flows to this percentage of
+ * itself. */
 #define SHED_CUT_PERCENT 75
+/** Each decrease reduces the percentage of rejected flows by this much. */
 #define SHED_RECOVERY_STEP 4
+/** Largest percentage of flows that are rejected. */
 #define SHED_PERCENT_MAX 95
 
 void
--- a/libgooseberry/node/shed.h
+++ b/libgooseberry/node/shed.h
@@ -1,7 +1,7 @@
 /**
  * @file shed.h
- * Share of the new flows that members turn away, because the owner's link does
- * not take them in.  No I/O.
+ * Load shedding: percentage of the new flows that members reject because the
+ * owner's link is full.  Does no I/O.
  */
 #ifndef GB_SHED_H
 #define GB_SHED_H
@@ -9,18 +9,18 @@
 #include "gooseberry.h"
 
 struct shed {
-	uint32_t percent;
-	gb_time at;	/**< the share was worked out last, 0: never */
-	uint64_t bytes; /**< received by then */
+	uint32_t percent; /**< of new flows to reject */
+	gb_time at;	  /**< last update of the percentage, 0: none */
+	uint64_t bytes;	  /**< received until then */
 };
 
-/** Work the share out anew, if it is time.
+/** Update the percentage, if it is time.
  * @param bytes received so far
- * @param rate bytes a second that the link takes, 0: it does not matter
+ * @param rate bytes a second that the link carries, 0: unlimited
  */
 void shed_tick(struct shed *, gb_time now, uint64_t bytes, uint64_t rate);
-/** Whether a flow is turned away; the answer for one id changes only with the
- * share. */
+/** Whether to reject the flow with this id at the given percentage.  The answer
+ * for one id and percentage is always the same. */
 bool shed_refuses(uint32_t percent, const char *id);
 
 #endif
--- a/libgooseberry/node/succession.c
+++ b/libgooseberry/node/succession.c
@@ -2,35 +2,39 @@
  * @file succession.c
  * Order of succession.
  *
- * Load: 35 nodes learn within a fifth of a second that the pool is vacant.  A
- * claim writes a row in each of five parts, and a part carries out one write
- * after another and turns calls away beyond one second of them; while the store
- * is 35 times slower a write takes 0.3 s, so that the claims of all nodes are
- * seconds of work, of which one claim is needed.  The owner therefore tells all
- * members in which order they are to claim, and each waits for those before it
- * as long as their claims take by what it has seen of the store.
+ * When the pool is vacant, 35 nodes learn so within 0.2 s.  A claim writes a
+ * row in each of five partitions.  A partition carries out writes one after
+ * another and rejects calls when more than one second of them is queued.  With
+ * a store that is 35 times slower a write takes 0.3 s, so that the claims of
+ * all nodes would take seconds, of which only one claim is needed.  Therefore
+ * the owner sends each member its rank, and a member waits for the claims of
+ * those before it, whose duration it estimates from its last read of the store.
  *
- * Load: every node is stopped and started in turn, two seconds apart.  The node
- * that started last is the one that will stay longest.
+ * In a rolling restart the nodes are stopped and started in turn, two seconds
+ * apart.  The node that started last will stay the longest, so it is preferred.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "succession.h"
 
-/** Hellos come each 0.2 s: a member that missed three may be gone. */
+/** Silence after which a member is no successor.  Hellos come each 0.2 s: when
+ * three are missing, it may have terminated. */
 #define SUCCESSION_SILENCE_MAX (600 * GB_MSEC)
-/** A process that has just started has yet to learn of workers and members. */
+/** Age of a process from which it can be a successor.  A younger one does not
+ * know workers and members yet. */
 #define SUCCESSION_UPTIME_MIN (500 * GB_MSEC)
-/** A claim until others can see it: a read and a write take 16 ms when all is
- * calm, and a write takes twice a read. */
+/** Shortest time to wait for a claim until others can see it.  With a fast
+ * store its read and its write take 16 ms. */
 #define SUCCESSION_CLAIM_MIN (40 * GB_MSEC)
+/** Duration of a claim in reads: it reads once, and a write takes as long as
+ * two reads. */
 #define SUCCESSION_CLAIM_READS 3
-/** Most that is waited for one claim; reads of a store that is a hundred times
- * slower take 0.4 s. */
+/** Longest time to wait for one claim.  With a store that is a hundred times
+ * slower a read takes 0.4 s. */
 #define SUCCESSION_CLAIM_MAX (1200 * GB_MSEC)
 /** Nodes without a rank wait a random time of up to one claim for each of them,
- * and of so many at the least. */
+ * and of at least this many claims. */
 #define SUCCESSION_UNRANKED_CLAIMS 2
 
 static bool
@@ -41,8 +45,9 @@
 	       m->up >= SUCCESSION_UPTIME_MIN;
 }
 
-/** The larger first: the owner's work takes a fifth of a core at 350 workers.
- * Of equal ones the one that started last. */
+/** The member with the larger processor comes first, since the owner's work
+ * takes 0.2 cores with 350 workers; among equal ones, the one that started
+ * last. */
 static int
 member_compare(const void *a, const void *b)
 {
