--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -410,8 +410,8 @@
 }
 
 void
-gb_node_workers_seen(struct gb_node *node, const struct gb_pool_entry *entries,
-    size_t count, bool whole)
+gb_node_workers_received(struct gb_node *node,
+    const struct gb_pool_entry *entries, size_t count, bool whole)
 {
 	gb_pool_workers(node->pool, node_now(), entries, count, whole);
 }
--- a/libgooseberry/node/node.h
+++ b/libgooseberry/node/node.h
@@ -22,7 +22,7 @@
 	void (*txn)(void *, uint64_t call, const struct gb_pool_txn *);
 	void (*read)(void *, uint64_t call, const struct gb_pool_read *);
 	/** Start or stop following the list of workers, whose changes are
-	 * reported with gb_node_workers_seen. */
+	 * reported with gb_node_workers_received. */
 	void (*follow_workers)(void *, bool on);
 	/** Decode a configuration from its stored form; null when it is
 	 * malformed. */
@@ -79,8 +79,8 @@
 /** Submit a flow.  The answer comes once, within the timeout. */
 void gb_node_submit(struct gb_node *, const gb_flow_submit *, gb_time timeout,
     gb_node_answer, void *);
-/** Ask for the state of a flow, or cancel one.  The answer comes once, within
- * the timeout. */
+/** Ask for the state of a flow or for the number of pending flows of a queue,
+ * or cancel a flow.  The answer comes once, within the timeout. */
 void gb_node_ask(struct gb_node *, const gb_flow_ask *, gb_time timeout,
     gb_node_answer, void *);
 
@@ -92,7 +92,7 @@
 /** Entries of the list of workers were received.
  * @param whole they are all the workers that exist, not just changes
  */
-void gb_node_workers_seen(
+void gb_node_workers_received(
     struct gb_node *, const struct gb_pool_entry *, size_t count, bool whole);
 void gb_node_start_done(
     struct gb_node *, uint64_t call, const struct gb_pool_order_res *);
