--- a/libgooseberry/node/handover.c
+++ b/libgooseberry/node/handover.c
@@ -1,14 +1,14 @@
 /**
  * @file handover.c
- * Hands the pool to a member while it is still being served.
+ * Hands the pool over to a member while the owner goes on serving it.
  *
- * Load: every instance is stopped and started in turn while callers go on, and
- * the store may be slow meanwhile.  An owner that first writes all it has and
- * then lets go leaves the pool without an owner for a quarter of a second when
- * all is calm and for 2 s and more when the store is 25 times slower.  So the
- * owner asks a member to claim the pool and serves on until the claim is there,
- * which takes its rows from it; the claim is the same as after a loss, so that
- * nothing is handed over but the turn.
+ * In a rolling restart every instance is stopped and started in turn while
+ * callers go on, and the store may be slow meanwhile.  An owner that first
+ * writes all its state and then releases the pool leaves it without an owner
+ * for 0.25 s, and for 2 s and more when the store is 25 times slower.
+ * Therefore the owner asks a member to claim the pool and serves until that
+ * claim has replaced its own rows.  The claim is the same as after the loss of
+ * an owner; no state is sent to the member.
  */
 #include <string.h>
 
@@ -16,20 +16,22 @@
 
 #include "node_state.h"
 
-/** A member answers at once whether it begins. */
-#define HANDOVER_ASK (500 * GB_MSEC)
-/** A claim that has not come by then has failed: worked out, its read and its
- * write take 1 s when the store is 60 times slower. */
-#define HANDOVER_CLAIM (2500 * GB_MSEC)
-/** Members that are asked before the owner lets go. */
-#define HANDOVER_TRIES 3
+/** Timeout of the request to take the pool over, which is answered at once. */
+#define HANDOVER_ANSWER_TIMEOUT (500 * GB_MSEC)
+/** Time from the request after which the claim counts as failed.  Its read and
+ * its write take 1 s when the store is 60 times slower. */
+#define HANDOVER_CLAIM_TIMEOUT (2500 * GB_MSEC)
+/** Members that are asked before a stopping owner releases the pool. */
+#define HANDOVER_TRIES_MAX 3
 
-/** An owner stays for this long before it makes way for a larger node, so that
- * the pool does not go to and fro. */
-#define DEFER_AFTER (1500 * GB_MSEC)
+/** An owner keeps the pool at least this long before it hands it over to a
+ * larger node, so that ownership does not change back and forth. */
+#define OWNERSHIP_MIN (1500 * GB_MSEC)
 
 static void handover_ask(struct gb_node *);
 
+/** End this attempt.  An owner that is stopping asks the next member, and in
+ * the end releases the pool. */
 static void
 handover_failed(struct gb_node *node, const char *why)
 {
@@ -39,7 +41,7 @@
 	node->handover.under_way = false;
 	if (!node->leaving)
 		return;
-	if (node->handover.tries < HANDOVER_TRIES)
+	if (node->handover.tries < HANDOVER_TRIES_MAX)
 		handover_ask(node);
 	if (!node->handover.under_way)
 		gb_pool_release(node->pool, node_now());
@@ -61,7 +63,7 @@
 		node->handover.begun = true;
 }
 
-/** Ask the best member that has not been asked. */
+/** Ask the most suitable member that has not been asked yet. */
 static void
 handover_ask(struct gb_node *node)
 {
@@ -76,7 +78,7 @@
 		node->handover.tries++;
 		node->handover.under_way = true;
 		node->handover.begun = false;
-		node->handover.until = node_now() + HANDOVER_CLAIM;
+		node->handover.deadline = node_now() + HANDOVER_CLAIM_TIMEOUT;
 		node->handover.epoch = gb_pool_epoch(node->pool);
 		gb_event(node->events, GB_EVENT_ALWAYS, "handover_begun",
 		    "{s:s, s:I}", "member", node->handover.to, "epoch",
@@ -85,8 +87,8 @@
 		ask.epoch = gb_pool_epoch(node->pool);
 		gb_rpc_client_call(
 		    gb_rpc_pool_get(node->peers, node->handover.to),
-		    GB_PROC_SUCCEED, &ask, HANDOVER_ASK, handover_answered,
-		    node);
+		    GB_PROC_SUCCEED, &ask, HANDOVER_ANSWER_TIMEOUT,
+		    handover_answered, node);
 	}
 	free(order);
 }
@@ -106,9 +108,10 @@
 void
 node_handover_tick(struct gb_node *node)
 {
-	if (node->handover.under_way && node->handover.until <= node_now()) {
-		/* Another claim would come too late for callers that wait. */
-		node->handover.tries = HANDOVER_TRIES;
+	if (node->handover.under_way && node->handover.deadline <= node_now()) {
+		/* A claim of another member would come too late for callers
+		 * that wait: release the pool. */
+		node->handover.tries = HANDOVER_TRIES_MAX;
 		handover_failed(node, "the claim did not come");
 	}
 }
@@ -118,7 +121,7 @@
 {
 	struct succession_member *order;
 
-	if (node_now() - node->owned_at < DEFER_AFTER ||
+	if (node_now() - node->owned_at < OWNERSHIP_MIN ||
 	    node->largest_milli * 2 < node->cpu_milli * 3)
 		return;
 	order = gb_calloc(HASH_COUNT(node->members), sizeof(*order));
--- a/libgooseberry/node/metrics.c
+++ b/libgooseberry/node/metrics.c
@@ -1,6 +1,6 @@
 /**
  * @file metrics.c
- * Counters and histograms of a node in the common text form.
+ * Counters and histograms of a node in the text format of Prometheus.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -9,11 +9,12 @@
 #include "connection/http.h"
 #include "node_state.h"
 
-#define METRICS_BODY_MOST 1024
-/** Organisations that are named: the number of series is bounded. */
-#define METRICS_ORGS_MOST 200
+/** Largest body of a request, in bytes. */
+#define METRICS_BODY_MAX 1024
+/** Organisations that have metrics; bounds the number of series. */
+#define METRICS_ORGS_MAX 200
 
-/** Messages of all kinds that there were. */
+/** Add the messages and bytes of each kind of traffic that has occurred. */
 static void
 traffic_print(const struct gb_link *link, struct gb_text *out)
 {
@@ -33,22 +34,22 @@
 	}
 }
 
-/** One figure of an organisation. */
+/** Add one metric of an organisation. */
 static void
 org_print(
-    struct gb_text *out, const char *figure, const char *org, int64_t value)
+    struct gb_text *out, const char *metric, const char *org, int64_t value)
 {
-	gb_text_add(out, "gooseberry_org_%s{org=\"%s\"} %" PRId64 "\n", figure,
+	gb_text_add(out, "gooseberry_org_%s{org=\"%s\"} %" PRId64 "\n", metric,
 	    org, value);
 }
 
-/** Organisations, as the owner of the pool sees them. */
+/** Add the metrics of organisations, which only the owner of the pool has. */
 static void
 orgs_print(const struct gb_pool *pool, struct gb_text *out)
 {
 	struct gb_pool_org_stat *orgs =
-	    gb_calloc(METRICS_ORGS_MOST, sizeof(*orgs));
-	size_t count = gb_pool_orgs(pool, orgs, METRICS_ORGS_MOST);
+	    gb_calloc(METRICS_ORGS_MAX, sizeof(*orgs));
+	size_t count = gb_pool_orgs(pool, orgs, METRICS_ORGS_MAX);
 	size_t i;
 
 	for (i = 0; i < count; i++) {
@@ -201,5 +202,5 @@
 node_metrics_serve(struct gb_node *node, struct gb_error *err)
 {
 	return http_server_new(node->loop, node->settings.metrics,
-		   METRICS_BODY_MOST, on_request, node, err) != NULL;
+		   METRICS_BODY_MAX, on_request, node, err) != NULL;
 }
--- a/libgooseberry/node/renewal.c
+++ b/libgooseberry/node/renewal.c
@@ -1,20 +1,22 @@
 /**
  * @file renewal.c
- * Whether an owner that is not heard goes on renewing its row.
+ * Detects whether a silent owner goes on renewing its row.
  *
- * Load: the paths between members are cut, or their connections carry nothing,
- * while all reach the store and the workers.  An owner that goes on renewing
- * its row is at work, however silent it is; one that is gone renews nothing.
+ * The network between members may be cut, or their connections may be stuck,
+ * while all members reach the store and the workers.  An owner that renews its
+ * row is working even though no member reaches it; one that has terminated
+ * renews nothing.
  */
 #include <string.h>
 
 #include "renewal.h"
 
-/** An owner renews its row each 0.5 s, and the write waits for the one before
- * it. */
-#define RENEWAL_WINDOW (620 * GB_MSEC)
-/** A write takes twice as long as a read. */
-#define RENEWAL_WRITE_READS 2
+/** Longest time between two renewals, without the duration of the write.  An
+ * owner renews its row each 0.5 s, and the write waits for the one before it.
+ */
+#define RENEWAL_TIME_MAX (620 * GB_MSEC)
+/** A write takes as long as this many reads. */
+#define RENEWAL_WRITE_FACTOR 2
 
 void
 renewal_reset(struct renewal *r)
@@ -22,30 +24,31 @@
 	memset(r, 0, sizeof(*r));
 }
 
+/** Longest time between two renewals of a working owner. */
 static gb_time
-renewal_window(gb_time store_took)
+renewal_time_max(gb_time store_took)
 {
-	return RENEWAL_WINDOW + RENEWAL_WRITE_READS * store_took;
+	return RENEWAL_TIME_MAX + RENEWAL_WRITE_FACTOR * store_took;
 }
 
 bool
-renewal_due(const struct renewal *r, gb_time now, gb_time store_took)
+renewal_read_due(const struct renewal *r, gb_time now, gb_time store_took)
 {
 	return r->read_at == 0 ||
-	       now - r->read_at >= renewal_window(store_took);
+	       now - r->read_at >= renewal_time_max(store_took);
 }
 
 void
-renewal_read(
+renewal_add_read(
     struct renewal *r, gb_time sent, gb_time store_took, uint64_t serial)
 {
-	if (!renewal_due(r, sent, store_took))
+	if (!renewal_read_due(r, sent, store_took))
 		return;
 	if (r->read_at != 0 && serial == r->serial) {
 		r->state = RENEWAL_STOPPED;
 		r->stopped++;
 	} else if (r->read_at != 0) {
-		r->state = RENEWAL_GOES_ON;
+		r->state = RENEWAL_CONTINUES;
 		r->stopped = 0;
 	}
 	r->read_at = sent;
--- a/libgooseberry/node/shed.c
+++ b/libgooseberry/node/shed.c
@@ -1,25 +1,31 @@
 /**
  * @file shed.c
- * Load: callers send more than the owner's link takes in.  What members ask and
- * what workers and the store answer then waits behind flows that are refused in
- * the end, leases lapse, and the owner is taken for one that is gone.  So
- * members turn a share of the flows away before they are sent: it grows quickly
- * while the link is full, and shrinks slowly, as callers that were turned away
- * come back.
+ * Load shedding for the owner's link.
+ *
+ * When callers send more than the owner's link can carry, hellos of members and
+ * answers of workers and of the store wait behind flows that are refused in the
+ * end.  Leases lapse, and the owner seems to have terminated.  Therefore
+ * members reject a percentage of the flows before they send them.  It grows
+ * quickly while the link is full and shrinks slowly, since rejected callers
+ * retry.
  */
 #include <string.h>
 
 #include "shed.h"
 
-#define SHED_EVERY (250 * GB_MSEC)
-/** Shares of the link, in percent, above which more is turned away, and below
- * which less is. */
-#define SHED_FULL 97
-#define SHED_ROOM 88
-/** What is still taken is cut to this, in percent. */
-#define SHED_CUT 75
-#define SHED_BACK 4
-#define SHED_MOST 95
+/** Interval at which the percentage is updated. */
+#define SHED_INTERVAL (250 * GB_MSEC)
+/** Use of the link, in percent, above which more flows are rejected, and below
+ * which fewer are. */
+#define SHED_USE_HIGH 97
+#define SHED_USE_LOW 88
+/** Each increase reduces the percentage of accepted flows to this percentage of
+ * itself. */
+#define SHED_CUT_PERCENT 75
+/** Each decrease reduces the percentage of rejected flows by this much. */
+#define SHED_RECOVERY_STEP 4
+/** Largest percentage of flows that are rejected. */
+#define SHED_PERCENT_MAX 95
 
 void
 shed_tick(struct shed *shed, gb_time now, uint64_t bytes, uint64_t rate)
@@ -27,20 +33,22 @@
 	gb_time passed = now - shed->at;
 	uint64_t use;
 
-	if (rate == 0 || passed < SHED_EVERY)
+	if (rate == 0 || passed < SHED_INTERVAL)
 		return;
 	use = (bytes - shed->bytes) * 100 * GB_SEC / rate / (uint64_t)passed;
 	if (shed->at == 0 || bytes < shed->bytes)
 		use = 0;
 	shed->at = now;
 	shed->bytes = bytes;
-	if (use > SHED_FULL)
-		shed->percent = 100 - (100 - shed->percent) * SHED_CUT / 100;
-	else if (use < SHED_ROOM)
-		shed->percent -=
-		    shed->percent < SHED_BACK ? shed->percent : SHED_BACK;
-	if (shed->percent > SHED_MOST)
-		shed->percent = SHED_MOST;
+	if (use > SHED_USE_HIGH)
+		shed->percent =
+		    100 - (100 - shed->percent) * SHED_CUT_PERCENT / 100;
+	else if (use < SHED_USE_LOW)
+		shed->percent -= shed->percent < SHED_RECOVERY_STEP
+				     ? shed->percent
+				     : SHED_RECOVERY_STEP;
+	if (shed->percent > SHED_PERCENT_MAX)
+		shed->percent = SHED_PERCENT_MAX;
 }
 
 bool
