--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -4,10 +4,10 @@
  * dependent steps) on all workers of a pool.
  *
  * The core does no I/O and reads no clock.  Events come in as calls that carry
- * the time; what has to be done goes out through struct gb_pool_ops, whose
- * calls end later with one of the gb_pool_*_done functions, exactly once and
- * never from within the call itself.  Times are microseconds of a clock that
- * counts suspended time, unless a name says otherwise.
+ * the time; requests go out through struct gb_pool_ops.  Each request ends
+ * later with exactly one call of a gb_pool_*_done function, never from within
+ * the request itself.  Times are in microseconds of a clock that counts
+ * suspended time, unless a name says otherwise.
  */
 #ifndef GB_POOL_H
 #define GB_POOL_H
@@ -17,12 +17,12 @@
 
 /* Configuration of the cell ----------------------------------------------- */
 
-/** What the advice service of a queue costs: its time for a call. */
+/** Advice service of a queue, and the time that a call to it takes. */
 struct gb_pool_advice {
 	bool needed;
-	gb_time decide_us;   /**< for each call */
-	gb_time per_item_us; /**< more for each worker that is named */
-	gb_time valid_us;    /**< life of a ticket */
+	gb_time decide_us;   /**< time of each call */
+	gb_time per_item_us; /**< additional time for each worker in the call */
+	gb_time valid_us;    /**< validity of a ticket */
 };
 
 /** A queue of flows. */
@@ -33,39 +33,41 @@
 	char service[GB_NAME_MAX + 1];
 	uint32_t priority; /**< 0 is the most urgent */
 	uint32_t max_attempts;
-	double stretch;	   /**< objective over the longest chain of work */
-	gb_time target_us; /**< added to it */
+	double stretch; /**< factor of the objective: applied to the run time of
+			   the longest chain of steps */
+	gb_time target_us; /**< constant part of the objective, added to that */
 	struct gb_pool_advice advice;
 	bool anonymous; /**< callers need no key */
 };
 
-/** Room of many workers together. */
+/** Capacity of many workers together. */
 struct gb_pool_amount {
 	int64_t cpu;   /**< thousandths of a processor */
 	int64_t mem;   /**< MiB */
 	int64_t accel; /**< accelerators */
 };
 
-/** Why an organisation of a configuration can't be used.  What holds for the
- * others stands. */
+/** Why an organisation of a configuration is invalid.  The valid organisations
+ * stay in use. */
 enum gb_pool_org_error {
 	GB_POOL_ORG_VALID,
 	GB_POOL_ORG_UNNAMED,	/**< no name, or one that is too long */
-	GB_POOL_ORG_TWICE,	/**< another one has its name */
-	GB_POOL_ORG_RANGE,	/**< a weight or quota that cannot be */
-	GB_POOL_ORG_KEY,	/**< a key that is no text, or empty */
-	GB_POOL_ORG_KEY_SHARED, /**< a key that another one has */
+	GB_POOL_ORG_TWICE,	/**< another organisation has its name */
+	GB_POOL_ORG_RANGE,	/**< a weight or quota is out of range */
+	GB_POOL_ORG_KEY,	/**< a key is empty or not a string */
+	GB_POOL_ORG_KEY_SHARED, /**< a key belongs to another organisation */
 	GB_POOL_ORG_ERRORS
 };
 
 /** Text for logs and metrics. */
 const char *gb_pool_org_error_name(enum gb_pool_org_error);
 
-/** An organisation: whose callers share keys, a quota and a weight. */
+/** An organisation: its callers share keys, a quota and a weight. */
 struct gb_pool_org {
 	char name[GB_NAME_MAX + 1];
-	uint32_t weight;	     /**< its share when all is full */
-	struct gb_pool_amount quota; /**< it may run at once, 0: no limit */
+	uint32_t weight; /**< its share of a full pool */
+	/** Limit of what it runs at once, 0: no limit. */
+	struct gb_pool_amount quota;
 };
 
 /** Digest of an API key; the key itself is not kept. */
@@ -73,7 +75,7 @@
 	unsigned char bytes[GB_KEY_DIGEST];
 };
 
-/** Room for a digest as text: two digits a byte. */
+/** Size of a digest as text: two digits per byte and a final null. */
 #define GB_KEY_DIGEST_TEXT (2 * GB_KEY_DIGEST + 1)
 
 struct gb_pool_key;
@@ -82,12 +84,13 @@
 struct gb_pool_config {
 	unsigned int refs;
 	uint64_t version;
-	struct gb_pool_queue *queues; /**< sorted by name once it is sealed */
+	/** Sorted by name after gb_pool_config_seal. */
+	struct gb_pool_queue *queues;
 	size_t queue_count;
-	char (*services)[GB_NAME_MAX + 1]; /**< pools of workers */
+	char (*services)[GB_NAME_MAX + 1]; /**< names of worker pools */
 	size_t service_count;
-	/** It names organisations: callers need keys.  Deployments without
-	 * organisations have none. */
+	/** It names organisations, so that callers need keys.  False in
+	 * deployments without organisations. */
 	bool keyed;
 	struct gb_pool_org *orgs; /**< in the order in which they were added */
 	size_t org_count;
@@ -96,41 +99,43 @@
 };
 
 struct gb_pool_config *gb_pool_config_new(size_t queues, size_t services);
-/** All queues are filled in: make them ready to be found. */
+/** Sorts the queues once all are filled in; they can't be found before. */
 void gb_pool_config_seal(struct gb_pool_config *);
-/** Add an organisation; one that can't be is left out.  There is room for as
- * many as were announced. */
+/** Adds an organisation unless it is invalid. gb_pool_config_orgs allocates
+ * space for `most` organisations first. */
 void gb_pool_config_orgs(struct gb_pool_config *, size_t most);
 enum gb_pool_org_error gb_pool_config_org_add(
     struct gb_pool_config *, const struct gb_pool_org *);
-/** Give the organisation that was added last a key. */
+/** Adds a key to the organisation that was added last. */
 enum gb_pool_org_error gb_pool_config_key_add(
     struct gb_pool_config *, const char *key);
-/** The same by its digest. */
+/** Adds a key by its digest to the organisation that was added last. */
 enum gb_pool_org_error gb_pool_config_digest_add(
     struct gb_pool_config *, const struct gb_pool_key_digest *);
 void gb_pool_key_digest(const char *key, struct gb_pool_key_digest *);
-/** A digest as text, and back; false when it is none. */
+/** Converts a digest to text, and back.  Parsing returns false when the text is
+ * no digest. */
 void gb_pool_key_digest_text(
     const struct gb_pool_key_digest *, char out[GB_KEY_DIGEST_TEXT]);
 bool gb_pool_key_digest_parse(const char *, struct gb_pool_key_digest *);
-/** Organisation that has a key, or null. */
+/** Returns the organisation that has a key, or null. */
 const struct gb_pool_org *gb_pool_config_key_org(
     const struct gb_pool_config *, const struct gb_pool_key_digest *);
 const struct gb_pool_org *gb_pool_config_org(
     const struct gb_pool_config *, const char *name);
-/** Keys of all organisations. */
+/** Number of keys of all organisations. */
 size_t gb_pool_config_keys(const struct gb_pool_config *);
-/** Free what the functions above have added. */
+/** Frees the organisations and keys of a configuration. */
 void gb_pool_config_orgs_free(struct gb_pool_config *);
 struct gb_pool_config *gb_pool_config_ref(struct gb_pool_config *);
 void gb_pool_config_unref(struct gb_pool_config *);
 const struct gb_pool_queue *gb_pool_config_queue(
     const struct gb_pool_config *, const char *name);
-/** Whether the configuration names a service, as one of its own or as that of a
+/** Whether the configuration names a service, in its list of services or in a
  * queue. */
 bool gb_pool_config_serves(const struct gb_pool_config *, const char *service);
-/** Queue of a request: the longest prefix of the path for that host. */
+/** Returns the queue of a request, by the longest prefix of the path for that
+ * host; null if there is none. */
 const struct gb_pool_queue *gb_pool_config_route(
     const struct gb_pool_config *, const char *host, const char *path);
 
@@ -138,26 +143,27 @@
 
 #define GB_POOL_LABELS 8
 
-/** Why an entry of the list names no worker to use.  Others than the workers
- * themselves may write there. */
+/** Why an entry of the platform's worker list can't be used.  Not only the
+ * workers themselves may write entries. */
 enum gb_pool_entry_error {
 	GB_POOL_ENTRY_VALID,
-	GB_POOL_ENTRY_UNREADABLE, /**< its bytes are no object */
-	GB_POOL_ENTRY_INCOMPLETE, /**< a field is missing, or of another type */
-	GB_POOL_ENTRY_RANGE,	  /**< a value that cannot be */
-	GB_POOL_ENTRY_STATE,	  /**< a state that nobody knows */
+	GB_POOL_ENTRY_UNREADABLE, /**< it is no valid JSON object */
+	GB_POOL_ENTRY_INCOMPLETE, /**< a field is missing or has another type */
+	GB_POOL_ENTRY_RANGE,	  /**< a value is out of range */
+	GB_POOL_ENTRY_STATE,	  /**< an unknown state */
 	GB_POOL_ENTRY_ERRORS
 };
 
 /** Text for logs and metrics. */
 const char *gb_pool_entry_error_name(enum gb_pool_entry_error);
 
-/** An entry of the platform's list of workers.  Of one with a fault the id
- * alone is told. */
+/** An entry of the platform's list of workers.  An invalid one has only its
+ * id. */
 struct gb_pool_entry {
 	char id[GB_NAME_MAX + 1];
-	/** Tells the lifetimes under one id apart, 0: not told.  A start's time
-	 * of day, which jumps: it says nothing of which one came first. */
+	/** Identifies the incarnation of the worker, 0: unknown.  It is the
+	 * time of day of its start, which may jump, so it doesn't tell which of
+	 * two incarnations is newer. */
 	int64_t incarnation;
 	enum gb_pool_entry_error fault;
 	char addr[GB_NAME_MAX + 1];
@@ -170,7 +176,7 @@
 	bool removed; /**< is no longer listed */
 };
 
-/** Identifies one start of a task. */
+/** Identifies one run of a task. */
 struct gb_pool_run_id {
 	const char *flow;
 	uint32_t step;
@@ -178,9 +184,9 @@
 	uint64_t run;
 };
 
-/** An order for a worker: start or stop a run. */
+/** An order to a worker: start or stop a run. */
 struct gb_pool_order {
-	const char *worker; /**< id of the one that is meant */
+	const char *worker; /**< id of the worker */
 	const char *addr;
 	struct gb_pool_run_id id;
 	uint64_t token; /**< fencing token */
@@ -194,35 +200,40 @@
 enum gb_pool_order_status {
 	GB_POOL_ORDER_DONE,
 	GB_POOL_ORDER_FENCED, /**< the worker knows a newer fencing token */
-	GB_POOL_ORDER_STALE,  /**< such a run has ended or been stopped */
-	GB_POOL_ORDER_LEASE_EXPIRED, /**< its lease would have lapsed already */
+	GB_POOL_ORDER_STALE,  /**< the run has ended or was stopped */
+	GB_POOL_ORDER_LEASE_EXPIRED, /**< the lease would have expired already
+				      */
 	GB_POOL_ORDER_NO_CAPACITY,
 	GB_POOL_ORDER_NO_TICKET,
 	GB_POOL_ORDER_REFUSED,	    /**< unhealthy worker; nothing was done */
 	GB_POOL_ORDER_WRONG_WORKER, /**< a worker with another id answered */
 	GB_POOL_ORDER_MALFORMED,
-	GB_POOL_ORDER_LOST /**< no answer; may be done, also later */
+	GB_POOL_ORDER_LOST /**< no answer; the order may be carried out, even
+			      later */
 };
 
 struct gb_pool_order_res {
 	enum gb_pool_order_status status;
-	int64_t clock_ms;    /**< the worker's, 0: not told */
-	int64_t incarnation; /**< of the worker that answered, 0: not told */
+	int64_t clock_ms; /**< the worker's clock, 0: not reported */
+	/** Of the worker that answered, 0: not reported. */
+	int64_t incarnation;
 };
 
-/** Renew a worker's lease and ask what it runs.  Lease and cursor are for one
- * life of the worker: where neither a connection to it stands nor `sure` says
- * that no other can answer, the worker is only asked. */
+/** Renews a worker's lease and asks what it runs.  Lease and cursor are valid
+ * for one incarnation of the worker: without an open connection to it, and
+ * unless `confirmed` is set, the worker is only asked. */
 struct gb_pool_heartbeat {
 	const char *worker;
 	const char *addr;
-	int64_t incarnation; /**< that is meant, 0: there is only one under the
-				id */
-	bool confirmed;	     /**< it answered just now */
+	/** Expected incarnation, 0: the id has only one. */
+	int64_t incarnation;
+	/** It has just answered, so no other incarnation can. */
+	bool confirmed;
 	uint64_t token;
-	int64_t lease_end_ms; /**< on the worker's clock, 0: do not renew */
+	int64_t lease_end_ms; /**< on the worker's clock, 0: don't renew */
 	uint64_t cursor;      /**< ends up to this number are stored */
-	gb_time wait_us;      /**< the answer may wait for an end this long */
+	gb_time wait_us; /**< longest time that the answer may wait for the end
+			    of a run */
 };
 
 enum gb_pool_outcome {
@@ -230,11 +241,12 @@
 	GB_POOL_FAILED,
 	GB_POOL_STOPPED,
 	GB_POOL_LAPSED,
-	GB_POOL_GANG_BROKEN,	/**< another member of the gang ended */
-	GB_POOL_GANG_INCOMPLETE /**< the other members did not come in time */
+	GB_POOL_GANG_BROKEN,	/**< another task of the gang ended */
+	GB_POOL_GANG_INCOMPLETE /**< the other tasks of the gang didn't start in
+				   time */
 };
 
-/** A run that a worker lists, or its end. */
+/** A running task or the end of a run, as a worker reports it. */
 struct gb_pool_run_report {
 	char flow[GB_NAME_MAX + 1];
 	uint32_t occurrence;
@@ -242,16 +254,19 @@
 	uint32_t index;
 	uint64_t run;
 	char checkpoint[GB_NAME_MAX + 1];
-	uint32_t percent; /**< of a run: how far it has come */
-	uint64_t number;  /**< of an end: position in the worker's list */
+	uint32_t percent; /**< progress of a running task */
+	/** Of an end: its number in the worker's list of ends. */
+	uint64_t number;
 	enum gb_pool_outcome outcome; /**< of an end */
 };
 
 struct gb_pool_report {
 	enum gb_pool_order_status status;
 	int64_t clock_ms;
-	int64_t incarnation; /**< of the worker that answered, 0: not told */
-	bool question;	     /**< it was only asked: no lease, no cursor */
+	/** Of the worker that answered, 0: not reported. */
+	int64_t incarnation;
+	/** The worker was only asked, without lease and cursor. */
+	bool question;
 	struct gb_pool_run_report *running;
 	size_t running_count;
 	struct gb_pool_run_report *ended;
@@ -262,22 +277,25 @@
 
 /** Tables of the pool. */
 enum gb_pool_table {
-	GB_POOL_OWNERS, /**< who owns the pool, one row in each part */
-	GB_POOL_FLOWS,	/**< what was submitted */
-	GB_POOL_STATES, /**< what became of it */
+	GB_POOL_OWNERS, /**< who owns the pool, one row in each partition; and
+			   the worker sets */
+	GB_POOL_FLOWS,	/**< submitted flows */
+	GB_POOL_STATES, /**< states of flows */
 	GB_POOL_INBOX,	/**< flows that were stored without the owner */
 	GB_POOL_TABLES
 };
 
-/** Rows of one part are written one transaction after the other, and the store
- * may lose some of its partitions while the others serve.  Each part stands for
- * itself: its own owner's row, set of workers, flows and states.  With five,
- * the pool can be taken over while two of them are out; each more costs a write
- * of its own for what one would gather. */
+/** Partitions of the tables.  The rows of a partition are written one
+ * transaction after the other, and the store may lose some of its partitions
+ * while others work.  Each has its own owner's row, worker set, flows and
+ * states.  With five, the pool can be taken over while two of them are
+ * unavailable; each further one costs a write of its own instead of sharing
+ * one. */
 #define GB_POOL_PARTITIONS 5
 /** Key of the owner's row. */
 #define GB_POOL_OWNER_KEY "owner"
-/** Key of the set of workers that may run flows of the part, same table. */
+/** Prefix of the keys of the set of workers that may run flows of the
+ * partition, in the same table. */
 #define GB_POOL_WORKERS_KEY "workers-"
 
 uint32_t gb_pool_partition(const char *flow_id);
@@ -285,7 +303,7 @@
 struct gb_pool_row {
 	enum gb_pool_table table;
 	const char *key;
-	uint64_t vers; /**< of a condition: 0 says that it must be absent */
+	uint64_t vers; /**< version; in a condition 0: the row must be absent */
 	bool remove;
 	gb_body value;
 };
@@ -300,19 +318,20 @@
 
 struct gb_pool_txn_res {
 	gb_store_status status;
-	uint64_t vers;		  /**< of what was put */
-	struct gb_pool_row *rows; /**< after a conflict: the conditions' rows */
+	uint64_t vers; /**< version of the written rows */
+	/** After a conflict: the rows of the conditions. */
+	struct gb_pool_row *rows;
 	size_t row_count;
 };
 
-/** Rows of a table with from <= key < to. */
+/** Reads the rows of a table with from <= key < to. */
 struct gb_pool_read {
 	uint32_t partition;
 	enum gb_pool_table table;
-	const char *from; /**< empty: from the first */
-	const char *to;	  /**< empty: to the last */
+	const char *from; /**< empty: from the first row */
+	const char *to;	  /**< empty: to the last row */
 	uint32_t limit;
-	/** The least time for its answer, 0: as long as reads usually take. */
+	/** Minimum timeout of the answer, 0: the usual timeout of reads. */
 	gb_time patience;
 };
 
@@ -325,78 +344,80 @@
 
 /* Core -------------------------------------------------------------------- */
 
-/** The link of the node, as far as it decides what to send. */
+/** State of the node's network link. */
 struct gb_pool_link {
-	gb_time queued;	      /**< what was sent keeps it busy so long */
-	uint64_t bytes_per_s; /**< 0: it does not matter */
-	double use;	      /**< share of that which is sent, of late */
+	gb_time queued;	      /**< time to send what is queued on it */
+	uint64_t bytes_per_s; /**< bandwidth, 0: no limit */
+	double use;	      /**< share of the bandwidth in use lately */
 };
 
-/** What the core asks its owner to do.  Pointers in arguments hold only for
- * the time of the call. */
+/** Callbacks by which the core does its I/O. Pointers in arguments are valid
+ * only during the call. */
 struct gb_pool_ops {
 	void (*start)(void *, uint64_t call, const struct gb_pool_order *);
 	void (*stop)(void *, uint64_t call, const struct gb_pool_order *);
 	void (*heartbeat)(
 	    void *, uint64_t call, const struct gb_pool_heartbeat *);
-	/** Ask the advice service by way of a member. */
+	/** Asks the advice service through a member. */
 	void (*advise)(void *, uint64_t call, const char *member_addr,
 	    const gb_advice_ask *);
 	void (*txn)(void *, uint64_t call, const struct gb_pool_txn *);
 	void (*read)(void *, uint64_t call, const struct gb_pool_read *);
-	/** Answer a submission or question. */
+	/** Answers a submission or a question. */
 	void (*answer)(void *, uint64_t token, const gb_flow_answer *);
-	/** Ownership was gained or lost. */
+	/** The ownership was gained or lost. */
 	void (*owner)(void *, bool owns, uint64_t epoch);
-	/** How busy the link is; null: it does not matter. */
+	/** Fills in how busy the link is; null: no limit. */
 	void (*link)(void *, struct gb_pool_link *);
 	void *data;
 };
 
-/** Bounds of the deployment. */
+/** Limits of the deployment. */
 struct gb_pool_limits {
-	gb_time lease_us;     /**< longest lease that a worker grants */
-	gb_time stop_us;      /**< a stop takes at most this long */
-	gb_time keep_us;      /**< states are answered this long */
-	uint32_t connections; /**< this node may have open, 0: no limit */
+	gb_time lease_us; /**< longest lease that a worker accepts */
+	gb_time stop_us;  /**< longest time that a stop takes */
+	/** Time for which states of finished flows are kept. */
+	gb_time keep_us;
+	uint32_t connections; /**< open connections of this node, 0: no limit */
 };
 
-/** Mechanisms that can be switched off.  Each stands where it is decided; none
- * is needed to keep a promise. */
+/** Features that can be disabled by the setting `off`.  No guarantee depends on
+ * them. */
 enum gb_feature {
 	GB_FEATURE_DEADLINE_ORDER, /**< what is due first starts first */
 	GB_FEATURE_PREEMPTION,	/**< work that can wait is stopped for gangs */
-	GB_FEATURE_RESERVATION, /**< room is kept for gangs that wait */
-	GB_FEATURE_ADVICE_PREFETCH, /**< advice is asked for before a step is
+	GB_FEATURE_RESERVATION, /**< capacity is reserved for waiting gangs */
+	GB_FEATURE_ADVICE_PREFETCH, /**< advice is requested before a step is
 				       ready */
-	GB_FEATURE_ADVICE_CHANNELS, /**< a gang asks several lanes at once */
-	GB_FEATURE_TICKET_RENEWAL, /**< tickets are renewed before room is there
-				    */
-	GB_FEATURE_QUARANTINE,	 /**< workers that fail or stand still are left
-				    out */
-	GB_FEATURE_FAST_WORKERS, /**< who is pressed gets the fast workers */
-	GB_FEATURE_SPECULATION, /**< stragglers are copied where that is allowed
-				 */
-	GB_FEATURE_WRITE_BATCHING, /**< changes are gathered before they are
-				      written */
-	GB_FEATURE_HANDOVER,	   /**< an owner that stops serves until it is
-				    * succeeded
-				    */
-	GB_FEATURE_SUCCESSION,	   /**< successors claim in an order */
-	GB_FEATURE_STORE_CHECK, /**< successors look when the owner can't write
-				 */
+	GB_FEATURE_ADVICE_CHANNELS, /**< a gang uses several advice channels at
+				       once */
+	GB_FEATURE_TICKET_RENEWAL,  /**< tickets are renewed before there is
+				       capacity */
+	GB_FEATURE_QUARANTINE,	 /**< workers that fail or stall get no work */
+	GB_FEATURE_FAST_WORKERS, /**< urgent flows get the fast workers */
+	GB_FEATURE_SPECULATION,	 /**< stragglers get a second run where the step
+				    allows it */
+	GB_FEATURE_WRITE_BATCHING, /**< changes are written in batches */
+	GB_FEATURE_HANDOVER, /**< an owner that stops works on until a successor
+				has taken over */
+	GB_FEATURE_SUCCESSION,	/**< successors take over in order of rank */
+	GB_FEATURE_STORE_CHECK, /**< successors check the store when the owner
+				   can't write */
 	GB_FEATURE_STORE_WITHOUT_OWNER, /**< nodes store flows while there is no
 					   owner */
-	GB_FEATURE_STORE_FOR_OWNER, /**< and those that the owner can't store */
-	GB_FEATURE_STORE_WHILE_QUICK, /**< but only while the store is quick */
-	GB_FEATURE_PACING, /**< what can wait is sent as the link takes it */
+	GB_FEATURE_STORE_FOR_OWNER, /**< nodes store flows that the owner can't
+				       store */
+	GB_FEATURE_STORE_WHILE_QUICK, /**< nodes store flows only while the
+					 store is quick */
+	GB_FEATURE_PACING, /**< what can wait is sent when the link has capacity
+			    */
 	GB_FEATURE_SIZE_ORDER,	/**< large flows go behind small ones */
-	GB_FEATURE_SHARE_ORDER, /**< what is over an organisation's share goes
-				   behind */
+	GB_FEATURE_SHARE_ORDER, /**< flows beyond the share of their
+				   organisation go behind */
 	GB_FEATURES
 };
 
-/** Read a list of names, separated by commas, as bits. */
+/** Parses a list of feature names, separated by commas, to bits. */
 bool gb_features_parse(const char *list, uint32_t *out, struct gb_error *);
 
 struct gb_pool_settings {
@@ -405,8 +426,7 @@
 	uint64_t incarnation; /**< differs with each start of the process */
 	uint64_t seed;
 	struct gb_pool_limits limits;
-	uint32_t
-	    disabled_features; /**< mechanisms that are switched off, as bits */
+	uint32_t disabled_features; /**< disabled features, as bits */
 	struct gb_events *events;
 };
 
@@ -417,59 +437,64 @@
 struct gb_pool *gb_pool_ref(struct gb_pool *);
 void gb_pool_unref(struct gb_pool *);
 
-/** Let time pass; call at least every GB_POOL_TICK_US. */
+/** Does what is due; call it at least every GB_POOL_TICK_US. */
 void gb_pool_tick(struct gb_pool *, gb_time now, gb_time wall);
 #define GB_POOL_TICK_US (5 * GB_MSEC)
 
-/** Parts, the first ones, in which an owner renews its row whatever else it
- * writes: as many as make an owner, so that who could take the pool can read
- * one of them. */
+/** Number of partitions, the first ones, in which an owner renews its row
+ * whatever else it writes: as many as make an owner, so that every possible
+ * successor can read one of them. */
 #define GB_POOL_PARTITIONS_RENEWED (GB_POOL_PARTITIONS / 2 + 1)
 
-/** The owner's row of a part, as it is stored. */
+/** The owner's row of a partition, as it is stored. */
 struct gb_owner_record {
 	gb_owner_row row;
-	uint32_t contested; /**< takeovers from owners at work, lately */
+	/** Contention: recent takeovers from working owners. */
+	uint32_t contested;
 };
 
 bool gb_owner_record_encode(const struct gb_owner_record *, gb_body *);
-/** Returns false, and leaves nothing to clear, when it can't be read. */
+/** Returns false, with nothing to clear, when the row can't be read. */
 bool gb_owner_record_decode(struct gb_owner_record *, const gb_body *);
 void gb_owner_record_clear(struct gb_owner_record *);
 
-/** Try to become the owner after the one of that epoch; given up when the
+/** Tries to become the owner after the one of epoch `after`; gives up when the
  * store names a later one. */
 void gb_pool_take(
     struct gb_pool *, gb_time now, uint64_t after, enum takeover_cause);
-/** The pool was lost to a process that this one had asked to take it. */
+/** Notes that the pool was lost to a process that this one had asked to take
+ * over. */
 void gb_pool_handed(struct gb_pool *);
-/** A process that does not stop is alive; it may have owned the pool before. */
+/** Handles that another process was found alive and not stopping; it may have
+ * owned the pool before. */
 void gb_pool_alive(struct gb_pool *, gb_time now, uint64_t incarnation);
-/** Write what is pending, then give the ownership up. */
+/** Writes what is pending, then gives up the ownership. */
 void gb_pool_release(struct gb_pool *, gb_time now);
-/** Somebody was heard of that owns the pool at a later epoch. */
+/** Handles that a later epoch of ownership was found; the ownership of this
+ * node then ends. */
 void gb_pool_epoch_seen(struct gb_pool *, gb_time now, uint64_t epoch);
 bool gb_pool_owns(const struct gb_pool *);
-/** Whether the ownership is being gained. */
+/** Whether this node is taking over the pool. */
 bool gb_pool_acquiring(const struct gb_pool *);
-/** Whether it is as good as gained: others should wait for this node. */
+/** Whether this node has won the takeover and is loading the tables, so that
+ * others should wait for it. */
 bool gb_pool_loading(const struct gb_pool *);
 uint64_t gb_pool_epoch(const struct gb_pool *);
 /** Time since the store last confirmed the ownership. */
 gb_time gb_pool_store_silent(const struct gb_pool *, gb_time now);
-/** Whether most parts of the tables do not take this owner's writes. */
+/** Whether most partitions of the tables don't accept this owner's writes. */
 bool gb_pool_store_unavailable(const struct gb_pool *);
 
 void gb_pool_configure(struct gb_pool *, gb_time now, struct gb_pool_config *);
-/** Entries of the list of workers that are new or have changed; a whole list
- * names all there are. */
+/** Applies entries of the worker list that are new or have changed; a whole
+ * list has all workers. */
 void gb_pool_workers(struct gb_pool *, gb_time now,
     const struct gb_pool_entry *, size_t count, bool whole);
-/** A member that may ask the advice service. */
+/** Adds or updates a member through which the advice service may be called. */
 void gb_pool_member(
     struct gb_pool *, gb_time now, const char *addr, bool usable);
 
-/** Take a flow in; answered through ops.answer. */
+/** Submits a flow; the answer comes through ops.answer. */
 void gb_pool_submit(
     struct gb_pool *, gb_time now, uint64_t token, const gb_flow_submit *);
 void gb_pool_ask(
@@ -488,35 +513,36 @@
 void gb_pool_read_done(struct gb_pool *, gb_time now, uint64_t call,
     const struct gb_pool_read_res *);
 
-/** Whether a flow can be taken in at all: its shape is served. */
+/** Whether flows of this shape are supported; else fills in the error. */
 bool gb_flow_check(const gb_flow *, struct gb_error *);
 
-/** Whether a flow may be seen and cancelled by callers of an organisation: by
- * its own, and by all where one of the two belongs to none. */
+/** Whether callers of an organisation may see and cancel a flow: it must be of
+ * the same organisation, or one of the two must have none. */
 bool gb_flow_visible(const char *flow_org, const char *caller_org);
 
-/** Read a row of the table of submitted flows, also of older programs; free the
- * flow with xdr_free.  False when it can't be read. */
+/** Decodes a row of the table of submitted flows, also of older programs; free
+ * the flow with xdr_free.  Returns false when it can't be read. */
 bool gb_flow_decode(const gb_body *row, gb_flow_row *);
 
-/** Read a row of the table of states, also of older programs; free the state
- * with xdr_free.  False when it can't be read. */
+/** Decodes a row of the table of states, also of older programs; free the state
+ * with xdr_free.  Returns false when it can't be read. */
 bool gb_flow_state_decode(const gb_body *row, gb_flow_state *);
 
-/** Counters of a core, for the metrics address. */
+/** Counters of a core, for the metrics. */
 struct gb_pool_stats {
 	uint64_t submitted, accepted, refused, repeated;
 	uint64_t starts, starts_refused, starts_lost, stops, preempted,
 	    heartbeats;
 	uint64_t done, failed, stopped, lapsed, broken, alone;
-	uint64_t crashed;	/**< runs lost with a worker that is over */
+	uint64_t crashed;	/**< runs lost with a worker that crashed */
 	uint64_t gone;		/**< runs that a worker no longer lists */
-	uint64_t workers_ended; /**< lifetimes of workers that ended */
-	uint64_t given_up;	/**< flows that crash their workers */
+	uint64_t workers_ended; /**< ended worker incarnations */
+	uint64_t given_up;	/**< flows failed because they crash workers */
 	uint64_t advice_calls, advice_busy, advice_lost;
-	uint64_t entry_errors[GB_POOL_ENTRY_ERRORS]; /**< entries refused */
+	uint64_t entry_errors[GB_POOL_ENTRY_ERRORS]; /**< invalid entries, by
+							error */
 	uint64_t txns, txn_conflicts, txn_lost, rows, reads, takeovers, losses;
-	uint64_t takeovers_failed; /**< claims that came to nothing */
+	uint64_t takeovers_failed; /**< failed takeovers */
 	uint64_t flows, waiting, running, workers, quarantined;
 	struct gb_histogram accept_us, first_start_us, finish_us, advice_us;
 	struct gb_histogram txn_us, start_us, takeover_us;
@@ -524,7 +550,7 @@
 
 const struct gb_pool_stats *gb_pool_stats(struct gb_pool *);
 
-/** An organisation as this owner of the pool sees it. */
+/** Counters of an organisation, as this owner knows it. */
 struct gb_pool_org_stat {
 	char name[GB_NAME_MAX + 1];
 	uint32_t weight;
@@ -537,27 +563,30 @@
 	uint64_t quota_waits;	     /**< flows that waited for its quota */
 };
 
-/** Fills in so many organisations at the most; returns how many. */
+/** Fills in at most `most` organisations; returns how many. */
 size_t gb_pool_orgs(
     const struct gb_pool *, struct gb_pool_org_stat *out, size_t most);
 
 /* Events ------------------------------------------------------------------ */
 
-/** Structured log: a JSON object a line, bounded, never blocking. */
+/** Structured log: one JSON object per line, with bounded memory; never
+ * blocks. */
 struct gb_events;
 
-/** What a line is about, which decides what is left out under load. */
+/** Class of a line, which decides whether it may be dropped under load. */
 enum gb_event_class {
-	GB_EVENT_ALWAYS, /**< starts, stops, dependencies, failures */
-	GB_EVENT_NORMAL	 /**< one of many; dropped beyond the budget */
+	GB_EVENT_ALWAYS, /**< never dropped by the budget: starts, stops,
+			    dependencies, failures */
+	GB_EVENT_NORMAL	 /**< frequent lines, dropped beyond the budget */
 };
 
 struct gb_events *gb_events_new(
     struct uv_loop_s *, int fd, uint32_t lines_per_s, const char *node);
 void gb_events_free(struct gb_events *);
-/** Take the time of lines from there, as tests do. */
+/** Takes the time of lines from `clock`, for tests. */
 void gb_events_clock(struct gb_events *, const gb_time *);
-/** Write a line.  The format is json_pack's, for the line's own fields. */
+/** Writes a line.  The format is that of json_pack, for the line's own
+ * fields. */
 void gb_event(struct gb_events *, enum gb_event_class, const char *event,
     const char *fmt, ...);
 uint64_t gb_events_dropped(const struct gb_events *);
