--- a/libgooseberry/pool/contention.c
+++ b/libgooseberry/pool/contention.c
@@ -1,49 +1,55 @@
 /**
  * @file contention.c
- * Counts takeovers from owners that were at work.
+ * Counts contention: takeovers from owners that were still working.
  *
- * Load: members can't hear an owner for as long as paths are cut, or everything
- * is slow, or stands still for a second at a time.  Each takeover reads all
- * that is stored anew, and what the owner before has read is lost; where nobody
- * owns the pool for longer than a takeover takes, nothing is placed.  An owner
- * that turns out to be alive after it was deposed is evidence that silence does
- * not mean much for now.  One that is gone is no such evidence, so that owners
+ * Members can't reach an owner for as long as network paths are cut, or
+ * everything is slow or paused for a second at a time.  Each takeover reads all
+ * stored data again and discards what the previous owner has read; if no owner
+ * lasts longer than a takeover takes, no task is placed.
+ *
+ * A deposed owner that turns out to be alive is evidence that silence means
+ * little for now.  One that has terminated is no such evidence, so that owners
  * that die one after the other are succeeded as quickly as the first.
  */
 #include "contention.h"
 
-/** More says nothing new; an owner without contest is soon trusted again. */
-#define CONTENTION_MOST 3
-/** An owner that kept the pool for this long was not contested: longer than the
- * most patient member waits. */
-#define CONTENTION_QUIET (20 * GB_SEC)
-/** A process that was deposed longer ago than this takes the pool for another
- * reason. */
-#define CONTENTION_RECENT (20 * GB_SEC)
+/** Maximum count.  More tells members nothing new, and a low maximum lets the
+ * count return to 0 soon. */
+#define CONTENTION_COUNT_MAX 3
+/** The count falls by one when the owner has kept the pool for this long, which
+ * is longer than the longest timeout of members. */
+#define CONTENTION_FALL_TIME (20 * GB_SEC)
+/** A takeover by a process that was deposed longer ago than this is no
+ * contention. */
+#define CONTENTION_DEPOSED_RECENTLY (20 * GB_SEC)
 
 static void
 contention_increase(struct contention *c, gb_time now)
 {
-	if (c->count < CONTENTION_MOST)
+	if (c->count < CONTENTION_COUNT_MAX)
 		c->count++;
 	c->since = now;
 }
 
 void
 contention_take_over(struct contention *c, gb_time now,
-    const struct contention_row *row, uint64_t self, enum takeover_cause cause)
+    const struct contention_row *previous, uint64_t self,
+    enum takeover_cause cause)
 {
-	bool lately = c->lost_at != 0 && now - c->lost_at < CONTENTION_RECENT;
+	bool recently_deposed =
+	    c->lost_at != 0 && now - c->lost_at < CONTENTION_DEPOSED_RECENTLY;
 
-	c->count = row->count < CONTENTION_MOST ? row->count : CONTENTION_MOST;
+	c->count = previous->count < CONTENTION_COUNT_MAX
+		       ? previous->count
+		       : CONTENTION_COUNT_MAX;
 	c->since = now;
-	c->before = 0;
+	c->previous_owner = 0;
 	if (cause == TAKEOVER_REQUESTED)
 		return;
-	if (cause == TAKEOVER_WORKING_OWNER || lately)
+	if (cause == TAKEOVER_WORKING_OWNER || recently_deposed)
 		contention_increase(c, now);
-	else if (row->incarnation != self)
-		c->before = row->incarnation;
+	else if (previous->incarnation != self)
+		c->previous_owner = previous->incarnation;
 }
 
 void
@@ -62,9 +68,9 @@
 contention_process_alive(
     struct contention *c, gb_time now, uint64_t incarnation)
 {
-	if (c->before == 0 || c->before != incarnation)
+	if (c->previous_owner == 0 || c->previous_owner != incarnation)
 		return false;
-	c->before = 0;
+	c->previous_owner = 0;
 	contention_increase(c, now);
 	return true;
 }
@@ -72,7 +78,7 @@
 void
 contention_tick(struct contention *c, gb_time now)
 {
-	if (c->count == 0 || now - c->since < CONTENTION_QUIET)
+	if (c->count == 0 || now - c->since < CONTENTION_FALL_TIME)
 		return;
 	c->count--;
 	c->since = now;
--- a/libgooseberry/pool/contention.h
+++ b/libgooseberry/pool/contention.h
@@ -1,47 +1,51 @@
 /**
  * @file contention.h
- * Counts takeovers from owners that were at work.  No I/O.
+ * Counts contention: takeovers from owners that were still working.  No I/O.
  */
 #ifndef GB_POOL_CONTENTION_H
 #define GB_POOL_CONTENTION_H
 
 #include "gooseberry.h"
 
-/** What an owner, or a process that was one, knows of such takeovers.  The
- * count stands in the owner's row; members are the more patient with an owner,
- * the higher it is. */
+/** What an owner, or a former owner, knows of contention.  The count is stored
+ * in the owner's row; the higher it is, the longer members wait before they
+ * take the pool from an owner. */
 struct contention {
 	uint32_t count;
-	uint64_t before; /**< incarnation that was taken from, 0: none */
-	gb_time since;	 /**< of ownership, or of the last change of count */
-	gb_time lost_at; /**< this process was deposed, 0: never */
+	uint64_t
+	    previous_owner; /**< incarnation of the previous owner, 0: none */
+	gb_time since;	 /**< start of the ownership, or last change of count */
+	gb_time lost_at; /**< when this process was deposed as the owner, 0:
+			    never */
 };
 
-/** What the row of the owner before says. */
+/** Contents of the previous owner's row. */
 struct contention_row {
 	uint32_t count;
-	uint64_t incarnation; /**< 0: it gave the pool up */
+	uint64_t incarnation; /**< 0: it released the pool */
 };
 
-/** Why a process takes the pool. */
+/** Why a process takes over the pool. */
 enum takeover_cause {
-	TAKEOVER_SILENT_OWNER,	/**< its owner may be gone */
-	TAKEOVER_WORKING_OWNER, /**< its owner renews its row, and is not heard
-				 */
-	TAKEOVER_REQUESTED	/**< by the owner itself */
+	TAKEOVER_SILENT_OWNER,	/**< the owner may have terminated */
+	TAKEOVER_WORKING_OWNER, /**< the owner renews its row, but can't be
+				   reached */
+	TAKEOVER_REQUESTED	/**< the owner asked for it */
 };
 
-/** This process, of the incarnation `self`, takes the pool. */
+/** Handles that this process, with the incarnation `self`, takes over the
+ * pool. */
 void contention_take_over(struct contention *, gb_time now,
     const struct contention_row *, uint64_t self, enum takeover_cause);
-/** This process was deposed while it was at work. */
+/** Handles that this process was deposed while it was working as the owner. */
 void contention_owner_deposed(struct contention *, gb_time now);
-/** This process gave the pool up. */
+/** Handles that this process released the pool. */
 void contention_release(struct contention *);
-/** A process is alive and not stopping; true when the count has grown by it. */
+/** Handles that a process was found alive and not stopping.  Returns true when
+ * the count has grown by that. */
 bool contention_process_alive(
     struct contention *, gb_time now, uint64_t incarnation);
-/** Time passes for the owner. */
+/** Lowers the count when the owner has kept the pool for long enough. */
 void contention_tick(struct contention *, gb_time now);
 
 #endif
--- a/libgooseberry/pool/crash.h
+++ b/libgooseberry/pool/crash.h
@@ -1,68 +1,76 @@
 /**
  * @file crash.h
- * Tasks that crash the workers that start them: what worker.c, flow.c, fit.c
- * and dispatch.c ask and tell.
+ * Tasks that crash the workers that start them: interface for worker.c, flow.c,
+ * fit.c and dispatch.c.
  */
 #ifndef GB_POOL_CRASH_H
 #define GB_POOL_CRASH_H
 
 #include "state.h"
 
-/** A worker that may have crashed was not heard: a successor must know of what
- * was just started there. */
+/** Handles that a worker missed a heartbeat and may have crashed: marks its
+ * newly started runs to be stored, so that a successor knows of them. */
 void pool_crash_worker_missed(struct gb_pool *, struct pool_worker *);
-/** A worker is lost: classify its runs, before the first of them is freed. */
+/** Classifies the runs of a lost worker, before the first of them is freed. */
 void pool_crash_classify(const struct gb_pool *, struct pool_worker *);
-/** A run is lost: another lifetime answered in its worker's place. */
+/** Records a run as lost because its worker's incarnation has ended. */
 void pool_crash_run_ended(struct gb_pool *, const struct pool_run *);
-/** A run is lost: its worker is away and its lease was waited out. */
+/** Records a run as lost because its worker is unreachable and the lease has
+ * expired. */
 void pool_crash_run_lapsed(struct gb_pool *, const struct pool_run *);
-/** A worker that was away has answered, or another lifetime in its place. */
+/** Resolves the recorded losses of an unreachable worker once it has answered,
+ * or another incarnation in its place (`crashed`). */
 void pool_crash_worker_known(
     struct gb_pool *, struct pool_worker *, bool crashed);
 void pool_crash_worker_forget(struct pool_worker *);
-/** Whether a suspect was just started on a worker, so that nothing else may
- * be. */
+/** Whether a crash suspect was just started on a worker, so that no other task
+ * may be started there. */
 bool pool_crash_on_probation(const struct pool_worker *);
-/** Whether a run of another flow was just started on a worker. */
+/** Whether a run of a flow other than `but` was just started on a worker. */
 bool pool_crash_has_new(
     const struct pool_worker *, const struct pool_flow *but);
-/** Whether a task may not be started yet. */
+/** Whether a task may not be started yet: its start or its crashes are not
+ * stored, or it may be over the limit of crashes. */
 bool pool_crash_held(const struct pool_flow *, const struct pool_task *);
-/** Tasks of a step without a run that may not be started yet. */
+/** Number of tasks of a step without a run that may not be started yet. */
 uint32_t pool_crash_held_count(
     const struct pool_flow *, const struct pool_step *);
-/** Count workers that have been away for too long, and give the flow up if one
- * of its tasks is over the limit. */
+/** Counts workers that have been unreachable for too long as crashed, and fails
+ * the flow if one of its tasks is over the limit. */
 void pool_crash_sweep(struct gb_pool *, struct pool_flow *);
-/** A worker is lost of which a part that is not settled knows nothing. */
+/** Notes that a worker was lost which has not answered this owner, so that
+ * partitions that are not reconciled don't know what it ran. */
 void pool_crash_unseen(struct gb_pool *, const struct pool_worker *);
-/** A part is settled: flows that may have been started on workers which were
- * lost meanwhile are watched from now on. */
+/** Handles that a partition was reconciled although workers were lost: from now
+ * on, starts of flows that may have been started on these are stored before
+ * they are sent. */
 void pool_crash_watch(struct gb_pool *, uint32_t partition);
-/** Store the start of a task on a worker, and keep its room. */
+/** Plans the start of a task on a worker: the start is stored first, and claims
+ * its capacity. */
 void pool_crash_plan(struct gb_pool *, struct pool_flow *, uint32_t step,
     uint32_t index, struct pool_worker *);
-/** Worker of a start that was planned. */
+/** Worker of a planned start. */
 struct pool_worker *pool_crash_plan_worker(
     const struct gb_pool *, const struct pool_task *);
-/** Give back the room of a start that was planned, before it is sent. */
+/** Releases the capacity that a planned start claims, before the start is
+ * sent. */
 void pool_crash_plans_left(
     struct gb_pool *, struct pool_step *, uint32_t index);
-/** Forget the start: it was not sent, or its run is over. */
+/** Removes a planned start that was not sent, or whose run has ended. */
 void pool_crash_plan_drop(struct gb_pool *, struct pool_step *, uint32_t index);
-/** Starts of a step that are planned on a worker and not sent. */
+/** Number of planned starts of a step on a worker that are not sent. */
 uint32_t pool_crash_planned_on(
     const struct pool_step *, const struct pool_worker *);
 void pool_crash_plans_drop(struct gb_pool *, struct pool_step *);
-/** Take in what is stored of a task, with the lives of so many of the workers
- * that were away. */
+/** Loads the stored crashes of a task, with the incarnations of its first
+ * `known` unreachable workers. */
 void pool_crash_load(struct gb_pool *, struct pool_flow *,
     const gb_task_crashes *, const int64_t *incarnations, u_int known);
-/** Whether there is something of a task to be stored; and that. */
+/** Whether a task has crashes or a planned start to be stored; the next
+ * function fills them in. */
 bool pool_crash_stored(const struct pool_task *);
 void pool_crash_fill(const struct pool_task *, gb_task_crashes *);
-/** Add the lives of the workers that are away with it. */
+/** Appends the incarnations of the unreachable workers of a task. */
 void pool_crash_fill_incarnations(const struct pool_task *, gb_flow_state *);
 
 #endif
--- a/libgooseberry/pool/org.c
+++ b/libgooseberry/pool/org.c
@@ -7,8 +7,8 @@
 
 #include "state.h"
 
-/** Take over what the configuration says; one that it no longer names keeps
- * what it had, since its flows go on. */
+/** Applies the configuration to an organisation.  One that is no longer
+ * configured keeps its weight and quota, since its flows continue. */
 static void
 org_configure(const struct gb_pool *pool, struct pool_org *org)
 {
@@ -81,7 +81,7 @@
 		org->refused++;
 }
 
-/** Count the flows of each organisation that have not begun. */
+/** Counts the flows of each organisation that have not begun. */
 static void
 orgs_waiting(const struct gb_pool *pool)
 {
@@ -138,7 +138,8 @@
 	org = gb_pool_config_key_org(pool->config, &digest);
 	if (org == NULL)
 		return GB_FLOW_DENIED;
-	/* The key went to another organisation: its node will know soon. */
+	/* The key was given to another organisation; the caller's node will
+	 * learn it soon. */
 	return strcmp(org->name, caller->org) == 0 ? GB_FLOW_ACCEPTED
 						   : GB_FLOW_REFUSED;
 }
--- a/libgooseberry/pool/org.h
+++ b/libgooseberry/pool/org.h
@@ -1,7 +1,7 @@
 /**
  * @file org.h
- * Organisations as the owner of the pool sees them: what they run, and what
- * they may.
+ * Organisations as the owner of the pool knows them: what they run and what
+ * they may run.
  */
 #ifndef GB_POOL_ORG_H
 #define GB_POOL_ORG_H
@@ -18,11 +18,12 @@
 	char name[GB_NAME_MAX + 1];
 	uint32_t weight;
 	struct gb_pool_amount quota; /**< 0: no limit */
-	struct gb_pool_amount used;  /**< by all that may run */
+	struct gb_pool_amount used; /**< used by all runs that may be running */
 	uint64_t runs;
-	/** Submissions that it may still send now as its share. */
+	/** Submissions that it may still send now within its share; may be
+	 * fractional. */
 	double share_left;
-	gb_time share_at;     /**< when that was worked out */
+	gb_time share_at;     /**< when share_left was computed */
 	uint64_t accepted;    /**< flows */
 	uint64_t over_share;  /**< of these, beyond its share */
 	uint64_t refused;     /**< submissions that were not admitted */
@@ -31,33 +32,37 @@
 };
 
 /* org.c */
-/** Organisation of a name, known or new; null for the empty name. */
+/** Returns the organisation of a name and creates it if needed; null for the
+ * empty name. */
 struct pool_org *pool_org_get(struct gb_pool *, const char *name);
-/** The configuration has changed. */
+/** Applies a changed configuration. */
 void pool_orgs_configure(struct gb_pool *);
 void pool_orgs_free(struct gb_pool *);
-/** A flow of an organisation was accepted. */
+/** Counts an accepted flow of an organisation. */
 void pool_org_count(struct pool_org *, bool over_share);
-/** A submission of an organisation was not admitted. */
+/** Counts a submission of an organisation that was not admitted. */
 void pool_org_refused(struct gb_pool *, const char *name);
-/** What a caller may do by the newer of its configuration and the owner's. */
+/** Authorises a caller by the newer of two configurations: that of the node
+ * which took its call, and the owner's. */
 gb_flow_verdict pool_org_judge(const struct gb_pool *, const gb_flow_caller *);
 
 /* share.c */
-/** A submission has come: whether it is beyond the organisation's share. */
+/** Charges a submission to the share of its organisation; returns whether it is
+ * beyond the share. */
 bool pool_share_take(struct pool_org *, gb_time now);
 
 /* quota.c */
-/** A run takes room of its organisation, or gives it back. */
+/** Adds a run to the use of its organisation, or removes it. */
 void pool_quota_take(struct pool_org *, const gb_res *);
 void pool_quota_give(struct pool_org *, const gb_res *);
-/** How many of so many tasks an organisation may start now. */
+/** Number of tasks, at most `wanted`, that an organisation may start now. */
 uint32_t pool_quota_fits(const struct gb_pool *, const struct pool_org *,
     const gb_res *each, uint32_t wanted);
-/** Whether the quota admits so many tasks at once, were nothing else to run. */
+/** Whether the quota allows so many tasks at once if nothing else runs. */
 bool pool_quota_admits(
     const struct gb_pool_amount *quota, const gb_res *each, uint32_t count);
-/** Work out anew what earlier owners may have left running out of sight. */
+/** Computes the capacity that may be used by runs which this owner doesn't know
+ * of. */
 void pool_quota_doubt(struct gb_pool *);
 
 #endif
--- a/libgooseberry/pool/org_config.c
+++ b/libgooseberry/pool/org_config.c
@@ -2,9 +2,8 @@
  * @file org_config.c
  * Organisations of a configuration, with their keys and quotas.
  *
- * Load: each request carries a key, and there may be 10,000 of them.  A key is
- * found by its digest in one step, however many there are, and stands nowhere
- * in clear.
+ * Each request carries a key, and there may be 10,000 keys.  A key is found by
+ * its digest with one hash lookup, and is stored nowhere in plain text.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,14 +17,14 @@
 struct gb_pool_key {
 	UT_hash_handle hh;
 	struct gb_pool_key_digest digest;
-	size_t org; /**< its place in the list */
+	size_t org; /**< index in the list of organisations */
 };
 
 void
 gb_pool_key_digest(const char *key, struct gb_pool_key_digest *digest)
 {
-	_Static_assert(
-	    SHA256_DIGEST_LENGTH == GB_KEY_DIGEST, "a digest fills its room");
+	_Static_assert(SHA256_DIGEST_LENGTH == GB_KEY_DIGEST,
+	    "a digest has the size of SHA-256");
 	SHA256((const unsigned char *)key, strlen(key), digest->bytes);
 }
 
@@ -56,7 +55,7 @@
 }
 
 const char *
-gb_pool_org_error_name(enum gb_pool_org_error fault)
+gb_pool_org_error_name(enum gb_pool_org_error error)
 {
 	static const char *const names[GB_POOL_ORG_ERRORS] = {
 	    [GB_POOL_ORG_VALID] = "sound",
@@ -66,7 +65,7 @@
 	    [GB_POOL_ORG_KEY] = "key_unreadable",
 	    [GB_POOL_ORG_KEY_SHARED] = "key_shared"};
 
-	return names[fault];
+	return names[error];
 }
 
 void
@@ -104,12 +103,12 @@
 gb_pool_config_org_add(
     struct gb_pool_config *config, const struct gb_pool_org *org)
 {
-	enum gb_pool_org_error fault = org_check(config, org);
+	enum gb_pool_org_error error = org_check(config, org);
 
-	config->org_errors[fault]++;
-	if (fault == GB_POOL_ORG_VALID)
+	config->org_errors[error]++;
+	if (error == GB_POOL_ORG_VALID)
 		config->orgs[config->org_count++] = *org;
-	return fault;
+	return error;
 }
 
 static const struct gb_pool_key *
@@ -139,21 +138,21 @@
 gb_pool_config_digest_add(
     struct gb_pool_config *config, const struct gb_pool_key_digest *digest)
 {
-	enum gb_pool_org_error fault = GB_POOL_ORG_VALID;
+	enum gb_pool_org_error error = GB_POOL_ORG_VALID;
 	const struct gb_pool_key *other = key_find(config, digest);
 	struct gb_pool_key *key;
 
 	if (other != NULL) {
 		if (other->org + 1 != config->org_count)
-			fault = GB_POOL_ORG_KEY_SHARED;
-		config->org_errors[fault]++;
-		return fault;
+			error = GB_POOL_ORG_KEY_SHARED;
+		config->org_errors[error]++;
+		return error;
 	}
 	key = gb_calloc(1, sizeof(*key));
 	key->digest = *digest;
 	key->org = config->org_count - 1;
 	HASH_ADD(hh, config->keys, digest, sizeof(key->digest), key);
-	return fault;
+	return error;
 }
 
 const struct gb_pool_org *
--- a/libgooseberry/pool/owner.c
+++ b/libgooseberry/pool/owner.c
@@ -1,15 +1,18 @@
 /**
  * @file owner.c
- * Ownership of the pool: taking it, attaching its parts, losing it.
+ * Ownership of the pool: acquiring it, attaching its partitions, losing it.
  *
- * Each part of the tables has an owner's row that names an epoch; taking a part
- * is a compare-and-set of that row, and every write to the part is bound to it.
- * A node owns the pool once it holds the rows of most parts under one epoch,
- * from which the workers' fencing tokens are made: any two majorities share a
- * part, so that no two nodes own the pool under the same epoch, and a claim
- * that has read most rows knows of every epoch that was ever in force.  Parts
- * that the store does not serve are attached when it serves them again;
- * meanwhile nothing is said or done about their flows.
+ * Each partition of the tables has an owner's row that names an epoch.
+ * Claiming a partition is a compare-and-set of that row, and every write to the
+ * partition requires the row to be unchanged.  A node owns the pool once it
+ * holds the rows of most partitions under one epoch, from which the workers'
+ * fencing tokens are made.  Any two majorities share a partition: so no two
+ * nodes own the pool under the same epoch, and a claim that has read most rows
+ * knows every earlier epoch of an owner.
+ *
+ * Partitions that the store can't serve are attached once it serves them again;
+ * until then this owner neither answers questions about their flows nor starts
+ * tasks of them.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -19,30 +22,32 @@
 #include "crash.h"
 #include "state.h"
 
-/** Every lease that an earlier owner gave is over this much after its longest
- * length on the slowest clock: it learns of its loss with its next write or
- * the next answer of a worker, half a second at the most. */
+/** Time after the longest lease, counted on the slowest clock, until all leases
+ * of earlier owners have expired.  An earlier owner learns of its loss with its
+ * next write or the next answer of a worker, within half a second. */
 #define OWNER_RECONCILE_MARGIN (900 * GB_MSEC)
-/** Writes that are pending at a stop are given this long. */
-#define OWNER_RELEASE (1500 * GB_MSEC)
-/** Flows stored without the owner are looked for this often, and sooner after
- * some were found: the most urgent have three quarters of a second to spare. */
-#define OWNER_INBOX (GB_SEC)
-/** Parts that make an owner. */
+/** Longest time for pending writes when the ownership is released. */
+#define OWNER_RELEASE_TIMEOUT (1500 * GB_MSEC)
+/** Interval at which flows that were stored without the owner are read; it is
+ * shorter after some were found.  The most urgent flows have 0.75 s to
+ * spare. */
+#define OWNER_INBOX_INTERVAL (GB_SEC)
+/** Number of partitions that an owner must hold. */
 #define OWNER_MAJORITY GB_POOL_PARTITIONS_RENEWED
-/** A claim that has not come to most parts by then is given up: reads and a
- * write take 1.2 s when the store is a hundred times slower. */
-#define OWNER_CLAIM_MOST (4 * GB_SEC)
-/** A rival in the same race who has not given up by then has won: a claim takes
- * 15 ms when all is calm. */
-#define OWNER_RIVAL_MOST (300 * GB_MSEC)
-/** An owner of most parts waits this long for the others before it begins; a
- * part is read within 15 ms when all is calm. */
+/** Timeout of a claim that doesn't hold most partitions.  Reads and a write
+ * take 1.2 s when the store is a hundred times slower. */
+#define OWNER_CLAIM_TIMEOUT (4 * GB_SEC)
+/** Time after which a rival with the same epoch that has not given up has won.
+ * A claim takes 15 ms at normal load. */
+#define OWNER_RIVAL_TIMEOUT (300 * GB_MSEC)
+/** Time for which an owner of most partitions waits for the others before it
+ * begins to work.  A partition is read within 15 ms at normal load. */
 #define OWNER_ATTACH_WAIT (200 * GB_MSEC)
-/** Pause before a part is tried again: after a rival was seen, who gives up
- * within milliseconds, and after a failure, doubled with each. */
-#define ATTACH_RIVAL (25 * GB_MSEC)
-#define ATTACH_RETRY (100 * GB_MSEC)
+/** Pause before the next try to attach a partition: after a rival was found,
+ * which gives up within milliseconds; and after a failure, where it doubles
+ * with each further one. */
+#define ATTACH_RIVAL_PAUSE (25 * GB_MSEC)
+#define ATTACH_RETRY_PAUSE (100 * GB_MSEC)
 #define ATTACH_RETRY_DOUBLINGS 2
 
 bool
@@ -73,12 +78,13 @@
 bool
 gb_pool_store_unavailable(const struct gb_pool *pool)
 {
-	unsigned int out = 0;
+	unsigned int unavailable = 0;
 	uint32_t i;
 
 	for (i = 0; i < GB_POOL_PARTITIONS; i++)
-		out += pool_writer_unavailable(pool, i);
-	return pool->phase == POOL_OWNER_ACTIVE && out >= OWNER_MAJORITY;
+		unavailable += pool_writer_unavailable(pool, i);
+	return pool->phase == POOL_OWNER_ACTIVE &&
+	       unavailable >= OWNER_MAJORITY;
 }
 
 static unsigned int
@@ -93,7 +99,7 @@
 }
 
 static void
-owner_forget(struct gb_pool *pool)
+owner_clear(struct gb_pool *pool)
 {
 	struct pool_flow *flow;
 	struct pool_flow *next;
@@ -108,10 +114,10 @@
 	pool_writer_reset(pool);
 }
 
-/** Rows that were claimed in vain are left vacant, so that the next claim need
- * not find out who wrote them. */
+/** Marks the rows that a failed claim has written as vacant, so that the next
+ * claim needn't find out who wrote them. */
 static void
-owner_vacate(struct gb_pool *pool)
+owner_rows_vacate(struct gb_pool *pool)
 {
 	struct gb_pool_row cond = {0};
 	struct gb_pool_row put = {0};
@@ -148,10 +154,10 @@
 	    "winner", pool->rival.addr, "winner_name", pool->rival.name,
 	    "winner_epoch", (json_int_t)pool->rival.epoch);
 	pool->stats.takeovers_failed++;
-	owner_vacate(pool);
+	owner_rows_vacate(pool);
 	pool->phase = POOL_OWNER_NONE;
 	pool->term++;
-	owner_forget(pool);
+	owner_clear(pool);
 }
 
 void
@@ -175,17 +181,17 @@
 	pool->term++;
 	if (epoch > pool->epoch)
 		pool->epoch = epoch;
-	owner_forget(pool);
+	owner_clear(pool);
 	if (owned) {
 		pool->stats.losses++;
 		pool->ops.owner(pool->ops.data, false, pool->epoch);
 	}
 }
 
-/* Attaching a part -------------------------------------------------------- */
+/* Attaching a partition --------------------------------------------------- */
 
 static void
-partition_read(struct gb_pool *pool, uint32_t number)
+partition_row_read(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_call *call = pool_call_new(pool, POOL_CALL_OWNER_READ);
 	const struct gb_pool_read read = {number, GB_POOL_OWNERS,
@@ -198,34 +204,36 @@
 }
 
 static void
-partition_retry(
+partition_attach_retry(
     struct gb_pool *pool, struct pool_partition *partition, gb_time pause)
 {
 	partition->attach = POOL_ATTACH_NONE;
 	partition->attach_at = pool->now + pause;
 }
 
-/** The store did not answer for a part, or not surely. */
+/** Handles a store call for a partition that failed or has an unknown
+ * result. */
 static void
-partition_failed(struct gb_pool *pool, uint32_t number)
+partition_attach_failed(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_partition *partition = &pool->partitions[number];
-	unsigned int failing = 0;
+	unsigned int failing_partitions = 0;
 	uint32_t i;
 
-	partition_retry(pool, partition,
-	    ATTACH_RETRY << (partition->attach_failures < ATTACH_RETRY_DOUBLINGS
-				 ? partition->attach_failures
-				 : ATTACH_RETRY_DOUBLINGS));
+	partition_attach_retry(pool, partition,
+	    ATTACH_RETRY_PAUSE
+		<< (partition->attach_failures < ATTACH_RETRY_DOUBLINGS
+			   ? partition->attach_failures
+			   : ATTACH_RETRY_DOUBLINGS));
 	partition->attach_failures++;
 	if (partition->attach_failures == 1)
 		gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "part_out",
 		    "{s:I, s:I}", "part", (json_int_t)number, "epoch",
 		    (json_int_t)pool->claim_epoch);
 	for (i = 0; i < GB_POOL_PARTITIONS; i++)
-		failing += pool->partitions[i].attach_failures > 0;
+		failing_partitions += pool->partitions[i].attach_failures > 0;
 	if (pool->phase < POOL_OWNER_LOADING &&
-	    failing > GB_POOL_PARTITIONS - OWNER_MAJORITY)
+	    failing_partitions > GB_POOL_PARTITIONS - OWNER_MAJORITY)
 		owner_give_up(pool, "the store did not answer");
 }
 
@@ -264,24 +272,24 @@
 	free(put.value.gb_body_val);
 }
 
-/** What to do about a row that bears the epoch of this claim and is not its
- * own, while this node does not hold most parts.  A vacant one may have been
- * left by an owner, whose epoch must not be in force again; any other belongs
- * to a rival in the same race, who gives up soon or has won. */
+/** Handles a row that has the epoch of this claim but was not written by it,
+ * while this node doesn't hold most partitions.  A vacant row may be left by an
+ * owner, whose epoch must not be used again; any other belongs to a rival with
+ * the same epoch, which gives up soon or has won. */
 static void
-partition_contested(struct gb_pool *pool, uint32_t number)
+partition_epoch_taken(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_partition *partition = &pool->partitions[number];
 
 	if (partition->row_vacant || number == pool->claim_first ||
-	    pool->now - pool->taken_at > OWNER_RIVAL_MOST)
+	    pool->now - pool->taken_at > OWNER_RIVAL_TIMEOUT)
 		owner_give_up(pool, "another node was first");
 	else
-		partition_retry(pool, partition, ATTACH_RIVAL);
+		partition_attach_retry(pool, partition, ATTACH_RIVAL_PAUSE);
 }
 
-/** Claim a part whose row has been read.  Who holds most parts knows that
- * nobody else was or will be the owner under this epoch. */
+/** Claims a partition whose row was read.  A node that holds most partitions
+ * knows that no other node was or will be the owner under this epoch. */
 static void
 partition_claim(struct gb_pool *pool, uint32_t number)
 {
@@ -297,17 +305,18 @@
 		partition_claimed(pool, number);
 	else if (partition->row_epoch == pool->claim_epoch &&
 		 pool->phase < POOL_OWNER_LOADING)
-		partition_contested(pool, number);
+		partition_epoch_taken(pool, number);
 	else
 		partition_claim_send(pool, number);
 }
 
-/** Most rows are known: the new epoch is above all that were in force. */
+/** Chooses the new epoch once most rows are known: above all epochs that an
+ * owner had. */
 static void
 owner_choose_epoch(struct gb_pool *pool)
 {
 	const struct contention_row none = {0, 0};
-	const struct contention_row *before = &none;
+	const struct contention_row *previous = &none;
 	uint64_t newest = 0;
 	uint32_t i;
 
@@ -325,10 +334,10 @@
 			pool->claim_epoch = partition->row_epoch + 1;
 		if (partition->row_epoch > newest) {
 			newest = partition->row_epoch;
-			before = &partition->row_contention;
+			previous = &partition->row_contention;
 		}
 	}
-	contention_take_over(&pool->contention, pool->now, before,
+	contention_take_over(&pool->contention, pool->now, previous,
 	    pool->cfg.incarnation, pool->claim_cause);
 	for (i = 0; i < GB_POOL_PARTITIONS && pool->phase != POOL_OWNER_NONE;
 	     i++) {
@@ -337,9 +346,10 @@
 	}
 }
 
-/** Take in the owner's row of a part; false when it is unreadable. */
+/** Applies the owner's row of a partition as it was read; returns false when it
+ * is unreadable. */
 static bool
-partition_row(struct gb_pool *pool, struct pool_partition *partition,
+partition_row_apply(struct gb_pool *pool, struct pool_partition *partition,
     const struct gb_pool_read_res *res)
 {
 	struct gb_owner_record record = {0};
@@ -371,7 +381,7 @@
 }
 
 static void
-partition_row_read(
+partition_row_read_done(
     struct gb_pool *pool, uint32_t number, const struct gb_pool_read_res *res)
 {
 	struct pool_partition *partition = &pool->partitions[number];
@@ -379,11 +389,11 @@
 	if (partition->attach != POOL_ATTACH_READING)
 		return;
 	if (res->status != GB_STORE_OK) {
-		partition_failed(pool, number);
+		partition_attach_failed(pool, number);
 		return;
 	}
 	partition->attach_failures = 0;
-	if (!partition_row(pool, partition, res)) {
+	if (!partition_row_apply(pool, partition, res)) {
 		owner_give_up(pool, "the owner's row is unreadable");
 		return;
 	}
@@ -415,13 +425,13 @@
 		partition->serial = 1;
 		partition_claimed(pool, call->partition);
 	} else if (res->status != GB_STORE_CONFLICT) {
-		partition_failed(pool, call->partition);
+		partition_attach_failed(pool, call->partition);
 	} else if (pool->phase == POOL_OWNER_CLAIMING &&
 		   call->partition == pool->claim_first) {
 		pool_rival_conflict(pool, res);
 		owner_give_up(pool, "another node was first");
 	} else {
-		partition_retry(pool, partition, ATTACH_RIVAL);
+		partition_attach_retry(pool, partition, ATTACH_RIVAL_PAUSE);
 	}
 }
 
@@ -440,7 +450,7 @@
 	partition->reconcile_at = pool->now +
 				  lease * 1000 / POOL_CLOCK_SLOWEST +
 				  OWNER_RECONCILE_MARGIN;
-	/* The first owner of all has nobody before it. */
+	/* Without a row there was no earlier owner. */
 	partition->reconciled = partition->row_epoch == 0;
 	partition->lost_unseen = false;
 	pool->inbox_at = pool->now;
@@ -454,7 +464,7 @@
 }
 
 static bool
-partitions_under_way(const struct gb_pool *pool)
+partitions_attach_pending(const struct gb_pool *pool)
 {
 	uint32_t i;
 
@@ -466,14 +476,14 @@
 	return false;
 }
 
-/** Begin once most parts have been read, and the others too if they come soon.
- */
+/** Starts to work as the owner once most partitions are loaded, and the others
+ * too unless they take too long. */
 static void
 owner_begin(struct gb_pool *pool)
 {
 	if (pool->phase != POOL_OWNER_LOADING ||
 	    partitions_at_least(pool, POOL_ATTACH_DONE) < OWNER_MAJORITY ||
-	    (partitions_under_way(pool) &&
+	    (partitions_attach_pending(pool) &&
 		pool->now - pool->claimed_at < OWNER_ATTACH_WAIT))
 		return;
 	pool->phase = POOL_OWNER_ACTIVE;
@@ -490,7 +500,7 @@
 }
 
 static void
-partition_loaded(struct gb_pool *pool, const struct pool_call *call,
+partition_load_done(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
 	switch (pool_load_done(pool, call, res)) {
@@ -502,7 +512,7 @@
 		break;
 	case POOL_LOAD_FAILED:
 		pool_load_drop(pool, call->partition);
-		partition_failed(pool, call->partition);
+		partition_attach_failed(pool, call->partition);
 		break;
 	}
 }
@@ -518,14 +528,14 @@
 		pool_writer_probed(pool, call, res);
 		break;
 	case POOL_CALL_OWNER_READ:
-		partition_row_read(pool, call->partition, res);
+		partition_row_read_done(pool, call->partition, res);
 		break;
 	case POOL_CALL_INBOX_LIST:
 	case POOL_CALL_INBOX_FLOW:
 		pool_load_inbox_done(pool, call, res);
 		break;
 	default:
-		partition_loaded(pool, call, res);
+		partition_load_done(pool, call, res);
 		break;
 	}
 }
@@ -538,7 +548,7 @@
 	if (pool->phase != POOL_OWNER_NONE)
 		return;
 	pool->term++;
-	owner_forget(pool);
+	owner_clear(pool);
 	pool->phase = POOL_OWNER_READING;
 	pool->taken_at = pool->now;
 	pool->claim_after = after;
@@ -549,15 +559,15 @@
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "takeover_begun", "{s:I}",
 	    "known_epoch", (json_int_t)pool->epoch);
 	for (i = 0; i < GB_POOL_PARTITIONS; i++)
-		partition_read(pool, i);
+		partition_row_read(pool, i);
 }
 
-/* Going on ---------------------------------------------------------------- */
+/* Working as the owner ---------------------------------------------------- */
 
-/** Whether every worker that may run something of a part has told this owner
- * what it runs, since the part was attached.  An entry that names no worker to
- * use, of which no owner recorded anything, need not answer: an address where
- * nobody listens would hold up each takeover until every lease is over. */
+/** Whether every worker that may run tasks of a partition has reported its runs
+ * to this owner since the partition was attached.  A worker whose entry can't
+ * be used and that no owner recorded needn't answer: an address where nothing
+ * listens would delay each takeover until all leases have expired. */
 static bool
 partition_all_reported(const struct gb_pool *pool, uint32_t number)
 {
@@ -584,49 +594,49 @@
 partition_reconcile(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_partition *partition = &pool->partitions[number];
-	bool told;
+	bool all_reported;
 
 	if (partition->attach != POOL_ATTACH_DONE || partition->reconciled)
 		return;
-	told = partition_all_reported(pool, number);
-	if (!told && pool->now < partition->reconcile_at)
+	all_reported = partition_all_reported(pool, number);
+	if (!all_reported && pool->now < partition->reconcile_at)
 		return;
 	partition->reconciled = true;
-	if (!told || partition->lost_unseen)
+	if (!all_reported || partition->lost_unseen)
 		pool_crash_watch(pool, number);
 	pool->work_changed = true;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "takeover_settled",
 	    "{s:I, s:I, s:I, s:b}", "epoch", (json_int_t)pool->epoch, "part",
 	    (json_int_t)number, "took_ms",
 	    (json_int_t)((pool->now - pool->taken_at) / GB_MSEC), "all_workers",
-	    told);
+	    all_reported);
 }
 
 static void
 partition_tick(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_partition *partition = &pool->partitions[number];
-	gb_time written;
+	gb_time last_written;
 
 	if (partition->attach == POOL_ATTACH_NONE &&
 	    partition->attach_at <= pool->now)
-		partition_read(pool, number);
+		partition_row_read(pool, number);
 	partition_reconcile(pool, number);
-	written = number < GB_POOL_PARTITIONS_RENEWED ? partition->renewed
-						      : partition->sent;
+	last_written = number < GB_POOL_PARTITIONS_RENEWED ? partition->renewed
+							   : partition->sent;
 	if (partition->attach == POOL_ATTACH_DONE &&
-	    pool->now - written > POOL_OWNER_RENEW)
+	    pool->now - last_written > POOL_OWNER_RENEW)
 		partition->renew = true;
 }
 
 static void
-owner_inbox(struct gb_pool *pool)
+owner_inbox_read(struct gb_pool *pool)
 {
 	uint32_t i;
 
 	if (pool->inbox_at > pool->now)
 		return;
-	pool->inbox_at = pool->now + OWNER_INBOX;
+	pool->inbox_at = pool->now + OWNER_INBOX_INTERVAL;
 	for (i = 0; i < GB_POOL_PARTITIONS; i++)
 		pool_load_inbox(pool, i);
 }
@@ -644,7 +654,7 @@
 		return;
 	}
 	if (pool->phase < POOL_OWNER_LOADING &&
-	    pool->now - pool->taken_at > OWNER_CLAIM_MOST) {
+	    pool->now - pool->taken_at > OWNER_CLAIM_TIMEOUT) {
 		owner_give_up(pool, "most parts could not be claimed in time");
 		return;
 	}
@@ -654,7 +664,7 @@
 	if (pool->phase != POOL_OWNER_ACTIVE)
 		return;
 	contention_tick(&pool->contention, pool->now);
-	owner_inbox(pool);
+	owner_inbox_read(pool);
 }
 
 void
@@ -684,7 +694,7 @@
 		return;
 	}
 	pool->phase = POOL_OWNER_RELEASING;
-	pool->release_by = pool->now + OWNER_RELEASE;
+	pool->release_by = pool->now + OWNER_RELEASE_TIMEOUT;
 	for (i = 0; i < GB_POOL_PARTITIONS; i++)
 		pool->partitions[i].renew = pool_partition_attached(pool, i);
 }
--- a/libgooseberry/pool/owner_record.c
+++ b/libgooseberry/pool/owner_record.c
@@ -1,13 +1,14 @@
 /**
  * @file owner_record.c
- * The owner's row of a part, as it is stored.
+ * The owner's row of a partition, as it is stored.
  */
 #include "pool.h"
 
-/** Rows of programs that did not count takeovers end before the count; such a
- * program reads no further than that. */
+/** Encodes or decodes a row.  Rows of older programs, which don't count
+ * contention, end before the count; these programs ignore what follows the
+ * row. */
 static bool_t
-record_code(XDR *xdrs, struct gb_owner_record *record)
+owner_record_xdr(XDR *xdrs, struct gb_owner_record *record)
 {
 	if (!xdr_gb_owner_row(xdrs, &record->row))
 		return FALSE;
@@ -20,13 +21,13 @@
 bool
 gb_owner_record_encode(const struct gb_owner_record *record, gb_body *body)
 {
-	return gb_xdr_encode((xdrproc_t)record_code, record, body);
+	return gb_xdr_encode((xdrproc_t)owner_record_xdr, record, body);
 }
 
 bool
 gb_owner_record_decode(struct gb_owner_record *record, const gb_body *body)
 {
-	return gb_xdr_decode((xdrproc_t)record_code, body, record);
+	return gb_xdr_decode((xdrproc_t)owner_record_xdr, body, record);
 }
 
 void
--- a/libgooseberry/pool/rival.c
+++ b/libgooseberry/pool/rival.c
@@ -1,6 +1,6 @@
 /**
  * @file rival.c
- * The node that a claim or an owner lost the pool to, for the log.
+ * The node to which a claim or an owner lost the pool, for the log.
  */
 #include <string.h>
 
