--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -1,14 +1,15 @@
 /**
  * @file writer.c
- * Writes what must last, many changes in one transaction.
+ * Writes the changes of flows to the store, many in one transaction.
  *
- * Every transaction is bound to the version of the owner's row, so that a
- * former owner writes nothing.  A transaction without answer may still be
- * carried out seconds later; before anything else is written, the owner's row
- * is written anew ("sealing"), after which the lost one can no longer land.
- * A submission that comes twice stays one, since the owner knows all flows of a
- * part that it has attached.  What was submitted is removed with the final
- * state.
+ * Every transaction requires the version of the owner's row, so that a former
+ * owner can't write.  A transaction without answer may still be carried out
+ * seconds later: before anything else is written, the owner's row is rewritten
+ * ("sealing"), after which the lost transaction can no longer succeed.
+ *
+ * A flow that is submitted twice is stored once, since the owner knows all
+ * flows of the partitions that it has attached.  What was submitted is removed
+ * when the final state is written.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -17,44 +18,49 @@
 
 #include "state.h"
 
-/** Entries in one transaction; the store takes 100. */
-#define WRITER_ENTRIES_MOST 94
-/** Entries that one more flow, the owner's row and the set of workers take. */
+/** Maximum number of entries in one transaction; the limit of the store is
+ * 100. */
+#define WRITER_ENTRIES_MAX 94
+/** Number of entries for one more flow, the owner's row and the worker set. */
 #define WRITER_FLOW_ENTRIES 7
-/** Bytes of values in one transaction; the store takes 1 MB in base64. */
-#define WRITER_BYTES_MOST (400 * 1024)
-/** Pause between transactions of a part, which gathers changes: calls are
- * paid for, and a submission waits half of it on average.  What nobody waits
- * for, such as the end of one task of several, is gathered for longer. */
-#define WRITER_GAP (35 * GB_MSEC)
-#define WRITER_GAP_LONG (120 * GB_MSEC)
-/** A write that takes longer than this is overdue: the store is asked for a
- * small row.  A quick answer says that the write's answer was lost, a slow one
- * that the store is slow, and none that it is out.  Writes take 12 ms, or 0.8
- * s when the store is a hundred times slower; reads 4 ms, or 0.4 s. */
+/** Maximum size of the values in one transaction, in bytes; the limit of the
+ * store is 1 MB in base64. */
+#define WRITER_BYTES_MAX (400 * 1024)
+/** Pause between two transactions of a partition, in which changes are
+ * collected: each call costs money, and a submission waits half of the pause on
+ * average.  Changes that no caller waits for, such as the end of one task of
+ * several, are collected for the longer time. */
+#define WRITER_PAUSE (35 * GB_MSEC)
+#define WRITER_PAUSE_LONG (120 * GB_MSEC)
+/** A write that takes longer than WRITER_OVERDUE is overdue, and the store is
+ * probed with the read of a small row.  A quick answer shows that the write's
+ * answer was lost, a slow one that the store is slow, and none that it is
+ * unavailable.  Writes take 12 ms, or 0.8 s when the store is a hundred times
+ * slower; reads 4 ms, or 0.4 s. */
 #define WRITER_OVERDUE (130 * GB_MSEC)
 #define WRITER_PROBE_QUICK (80 * GB_MSEC)
-#define WRITER_PROBE_SILENT (700 * GB_MSEC)
-/** Writes in a row that the store refuses, after which it counts as out. */
+#define WRITER_PROBE_TIMEOUT (700 * GB_MSEC)
+/** Number of consecutive refused writes after which the partition counts as
+ * unavailable. */
 #define WRITER_UNAVAILABLE_REFUSED 2
-/** Writes in a row that end without an answer, after which it counts as out; a
- * single one may be a connection that was reset. */
+/** Number of consecutive writes without an answer after which the partition
+ * counts as unavailable; a single one may be a reset connection. */
 #define WRITER_UNAVAILABLE_LOST 2
-/** Time to come back after a refusal for want of the store: outages last some
- * seconds, and callers have three. */
-#define WRITER_COME_BACK GB_SEC
-/** Who asks for the state of a flow whose end is being stored waits for a write
- * of this length at the most: writes take 12 ms, and 0.2 s when the store is 25
- * times slower. */
-#define WRITER_ASK_MOST (300 * GB_MSEC)
-/** A write takes the owner's row with it a little before it is to be renewed,
- * so that few writes are made for the row alone. */
-#define WRITER_RENEW_WITH (250 * GB_MSEC)
-/** First and longest pause after a refusal.  Members wait longer than the
- * longest before they take an owner that is refused for one that alone misses
- * the store (WATCH_SERVED). */
+/** Time after which a caller that was rejected since the store is unavailable
+ * should retry: outages last some seconds, and callers wait three. */
+#define WRITER_RETRY_AFTER GB_SEC
+/** A caller that asks for the state of a flow whose end is being stored waits
+ * at most this long for the write.  Writes take 12 ms, and 0.2 s when the store
+ * is 25 times slower. */
+#define WRITER_ASK_TIMEOUT (300 * GB_MSEC)
+/** A write includes the owner's row when that is older than this, which is
+ * before it must be renewed, so that few writes are made for the row alone. */
+#define WRITER_RENEW_EARLY (250 * GB_MSEC)
+/** First and longest pause after a refused or lost write.  Members wait longer
+ * than the longest pause before they conclude that the store refuses only this
+ * owner (see watch.c). */
 #define WRITER_RETRY_BASE (50 * GB_MSEC)
-#define WRITER_RETRY_MOST (150 * GB_MSEC)
+#define WRITER_RETRY_MAX (150 * GB_MSEC)
 
 uint32_t
 gb_pool_partition(const char *flow_id)
@@ -91,10 +97,10 @@
 	return gb_owner_record_encode(&record, body);
 }
 
-/** A transaction that is being put together. */
+/** A transaction that is being composed. */
 struct draft {
-	struct gb_pool_row conds[WRITER_ENTRIES_MOST + 4];
-	struct gb_pool_row puts[WRITER_ENTRIES_MOST + 4];
+	struct gb_pool_row conds[WRITER_ENTRIES_MAX + 4];
+	struct gb_pool_row puts[WRITER_ENTRIES_MAX + 4];
 	struct gb_pool_txn txn;
 	size_t bytes;
 };
@@ -152,15 +158,15 @@
 	const gb_flow_row stored = {flow->spec, flow->config};
 	gb_flow_state state;
 
-	bool over = flow->status >= GB_FLOW_SUCCEEDED;
+	bool finished = flow->status >= GB_FLOW_SUCCEEDED;
 
-	/* This owner has read all that is stored of the part: a row that a node
-	 * wrote meanwhile says the same, and is found in the inbox. */
-	if (!flow->created && !over)
+	/* This owner has read all rows of the partition.  A row that a node
+	 * wrote since is identical, and is found in the inbox. */
+	if (!flow->created && !finished)
 		draft_value(draft,
 		    draft_put(draft, GB_POOL_FLOWS, flow->spec.id),
 		    (xdrproc_t)xdr_gb_flow_row, &stored);
-	if (over && !flow->removed) {
+	if (finished && !flow->removed) {
 		if (flow->created || flow->in_inbox)
 			draft_remove(draft, GB_POOL_FLOWS, flow->spec.id);
 		flow->removing = true;
@@ -201,7 +207,7 @@
 		return;
 	row = draft_put(draft, GB_POOL_OWNERS, partition->set_key);
 	if (!pool_worker_set_body(pool, number, &row->value))
-		abort(); /* names were checked when they were taken in */
+		abort(); /* names were checked with their entries */
 }
 
 static void
@@ -225,7 +231,7 @@
 	draft_clear(draft);
 }
 
-/** Write the owner's row with this transaction. */
+/** Adds the owner's row to a transaction. */
 static void
 partition_renew(
     struct gb_pool *pool, struct pool_partition *partition, struct draft *draft)
@@ -252,31 +258,31 @@
 {
 	return draft->txn.cond_count + draft->txn.put_count +
 		       WRITER_FLOW_ENTRIES >
-		   WRITER_ENTRIES_MOST ||
-	       draft->bytes >= WRITER_BYTES_MOST;
+		   WRITER_ENTRIES_MAX ||
+	       draft->bytes >= WRITER_BYTES_MAX;
 }
 
-/** Order in which flows get into a transaction that does not hold them all:
- * while the store is slow, new ones would wait behind ends and be told too
+/** Order in which flows are added to a transaction that can't hold all of them.
+ * While the store is slow, new flows behind finished ones would be answered too
  * late. */
-enum write_turn {
-	WRITE_NEW, /**< a caller waits for its answer, or it begins only then */
-	WRITE_OVER, /**< a caller looks for its end */
-	WRITE_REST, /**< nobody waits */
-	WRITE_TURNS
+enum write_priority {
+	WRITE_NEW, /**< a caller waits, or the flow starts after the write */
+	WRITE_FINISHED, /**< finished: a caller may ask for the end */
+	WRITE_REST,	/**< no caller waits */
+	WRITE_PRIORITIES
 };
 
-static enum write_turn
-write_turn(const struct pool_flow *flow)
+static enum write_priority
+write_priority(const struct pool_flow *flow)
 {
 	if (flow->stored == 0 || !flow->owned)
 		return WRITE_NEW;
-	return flow->status >= GB_FLOW_SUCCEEDED ? WRITE_OVER : WRITE_REST;
+	return flow->status >= GB_FLOW_SUCCEEDED ? WRITE_FINISHED : WRITE_REST;
 }
 
-/** Add a flow to the transaction that is being put together. */
+/** Moves a flow from the dirty ones to a transaction. */
 static void
-partition_take(struct pool_partition *partition, struct pool_flow *flow,
+partition_draft_flow(struct pool_partition *partition, struct pool_flow *flow,
     struct draft *draft)
 {
 	TAILQ_REMOVE(&partition->dirty, flow, dirty_next);
@@ -287,12 +293,14 @@
 	partition->sent_flows[partition->sent_count++] = flow;
 }
 
-/** Whether a write takes the owner's row with it that it need not take. */
+/** Whether a write should include the owner's row although it needn't be
+ * renewed yet. */
 static bool
-partition_renews(const struct gb_pool *pool, uint32_t number)
+partition_should_renew(const struct gb_pool *pool, uint32_t number)
 {
 	return number < GB_POOL_PARTITIONS_RENEWED &&
-	       pool->now - pool->partitions[number].renewed > WRITER_RENEW_WITH;
+	       pool->now - pool->partitions[number].renewed >
+		   WRITER_RENEW_EARLY;
 }
 
 static void
@@ -302,24 +310,24 @@
 	struct draft draft = {0};
 	struct pool_flow *flow;
 	struct pool_flow *next;
-	unsigned int turn;
+	unsigned int priority;
 
 	draft_cond(
 	    &draft, GB_POOL_OWNERS, GB_POOL_OWNER_KEY, partition->owner_vers);
 	partition->sent_flows =
-	    gb_calloc(WRITER_ENTRIES_MOST, sizeof(struct pool_flow *));
+	    gb_calloc(WRITER_ENTRIES_MAX, sizeof(struct pool_flow *));
 	partition->sent_count = 0;
 	partition->urgent = false;
-	for (turn = 0; turn < WRITE_TURNS; turn++) {
+	for (priority = 0; priority < WRITE_PRIORITIES; priority++) {
 		for (flow = TAILQ_FIRST(&partition->dirty);
 		     flow != NULL && !draft_full(&draft); flow = next) {
 			next = TAILQ_NEXT(flow, dirty_next);
-			if (write_turn(flow) == turn)
-				partition_take(partition, flow, &draft);
+			if (write_priority(flow) == priority)
+				partition_draft_flow(partition, flow, &draft);
 		}
 	}
 	partition->renew_sent = false;
-	if (partition->renew || partition_renews(pool, number))
+	if (partition->renew || partition_should_renew(pool, number))
 		partition_renew(pool, partition, &draft);
 	draft_worker_set(pool, number, &draft);
 	partition_send(pool, number, &draft, POOL_PARTITION_WRITING);
@@ -335,18 +343,18 @@
 	       partition->silent || partition->attach != POOL_ATTACH_DONE;
 }
 
-/** Ask whether the store answers at all, once an answer is overdue. */
+/** Probes whether the store answers, once the answer to a write is overdue. */
 static void
 partition_probe(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_partition *partition = &pool->partitions[number];
-	/* Given up any earlier, a slow store would pass for one that is out. */
+	/* With a shorter timeout a slow store would look unavailable. */
 	const struct gb_pool_read read = {number, GB_POOL_OWNERS,
-	    GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, WRITER_PROBE_SILENT};
+	    GB_POOL_OWNER_KEY, GB_POOL_OWNER_KEY "0", 1, WRITER_PROBE_TIMEOUT};
 	struct pool_call *call;
 
 	if (partition->probe != 0 &&
-	    pool->now - partition->probed > WRITER_PROBE_SILENT)
+	    pool->now - partition->probed > WRITER_PROBE_TIMEOUT)
 		partition->silent = true;
 	if (partition->call == 0 || partition->probe != 0 ||
 	    partition->answers || pool->now - partition->sent < WRITER_OVERDUE)
@@ -359,12 +367,12 @@
 	pool->ops.read(pool->ops.data, call->id, &read);
 }
 
-/** The store does not take writes: callers whose flows surely are not stored
- * are turned away at once.  The others wait for as long as they have: a write
- * that was lost may have landed, so that they can't be told to come back, and
- * outages are often shorter than their patience. */
+/** Rejects the callers whose flows are certainly not stored, while the store
+ * doesn't accept writes.  The others wait until their own timeout: a lost write
+ * may have been carried out, so that they can't be told to retry, and outages
+ * are often shorter than that. */
 static void
-partition_out(struct gb_pool *pool, uint32_t number)
+partition_reject_unsent(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_partition *partition = &pool->partitions[number];
 	struct pool_flow *flow;
@@ -373,13 +381,13 @@
 	for (flow = TAILQ_FIRST(&partition->dirty); flow != NULL; flow = next) {
 		next = TAILQ_NEXT(flow, dirty_next);
 		if (flow->stored == 0 && flow->sending == 0)
-			pool_flow_reject(pool, flow, WRITER_COME_BACK);
+			pool_flow_reject(pool, flow, WRITER_RETRY_AFTER);
 	}
 }
 
-/** Who asks for the state of a flow waits no longer for its last change. */
+/** Answers callers that wait for the state of a flow with the stored one. */
 static void
-partition_ask_ends(struct gb_pool *pool, struct pool_partition *partition)
+partition_answer_asks(struct gb_pool *pool, struct pool_partition *partition)
 {
 	struct pool_flow *flow;
 	size_t i;
@@ -396,26 +404,27 @@
 partition_tick(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_partition *partition = &pool->partitions[number];
-	/* Workers are listed one by one at a cold start: the set, 40 bytes for
-	 * each, is written for several of them. */
+	/* A changed worker set, 40 bytes per worker, isn't urgent: at a cold
+	 * start workers are listed one by one, and several of them are written
+	 * together. */
 	bool urgent = partition->urgent || pool->phase == POOL_OWNER_RELEASING;
 
 	if (partition->attach != POOL_ATTACH_DONE)
 		return;
 	partition_probe(pool, number);
 	if (pool_writer_unavailable(pool, number))
-		partition_out(pool, number);
+		partition_reject_unsent(pool, number);
 	if (pool_writer_unavailable(pool, number) ||
 	    (partition->call != 0 &&
-		pool->now - partition->sent > WRITER_ASK_MOST))
-		partition_ask_ends(pool, partition);
+		pool->now - partition->sent > WRITER_ASK_TIMEOUT))
+		partition_answer_asks(pool, partition);
 	if (partition->phase == POOL_PARTITION_WAITING &&
 	    partition->retry_at <= pool->now)
 		partition->phase = POOL_PARTITION_IDLE;
 	if (partition->phase != POOL_PARTITION_IDLE ||
 	    (POOL_USES(pool, GB_FEATURE_WRITE_BATCHING) &&
 		pool->now - partition->sent <
-		    (urgent ? WRITER_GAP : WRITER_GAP_LONG)))
+		    (urgent ? WRITER_PAUSE : WRITER_PAUSE_LONG)))
 		return;
 	if (partition->seal)
 		partition_seal(pool, number);
@@ -433,8 +442,9 @@
 		partition_tick(pool, i);
 }
 
-/** The flows of a write go back among those that wait for the next.  A flow
- * whose first write surely was not carried out is as good as never sent. */
+/** Marks the flows of a failed write as dirty again.  With `not_done` the write
+ * was certainly not carried out: a flow then counts as never sent if this was
+ * its first write. */
 static void
 partition_requeue(
     struct gb_pool *pool, struct pool_partition *partition, bool not_done)
@@ -454,13 +464,13 @@
 }
 
 static void
-partition_pause(struct gb_pool *pool, struct pool_partition *partition)
+partition_retry_later(struct gb_pool *pool, struct pool_partition *partition)
 {
 	gb_time pause = WRITER_RETRY_BASE
 			<< (partition->tries < 4 ? partition->tries : 4);
 
-	if (pause > WRITER_RETRY_MOST)
-		pause = WRITER_RETRY_MOST;
+	if (pause > WRITER_RETRY_MAX)
+		pause = WRITER_RETRY_MAX;
 	partition->tries++;
 	partition->phase = POOL_PARTITION_WAITING;
 	partition->retry_at = pool->now + pause;
@@ -485,21 +495,22 @@
 	free(flows);
 }
 
-/** Whether a row of the owner is this process's; takes in its version. */
+/** Whether an owner's row was written by this process; then updates the known
+ * version.  If not, the ownership is lost. */
 static bool
 partition_owner_row(struct gb_pool *pool, struct pool_partition *partition,
     const struct gb_pool_row *row)
 {
 	struct gb_owner_record owner = {0};
-	bool mine;
+	bool own;
 
 	if (row->vers == 0 || !gb_owner_record_decode(&owner, &row->value)) {
 		pool_owner_lose(pool, "the owner's row is missing", 0);
 		return false;
 	}
-	mine = owner.row.epoch == pool->epoch &&
-	       owner.row.incarnation == pool->cfg.incarnation;
-	if (mine) {
+	own = owner.row.epoch == pool->epoch &&
+	      owner.row.incarnation == pool->cfg.incarnation;
+	if (own) {
 		if (row->vers != partition->owner_vers)
 			partition->seal = false;
 		partition->owner_vers = row->vers;
@@ -507,10 +518,10 @@
 	}
 	pool_rival_seen(pool, &owner.row);
 	gb_owner_record_clear(&owner);
-	if (!mine)
+	if (!own)
 		pool_owner_lose(
 		    pool, "another node owns the pool", owner.row.epoch);
-	return mine;
+	return own;
 }
 
 static void
@@ -529,7 +540,7 @@
 }
 
 static void
-partition_lost(struct gb_pool *pool, struct pool_partition *partition)
+partition_write_lost(struct gb_pool *pool, struct pool_partition *partition)
 {
 	pool->stats.txn_lost++;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "store_answer_lost",
@@ -537,7 +548,7 @@
 	    (json_int_t)((pool->now - partition->sent) / GB_MSEC));
 	partition->seal = true;
 	partition_requeue(pool, partition, false);
-	partition_pause(pool, partition);
+	partition_retry_later(pool, partition);
 }
 
 void
@@ -560,11 +571,11 @@
 	if (partition->call == 0 || partition->sent > call->sent ||
 	    pool->now - call->sent > WRITER_PROBE_QUICK)
 		return;
-	/* The store is quick, and this answer has not come. */
+	/* The store is quick, so the answer to the write is lost. */
 	partition->call = 0;
 	if (partition->set_sent)
 		pool_worker_set_stored(pool, call->partition, false);
-	partition_lost(pool, partition);
+	partition_write_lost(pool, partition);
 	free(partition->sent_flows);
 	partition->sent_flows = NULL;
 }
@@ -609,11 +620,11 @@
 		partition->refused++;
 		partition->lost = 0;
 		partition_requeue(pool, partition, true);
-		partition_pause(pool, partition);
+		partition_retry_later(pool, partition);
 		break;
 	default:
 		partition->lost++;
-		partition_lost(pool, partition);
+		partition_write_lost(pool, partition);
 		break;
 	}
 	free(partition->sent_flows);
