--- a/libgooseberry/pool/pool.c
+++ b/libgooseberry/pool/pool.c
@@ -1,6 +1,7 @@
 /**
  * @file pool.c
- * The pool core: events come in, and go to the file that is in charge.
+ * Entry points of the pool core: passes each event to the module that handles
+ * it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,15 +10,17 @@
 
 #include "state.h"
 
-/** Starts are decided at most this often; a decision goes through all flows
- * that wait (about 0.3 us each), and events come in bunches. */
-#define DISPATCH_GAP (4 * GB_MSEC)
-/** More for each open flow, so that a backlog does not eat the processor. */
-#define DISPATCH_GAP_FLOW 20
-/** Time alone makes flows late and tickets old, so look at least this often. */
-#define DISPATCH_IDLE (100 * GB_MSEC)
-/** Flows that are over are let go of this often. */
-#define SWEEP_GAP (500 * GB_MSEC)
+/** Minimum interval between dispatches.  A dispatch goes through all waiting
+ * flows, which takes about 0.3 us each, and events come in bursts. */
+#define DISPATCH_INTERVAL_MIN (4 * GB_MSEC)
+/** Added to the interval for each open flow, in microseconds, so that a backlog
+ * doesn't use up the processor. */
+#define DISPATCH_INTERVAL_FLOW_US 20
+/** Maximum interval between dispatches: flows become late and tickets expire
+ * without any event. */
+#define DISPATCH_INTERVAL_MAX (100 * GB_MSEC)
+/** Interval at which finished flows are released. */
+#define SWEEP_INTERVAL (500 * GB_MSEC)
 
 struct gb_pool *
 gb_pool_new(const struct gb_pool_settings *settings,
@@ -95,7 +98,7 @@
 void
 gb_pool_tick(struct gb_pool *pool, gb_time now, gb_time wall)
 {
-	gb_time gap;
+	gb_time interval;
 
 	pool->now = now;
 	pool->wall = wall;
@@ -107,14 +110,15 @@
 	pool_workers_tick(pool);
 	if (!pool_active(pool))
 		return;
-	gap = DISPATCH_GAP + DISPATCH_GAP_FLOW * (gb_time)pool->open_count;
-	if ((pool->work_changed && now - pool->dispatch_at >= gap) ||
-	    now - pool->dispatch_at >= DISPATCH_IDLE) {
+	interval = DISPATCH_INTERVAL_MIN +
+		   DISPATCH_INTERVAL_FLOW_US * (gb_time)pool->open_count;
+	if ((pool->work_changed && now - pool->dispatch_at >= interval) ||
+	    now - pool->dispatch_at >= DISPATCH_INTERVAL_MAX) {
 		pool->work_changed = false;
 		pool->dispatch_at = now;
 		pool_dispatch(pool);
 	}
-	if (now - pool->sweep_at >= SWEEP_GAP) {
+	if (now - pool->sweep_at >= SWEEP_INTERVAL) {
 		pool->sweep_at = now;
 		pool_flow_sweep(pool);
 	}
@@ -177,8 +181,9 @@
 bool
 gb_pool_loading(const struct gb_pool *pool)
 {
-	/* Who holds the part that decides between rivals will have the others,
-	 * which takes a second when the store is slow. */
+	/* The node that holds the partition which decides between rival claims
+	 * will get the others too, which takes a second when the store is
+	 * slow. */
 	return pool->phase == POOL_OWNER_LOADING ||
 	       (pool->phase == POOL_OWNER_CLAIMING &&
 		   pool->partitions[pool->claim_first].attach >=
@@ -197,7 +202,7 @@
 	return now - pool->confirmed;
 }
 
-/* What is known of the cell ----------------------------------------------- */
+/* Configuration, workers and members -------------------------------------- */
 
 void
 gb_pool_configure(
@@ -255,10 +260,10 @@
 	pool->ops.answer(pool->ops.data, token, &answer);
 }
 
-/** Whether the part that a flow belongs to has been read, so that this owner
- * knows whether there is such a flow; else its caller is told to come back. */
+/** Whether the partition of a flow is attached, so that this owner knows
+ * whether the flow exists; if not, answers the caller that it should retry. */
 static bool
-pool_partition_answers(struct gb_pool *pool, uint64_t token, const char *id)
+pool_partition_ready(struct gb_pool *pool, uint64_t token, const char *id)
 {
 	uint32_t partition = gb_pool_partition(id);
 
@@ -306,7 +311,7 @@
 gb_pool_submit(struct gb_pool *pool, gb_time now, uint64_t token,
     const gb_flow_submit *submit)
 {
-	gb_flow_verdict judged;
+	gb_flow_verdict verdict;
 	struct pool_flow *flow;
 	gb_time retry_after = 0;
 	const char *why = "";
@@ -317,12 +322,12 @@
 		pool_answer(pool, token, GB_FLOW_NOT_OWNER, 0);
 		return;
 	}
-	judged = pool_org_judge(pool, &submit->caller);
+	verdict = pool_org_judge(pool, &submit->caller);
 	flow = pool_flow_find(pool, submit->flow.id);
 	if (flow != NULL && !gb_flow_visible(flow->spec.org, submit->flow.org))
-		judged = GB_FLOW_REFUSED;
-	if (judged != GB_FLOW_ACCEPTED) {
-		pool_answer(pool, token, judged, GB_SEC);
+		verdict = GB_FLOW_REFUSED;
+	if (verdict != GB_FLOW_ACCEPTED) {
+		pool_answer(pool, token, verdict, GB_SEC);
 		return;
 	}
 	if (flow != NULL) {
@@ -330,7 +335,7 @@
 		pool_flow_wait(pool, flow, token, 1, pool_flow_shown(flow));
 		return;
 	}
-	if (!pool_partition_answers(pool, token, submit->flow.id))
+	if (!pool_partition_ready(pool, token, submit->flow.id))
 		return;
 	if (pool_writer_unavailable(pool, gb_pool_partition(submit->flow.id))) {
 		pool->stats.refused++;
@@ -371,7 +376,7 @@
     struct gb_pool *pool, gb_time now, uint64_t token, const gb_flow_ask *ask)
 {
 	gb_flow_answer answer = {0};
-	gb_flow_verdict judged = pool_org_judge(pool, &ask->caller);
+	gb_flow_verdict verdict = pool_org_judge(pool, &ask->caller);
 	struct pool_flow *flow;
 
 	pool->now = now;
@@ -379,16 +384,17 @@
 		pool_answer(pool, token, GB_FLOW_NOT_OWNER, 0);
 		return;
 	}
-	/* A node with a newer configuration has judged by that. */
-	if (judged != GB_FLOW_ACCEPTED && judged != GB_FLOW_BEHIND) {
-		pool_answer(pool, token, judged, GB_SEC);
+	/* The caller's node has a newer configuration and has authorised the
+	 * caller by it. */
+	if (verdict != GB_FLOW_ACCEPTED && verdict != GB_FLOW_BEHIND) {
+		pool_answer(pool, token, verdict, GB_SEC);
 		return;
 	}
 	if (ask->op != GB_FLOW_OP_PENDING &&
-	    !pool_partition_answers(pool, token, ask->id))
+	    !pool_partition_ready(pool, token, ask->id))
 		return;
 	flow = pool_flow_find(pool, ask->id);
-	/* Others are not told that there is such a flow. */
+	/* Other organisations don't learn that the flow exists. */
 	if (flow != NULL && !gb_flow_visible(flow->spec.org, ask->caller.org))
 		flow = NULL;
 	answer.verdict = GB_FLOW_ACCEPTED;
@@ -396,7 +402,7 @@
 		answer.pending = pool_pending(pool, ask->id);
 	} else if (flow == NULL ||
 		   (flow->stored == 0 && ask->op == GB_FLOW_OP_STATE)) {
-		/* Not accepted before it is stored. */
+		/* A flow is accepted only once it is stored. */
 		answer.status = GB_FLOW_UNKNOWN;
 	} else if (ask->op == GB_FLOW_OP_CANCEL) {
 		pool_flow_cancel(pool, flow);
@@ -409,7 +415,7 @@
 	pool->ops.answer(pool->ops.data, token, &answer);
 }
 
-/* Ends of calls ----------------------------------------------------------- */
+/* Results of calls -------------------------------------------------------- */
 
 void
 gb_pool_start_done(struct gb_pool *pool, gb_time now, uint64_t id,
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -1,9 +1,11 @@
 /**
  * @file report.c
- * What a worker tells of its runs: those that go on, and the ends of others.
+ * Applies what a worker reports about its runs: which are running and which
+ * have ended.
  *
- * An end may be forgotten by the worker only once what it changed is stored.
- * One of a flow whose part is not attached is kept until the flow is known.
+ * An end may be acknowledged, so that the worker drops it, only once the change
+ * that it caused is stored.  An end of a flow whose partition is not attached
+ * is kept until the flow is loaded.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,8 +14,9 @@
 
 #include "state.h"
 
-/** A worker lists this many ends at once; then some may be missing. */
-#define ENDS_LISTED_MOST 500
+/** Maximum number of ends in one report of a worker; at this number some may be
+ * missing. */
+#define ENDS_LISTED_MAX 500
 
 static struct pool_end *
 end_add(struct pool_worker *worker, uint64_t number)
@@ -25,9 +28,10 @@
 	return end;
 }
 
-/** The end may be forgotten once what the flow is now has been stored. */
+/** Sets the change of a flow that must be stored before the end may be
+ * acknowledged: its newest one. */
 static void
-end_of_flow(struct pool_end *end, const struct pool_flow *flow)
+end_set_flow(struct pool_end *end, const struct pool_flow *flow)
 {
 	if (flow == NULL)
 		return;
@@ -42,7 +46,8 @@
 	free(end);
 }
 
-/** Number up to which all ends are stored. */
+/** Acknowledges the ends whose changes are stored, in order up to the first
+ * that isn't stored. */
 void
 pool_report_ack(struct gb_pool *pool, struct pool_worker *worker)
 {
@@ -60,17 +65,18 @@
 	}
 }
 
-/** Whether a listed run or end names a task that there is. */
+/** Whether a reported run or end names a known task. */
 static bool
-seen_known(const struct pool_flow *flow, const struct gb_pool_run_report *seen)
+reported_task_known(
+    const struct pool_flow *flow, const struct gb_pool_run_report *reported)
 {
-	return flow != NULL && !flow->closed && seen->occurrence == 0 &&
-	       seen->step < flow->step_count &&
-	       seen->index < flow->steps[seen->step].spec->count;
+	return flow != NULL && !flow->closed && reported->occurrence == 0 &&
+	       reported->step < flow->step_count &&
+	       reported->index < flow->steps[reported->step].spec->count;
 }
 
 static void
-stats_end(struct gb_pool *pool, enum gb_pool_outcome outcome)
+stats_count_end(struct gb_pool *pool, enum gb_pool_outcome outcome)
 {
 	uint64_t *counts[] = {&pool->stats.done, &pool->stats.failed,
 	    &pool->stats.stopped, &pool->stats.lapsed, &pool->stats.broken,
@@ -88,73 +94,75 @@
 	return names[outcome];
 }
 
-/** Take an end in; one of a flow whose part is not attached is kept, so that it
- * is not acknowledged before the flow is known. */
+/** Applies a reported end.  One of a flow whose partition is not attached is
+ * kept, so that it isn't acknowledged before the flow is loaded. */
 static void
-end_take(struct gb_pool *pool, struct pool_worker *worker, struct pool_end *end,
-    const struct gb_pool_run_report *seen)
+end_apply(struct gb_pool *pool, struct pool_worker *worker,
+    struct pool_end *end, const struct gb_pool_run_report *reported)
 {
 	struct pool_flow *flow;
 
-	if (!pool_partition_attached(pool, gb_pool_partition(seen->flow))) {
+	if (!pool_partition_attached(pool, gb_pool_partition(reported->flow))) {
 		end->held = gb_calloc(1, sizeof(*end->held));
-		*end->held = *seen;
+		*end->held = *reported;
 		return;
 	}
-	flow = pool_flow_find(pool, seen->flow);
-	stats_end(pool, seen->outcome);
+	flow = pool_flow_find(pool, reported->flow);
+	stats_count_end(pool, reported->outcome);
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "run_end",
-	    "{s:s, s:I, s:I, s:I, s:s, s:s, s:b}", "flow", seen->flow, "step",
-	    (json_int_t)seen->step, "index", (json_int_t)seen->index, "run",
-	    (json_int_t)seen->run, "worker", worker->entry.id, "how",
-	    outcome_name(seen->outcome), "known", flow != NULL);
-	if (seen_known(flow, seen))
-		pool_flow_ended(pool, flow, seen, worker);
-	end_of_flow(end, flow);
+	    "{s:s, s:I, s:I, s:I, s:s, s:s, s:b}", "flow", reported->flow,
+	    "step", (json_int_t)reported->step, "index",
+	    (json_int_t)reported->index, "run", (json_int_t)reported->run,
+	    "worker", worker->entry.id, "how", outcome_name(reported->outcome),
+	    "known", flow != NULL);
+	if (reported_task_known(flow, reported))
+		pool_flow_ended(pool, flow, reported, worker);
+	end_set_flow(end, flow);
 }
 
-/** Take in the ends that have not been seen. */
+/** Applies the ends that were not reported before. */
 static void
-worker_ends(struct gb_pool *pool, struct pool_worker *worker,
+worker_apply_ends(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_report *report)
 {
 	size_t i;
 
 	for (i = 0; i < report->ended_count; i++) {
-		const struct gb_pool_run_report *seen = &report->ended[i];
+		const struct gb_pool_run_report *reported = &report->ended[i];
 
-		if (seen->number <= worker->seen)
+		if (reported->number <= worker->seen)
 			continue;
-		worker->seen = seen->number;
-		end_take(pool, worker, end_add(worker, seen->number), seen);
+		worker->seen = reported->number;
+		end_apply(
+		    pool, worker, end_add(worker, reported->number), reported);
 	}
 }
 
 void
 pool_report_partition_attached(struct gb_pool *pool, uint32_t partition)
 {
-	struct gb_pool_run_report *seen;
+	struct gb_pool_run_report *reported;
 	struct pool_end *end;
 	uint32_t i;
 
 	for (i = 0; i < pool->worker_count; i++) {
 		STAILQ_FOREACH(end, &pool->workers[i]->ends, next)
 		{
-			seen = end->held;
-			if (seen == NULL ||
-			    gb_pool_partition(seen->flow) != partition)
+			reported = end->held;
+			if (reported == NULL ||
+			    gb_pool_partition(reported->flow) != partition)
 				continue;
 			end->held = NULL;
-			end_take(pool, pool->workers[i], end, seen);
-			free(seen);
+			end_apply(pool, pool->workers[i], end, reported);
+			free(reported);
 		}
 	}
 }
 
-/** Stop a run that this owner has no use for. */
+/** Stops a reported run that this owner doesn't know or need. */
 static void
-stray_stop(struct gb_pool *pool, const struct pool_worker *worker,
-    const struct gb_pool_run_report *seen)
+stray_run_stop(struct gb_pool *pool, const struct pool_worker *worker,
+    const struct gb_pool_run_report *reported)
 {
 	struct pool_call *call = pool_call_new(pool, POOL_CALL_RUN_STOP);
 	struct gb_pool_order order = {0};
@@ -162,49 +170,51 @@
 	call->worker = worker->handle;
 	order.worker = worker->entry.id;
 	order.addr = worker->entry.addr;
-	order.id.flow = seen->flow;
-	order.id.step = seen->step;
-	order.id.index = seen->index;
-	order.id.run = seen->run;
+	order.id.flow = reported->flow;
+	order.id.step = reported->step;
+	order.id.index = reported->index;
+	order.id.run = reported->run;
 	order.token = pool_incarnation_token(pool, worker);
 	call->token = order.token;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "stray_run_stopped",
-	    "{s:s, s:I, s:I, s:I, s:s}", "flow", seen->flow, "step",
-	    (json_int_t)seen->step, "index", (json_int_t)seen->index, "run",
-	    (json_int_t)seen->run, "worker", worker->entry.id);
+	    "{s:s, s:I, s:I, s:I, s:s}", "flow", reported->flow, "step",
+	    (json_int_t)reported->step, "index", (json_int_t)reported->index,
+	    "run", (json_int_t)reported->run, "worker", worker->entry.id);
 	pool->ops.stop(pool->ops.data, call->id, &order);
 }
 
 static struct pool_run *
 worker_run(const struct pool_worker *worker, const struct pool_flow *flow,
-    const struct gb_pool_run_report *seen)
+    const struct gb_pool_run_report *reported)
 {
 	struct pool_run *run;
 
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		if (run->flow == flow && run->step == seen->step &&
-		    run->index == seen->index && run->number == seen->run)
+		if (run->flow == flow && run->step == reported->step &&
+		    run->index == reported->index &&
+		    run->number == reported->run)
 			return run;
 	}
 	return NULL;
 }
 
-/** A run of an earlier owner goes on under this one. */
+/** Takes over a running run of an earlier owner; returns null if it isn't
+ * needed. */
 static struct pool_run *
 run_adopt(struct gb_pool *pool, struct pool_worker *worker,
-    struct pool_flow *flow, const struct gb_pool_run_report *seen)
+    struct pool_flow *flow, const struct gb_pool_run_report *reported)
 {
-	struct pool_step *step = &flow->steps[seen->step];
-	struct pool_task *task = &step->tasks[seen->index];
-	bool copies = (step->spec->flags & GB_STEP_SPECULATIVE) != 0;
+	struct pool_step *step = &flow->steps[reported->step];
+	struct pool_task *task = &step->tasks[reported->index];
+	bool speculative = (step->spec->flags & GB_STEP_SPECULATIVE) != 0;
 	struct pool_run *run;
 
 	if (flow->status >= GB_FLOW_SUCCEEDED || task->done ||
-	    (!TAILQ_EMPTY(&task->runs) && !copies))
+	    (!TAILQ_EMPTY(&task->runs) && !speculative))
 		return NULL;
 	run = pool_run_new(
-	    pool, flow, seen->step, seen->index, seen->run, worker);
+	    pool, flow, reported->step, reported->index, reported->run, worker);
 	run->state = POOL_RUN_RUNNING;
 	run->confirmed = pool->now;
 	run->adopted = true;
@@ -213,20 +223,20 @@
 }
 
 static void
-run_seen(struct gb_pool *pool, struct pool_run *run,
-    const struct gb_pool_run_report *seen)
+run_update(struct gb_pool *pool, struct pool_run *run,
+    const struct gb_pool_run_report *reported)
 {
 	if (run->confirmed == 0)
 		run->confirmed = pool->now;
 	if (run->state == POOL_RUN_START_UNKNOWN && run->stop_call == 0 &&
 	    run->stopped == 0)
 		run->state = POOL_RUN_RUNNING;
-	if (seen->percent != run->percent) {
-		run->percent = seen->percent;
+	if (reported->percent != run->percent) {
+		run->percent = reported->percent;
 		run->moved = pool->now;
 	}
-	snprintf(
-	    run->checkpoint, sizeof(run->checkpoint), "%s", seen->checkpoint);
+	snprintf(run->checkpoint, sizeof(run->checkpoint), "%s",
+	    reported->checkpoint);
 }
 
 static bool
@@ -252,24 +262,25 @@
 	       list_names(report->ended, report->ended_count, run);
 }
 
-/** Runs that the worker should list and does not have ended without a word;
- * only what was settled before the hold was sent counts. */
+/** Removes runs that the worker should list but doesn't: they have ended
+ * without a report.  Only those count whose start or stop was confirmed, or
+ * whose start can no longer happen, before the heartbeat was sent. */
 static void
-worker_missing(struct gb_pool *pool, struct pool_worker *worker, gb_time sent,
-    const struct gb_pool_report *report)
+worker_remove_missing(struct gb_pool *pool, struct pool_worker *worker,
+    gb_time sent, const struct gb_pool_report *report)
 {
 	struct pool_run *run;
 	struct pool_run *next;
 
 	for (run = TAILQ_FIRST(&worker->runs); run != NULL; run = next) {
-		gb_time reconciled =
+		gb_time known_since =
 		    run->stopped != 0 ? run->stopped : run->confirmed;
 
 		next = TAILQ_NEXT(run, of_worker);
 		if (run->stopped == 0 && run->confirmed == 0 &&
 		    run->start_call == 0)
-			reconciled = run->lapse_at;
-		if (reconciled == 0 || reconciled >= sent)
+			known_since = run->lapse_at;
+		if (known_since == 0 || known_since >= sent)
 			continue;
 		if (list_names(report->running, report->running_count, run))
 			continue;
@@ -288,7 +299,7 @@
 }
 
 static void
-worker_running(struct gb_pool *pool, struct pool_worker *worker,
+worker_apply_running(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_report *report)
 {
 	struct pool_flow *flow;
@@ -297,27 +308,27 @@
 
 	worker->foreign = false;
 	for (i = 0; i < report->running_count; i++) {
-		const struct gb_pool_run_report *seen = &report->running[i];
+		const struct gb_pool_run_report *reported = &report->running[i];
 
-		bool here = pool_partition_attached(
-		    pool, gb_pool_partition(seen->flow));
+		bool attached = pool_partition_attached(
+		    pool, gb_pool_partition(reported->flow));
 
-		flow = pool_flow_find(pool, seen->flow);
+		flow = pool_flow_find(pool, reported->flow);
 		run = NULL;
-		/* What has been read of a part that is not attached may yet be
-		 * dropped, and its runs with it. */
-		if (here && seen_known(flow, seen)) {
-			run = worker_run(worker, flow, seen);
+		/* The flows of a partition that is not attached may still be
+		 * dropped, and their runs with them. */
+		if (attached && reported_task_known(flow, reported)) {
+			run = worker_run(worker, flow, reported);
 			if (run == NULL)
-				run = run_adopt(pool, worker, flow, seen);
+				run = run_adopt(pool, worker, flow, reported);
 		}
 		if (run != NULL) {
-			run_seen(pool, run, seen);
+			run_update(pool, run, reported);
 			continue;
 		}
 		worker->foreign = true;
-		if (here)
-			stray_stop(pool, worker, seen);
+		if (attached)
+			stray_run_stop(pool, worker, reported);
 	}
 }
 
@@ -325,19 +336,20 @@
 pool_report_take(struct gb_pool *pool, struct pool_worker *worker, gb_time sent,
     const struct gb_pool_report *report)
 {
-	worker_ends(pool, worker, report);
-	worker_running(pool, worker, report);
-	if (report->ended_count < ENDS_LISTED_MOST)
-		worker_missing(pool, worker, sent, report);
+	worker_apply_ends(pool, worker, report);
+	worker_apply_running(pool, worker, report);
+	if (report->ended_count < ENDS_LISTED_MAX)
+		worker_remove_missing(pool, worker, sent, report);
 }
 
 void
 pool_report_incarnation_ended(struct pool_worker *worker)
 {
-	struct pool_ends held = STAILQ_HEAD_INITIALIZER(held);
+	struct pool_ends kept = STAILQ_HEAD_INITIALIZER(kept);
 	struct pool_end *end;
 
-	/* What was told stands, also of flows that are not known yet. */
+	/* Reported ends stay valid, also those of flows that are not loaded
+	 * yet. */
 	while ((end = STAILQ_FIRST(&worker->ends)) != NULL) {
 		STAILQ_REMOVE_HEAD(&worker->ends, next);
 		if (end->held == NULL) {
@@ -345,9 +357,9 @@
 			continue;
 		}
 		end->number = 0;
-		STAILQ_INSERT_TAIL(&held, end, next);
+		STAILQ_INSERT_TAIL(&kept, end, next);
 	}
-	STAILQ_CONCAT(&worker->ends, &held);
+	STAILQ_CONCAT(&worker->ends, &kept);
 }
 
 void
