--- a/libgooseberry/pool/call.c
+++ b/libgooseberry/pool/call.c
@@ -1,6 +1,6 @@
 /**
  * @file call.c
- * Calls that are out, by their number.  An answer from an earlier term of
+ * Calls in flight, by their number.  An answer from an earlier term of
  * ownership tells nothing about this one and is dropped.
  */
 #include <stdlib.h>
--- a/libgooseberry/pool/listing.c
+++ b/libgooseberry/pool/listing.c
@@ -1,7 +1,7 @@
 /**
  * @file listing.c
- * Workers as the platform's list names them: entries that are new, change,
- * can't be used, or go.
+ * Applies the platform's list of workers: entries that are new, changed,
+ * invalid or removed.
  */
 #include <stdio.h>
 #include <string.h>
@@ -24,7 +24,7 @@
 }
 
 const char *
-gb_pool_entry_error_name(enum gb_pool_entry_error fault)
+gb_pool_entry_error_name(enum gb_pool_entry_error error)
 {
 	static const char *const names[GB_POOL_ENTRY_ERRORS] = {
 	    [GB_POOL_ENTRY_VALID] = "sound",
@@ -33,7 +33,7 @@
 	    [GB_POOL_ENTRY_RANGE] = "out_of_range",
 	    [GB_POOL_ENTRY_STATE] = "unknown_state"};
 
-	return names[fault];
+	return names[error];
 }
 
 bool
@@ -44,7 +44,8 @@
 }
 
 static bool
-worker_served(const struct gb_pool *pool, const struct pool_worker *worker)
+worker_service_known(
+    const struct gb_pool *pool, const struct pool_worker *worker)
 {
 	return pool->config == NULL ||
 	       gb_pool_config_serves(pool->config, worker->entry.service);
@@ -57,19 +58,19 @@
 
 	for (i = 0; i < pool->worker_count; i++)
 		pool->workers[i]->served =
-		    worker_served(pool, pool->workers[i]);
+		    worker_service_known(pool, pool->workers[i]);
 }
 
-/** The entry of a worker can't be used.  What is known of the worker stands:
- * what it runs goes on under its lease, and its ends are taken note of. */
+/** Handles an invalid entry.  A known worker is kept: its runs continue under
+ * their lease, and its ends are applied. */
 static void
-entry_refused(struct gb_pool *pool, struct pool_worker *worker,
+entry_invalid(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_entry *entry)
 {
-	bool news = worker == NULL || worker->entry.fault != entry->fault;
+	bool changed = worker == NULL || worker->entry.fault != entry->fault;
 
 	pool->stats.entry_errors[entry->fault]++;
-	if (news)
+	if (changed)
 		gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_entry_bad",
 		    "{s:s, s:s, s:b, s:I}", "worker", entry->id, "why",
 		    gb_pool_entry_error_name(entry->fault), "known",
@@ -81,28 +82,28 @@
 	worker->listed = true;
 }
 
-/** One lifetime of a worker has one address: another one in its entry is
- * believed only while nothing can run there, since an answer from elsewhere
- * would say that the lifetime is over. */
+/** Checks the address of an entry.  One incarnation of a worker has one
+ * address: a new address is accepted only while the worker can't be running
+ * anything, since an answer from elsewhere would look like the end of the
+ * incarnation. */
 static void
-entry_moved(struct gb_pool *pool, struct pool_worker *worker,
+entry_check_addr(struct gb_pool *pool, struct pool_worker *worker,
     struct gb_pool_entry *entry)
 {
-	bool believed = (!worker->fenced && pool_owner_reconciled(pool)) ||
+	bool accepted = (!worker->fenced && pool_owner_reconciled(pool)) ||
 			pool_incarnation_may_move(pool, worker, entry);
 
 	if (strcmp(worker->entry.addr, entry->addr) == 0)
 		return;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_entry_moved",
 	    "{s:s, s:s, s:s, s:b}", "worker", entry->id, "from",
-	    worker->entry.addr, "to", entry->addr, "believed", believed);
-	if (!believed) {
+	    worker->entry.addr, "to", entry->addr, "believed", accepted);
+	if (!accepted) {
 		snprintf(
 		    entry->addr, sizeof(entry->addr), "%s", worker->entry.addr);
 		return;
 	}
-	/* Who answered or kept silent at the other address was somebody else.
-	 */
+	/* What was learned at the old address was about another process. */
 	worker->over = false;
 	worker->silent = 0;
 	worker->heartbeat_at = pool->now;
@@ -119,7 +120,7 @@
 }
 
 static void
-entry_gone(struct gb_pool *pool, struct pool_worker *worker)
+entry_removed(struct gb_pool *pool, struct pool_worker *worker)
 {
 	worker->listed = false;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "worker_unlisted",
@@ -127,9 +128,9 @@
 	    (json_int_t)worker->run_count);
 }
 
-/** Tell what has changed of a worker that is known. */
+/** Logs what has changed of a known worker. */
 static void
-entry_news(struct gb_pool *pool, const struct pool_worker *worker,
+entry_log_changes(struct gb_pool *pool, const struct pool_worker *worker,
     const struct gb_pool_entry *entry)
 {
 	if (entry->draining && !worker->entry.draining)
@@ -152,30 +153,30 @@
 	struct gb_pool_entry *entry = &copy;
 
 	if (entry->fault != GB_POOL_ENTRY_VALID) {
-		entry_refused(pool, worker, entry);
+		entry_invalid(pool, worker, entry);
 		return;
 	}
 	if (worker == NULL && entry->removed)
 		return;
 	if (worker != NULL && !entry->removed) {
 		pool_incarnation_entry(pool, worker, entry);
-		entry_moved(pool, worker, entry);
+		entry_check_addr(pool, worker, entry);
 	}
 	if (worker != NULL && entry->removed) {
-		entry_gone(pool, worker);
+		entry_removed(pool, worker);
 		return;
 	}
-	/* An older lifetime at this address may be listed later than a newer
-	 * one: only the worker's own answer proves it over. */
+	/* An older incarnation at this address may be listed later than a newer
+	 * one: only the worker's own answer proves that it has ended. */
 	if (worker == NULL)
 		worker = entry_new(pool, entry);
 	else
-		entry_news(pool, worker, entry);
+		entry_log_changes(pool, worker, entry);
 	worker->entry = *entry;
 	if (pool_incarnation_listed(worker))
 		worker->leaving = entry->draining;
 	worker->listed = true;
-	worker->served = worker_served(pool, worker);
+	worker->served = worker_service_known(pool, worker);
 	pool_worker_set_want(pool, worker);
 	worker_rack(worker);
 	pool->work_changed = true;
--- a/libgooseberry/pool/load.c
+++ b/libgooseberry/pool/load.c
@@ -1,7 +1,8 @@
 /**
  * @file load.c
- * Reading what is stored of a part: its states, its flows, the workers that may
- * run something of them, and flows that were stored without an owner.
+ * Loads what is stored of a partition: its states, its flows, the workers that
+ * may run tasks of them, and the flows that were stored without an owner
+ * (inbox).
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,13 +12,14 @@
 
 #include "state.h"
 
-/** Units of the stored set of workers that older programs did not write. */
-#define SET_FIELDS_LATER 1
-/** More were found in the inbox: look again after this. */
-#define INBOX_SOON (250 * GB_MSEC)
+/** Number of XDR units at the end of the stored worker set that older programs
+ * don't write. */
+#define SET_UNITS_ADDED 1
+/** Pause before the inbox is read again after flows were found in it. */
+#define INBOX_NEXT_PAUSE (250 * GB_MSEC)
 
 static void
-row_unreadable(
+row_log_unreadable(
     struct gb_pool *pool, const char *table, const struct gb_pool_row *row)
 {
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "row_unreadable",
@@ -26,7 +28,8 @@
 
 /* Flows ------------------------------------------------------------------- */
 
-/** A flow whose state is read before what was submitted: holds the state. */
+/** Creates a placeholder flow that holds the state, which is read before what
+ * was submitted. */
 static void
 load_state(struct gb_pool *pool, const struct gb_pool_row *row)
 {
@@ -35,7 +38,7 @@
 	gb_flow spec = {0};
 
 	if (!gb_flow_state_decode(&row->value, &state)) {
-		row_unreadable(pool, "states", row);
+		row_log_unreadable(pool, "states", row);
 		return;
 	}
 	spec.id = gb_strdup(row->key);
@@ -57,24 +60,24 @@
 static void
 load_flow(struct gb_pool *pool, const struct gb_pool_row *row)
 {
-	struct pool_flow *stub = pool_flow_find(pool, row->key);
+	struct pool_flow *placeholder = pool_flow_find(pool, row->key);
 	gb_flow_state *state;
 	gb_flow_row stored = {0};
 	struct pool_flow *flow;
 
-	if (stub == NULL || stub->loading == NULL)
+	if (placeholder == NULL || placeholder->loading == NULL)
 		return;
 	if (!gb_flow_decode(&row->value, &stored)) {
-		row_unreadable(pool, "flows", row);
+		row_log_unreadable(pool, "flows", row);
 		return;
 	}
-	state = stub->loading;
-	stub->loading = NULL; /* outlives its stub */
-	pool_flow_free(pool, stub);
+	state = placeholder->loading;
+	placeholder->loading = NULL; /* owned by this function now */
+	pool_flow_free(pool, placeholder);
 	flow = pool_flow_new(pool, &stored.flow);
 	flow->config = stored.config;
 	if (!pool_flow_load(pool, flow, state))
-		row_unreadable(pool, "states", row);
+		row_log_unreadable(pool, "states", row);
 	else if (!flow->owned && flow->status < GB_FLOW_SUCCEEDED)
 		pool_writer_dirty(pool, flow, true);
 	flow->ended = pool->now;
@@ -82,9 +85,10 @@
 	free(state);
 }
 
-/** Flows whose submission was not read are over: only their state is kept. */
+/** Closes the flows whose submission was not found: they have finished, and
+ * only their state is kept. */
 static void
-load_finish(struct gb_pool *pool, uint32_t partition)
+load_close_flows(struct gb_pool *pool, uint32_t partition)
 {
 	struct pool_flow *flow;
 	struct pool_flow *next;
@@ -117,8 +121,9 @@
 
 /* Workers ----------------------------------------------------------------- */
 
-/** Whoever the owner before may have sent runs to is asked, whether the list of
- * workers names it or not: entries lapse while the store is away. */
+/** Applies a row of the stored worker set.  All workers to which an earlier
+ * owner may have sent runs are asked, also those that the platform doesn't
+ * list: entries expire while the store is unavailable. */
 static void
 load_workers(
     struct gb_pool *pool, uint32_t partition, const struct gb_pool_row *row)
@@ -127,8 +132,8 @@
 	u_int i;
 
 	if (!gb_xdr_decode_older((xdrproc_t)xdr_gb_worker_set, &row->value,
-		&set, sizeof(set), SET_FIELDS_LATER)) {
-		row_unreadable(pool, "owners", row);
+		&set, sizeof(set), SET_UNITS_ADDED)) {
+		row_log_unreadable(pool, "owners", row);
 		return;
 	}
 	for (i = 0; i < set.list.list_len; i++)
@@ -140,7 +145,7 @@
 	pool_worker_set_read(pool, partition, row->key);
 }
 
-/* Course ------------------------------------------------------------------ */
+/* Loading a partition ---------------------------------------------------- */
 
 void
 pool_load_begin(struct gb_pool *pool, uint32_t number)
@@ -156,7 +161,7 @@
 	pool_pages_next(pool);
 }
 
-/** Read the next page, or go on to the next table. */
+/** Requests the next page, or the first page of the next table. */
 static void
 load_next(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
@@ -179,9 +184,9 @@
 	}
 }
 
-/** Take in a page of a part. */
+/** Applies a page of a partition. */
 static enum pool_load
-page_take(struct gb_pool *pool, const struct pool_call *call,
+page_apply(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
 	struct pool_partition *partition = &pool->partitions[call->partition];
@@ -206,7 +211,7 @@
 	}
 	if (--partition->loads_in_flight > 0)
 		return POOL_LOAD_GOES_ON;
-	load_finish(pool, call->partition);
+	load_close_flows(pool, call->partition);
 	return POOL_LOAD_DONE;
 }
 
@@ -217,17 +222,17 @@
 	const struct pool_partition *partition =
 	    &pool->partitions[call->partition];
 	struct pool_page *page = pool_page_answered(pool, call);
-	enum pool_load course = POOL_LOAD_GOES_ON;
+	enum pool_load result = POOL_LOAD_GOES_ON;
 
 	if (call->round == partition->round &&
 	    partition->attach == POOL_ATTACH_LOADING) {
 		if (page != NULL && pool_page_retry(pool, page, res))
 			return POOL_LOAD_GOES_ON;
-		course = page_take(pool, call, res);
+		result = page_apply(pool, call, res);
 	}
 	pool_page_free(pool, page);
 	pool_pages_next(pool);
-	return course;
+	return result;
 }
 
 /* Inbox ------------------------------------------------------------------- */
@@ -244,7 +249,7 @@
 }
 
 static void
-inbox_listed(struct gb_pool *pool, uint32_t partition,
+inbox_list_apply(struct gb_pool *pool, uint32_t partition,
     const struct gb_pool_read_res *res)
 {
 	char to[GB_KEY_MAX + 1];
@@ -252,7 +257,7 @@
 	size_t i;
 
 	if (res->row_count > 0)
-		pool->inbox_at = pool->now + INBOX_SOON;
+		pool->inbox_at = pool->now + INBOX_NEXT_PAUSE;
 	for (i = 0; i < res->row_count; i++) {
 		flow = pool_flow_find(pool, res->rows[i].key);
 		if (flow != NULL) {
@@ -267,7 +272,7 @@
 }
 
 static void
-inbox_flow(struct gb_pool *pool, const struct gb_pool_read_res *res)
+inbox_flow_apply(struct gb_pool *pool, const struct gb_pool_read_res *res)
 {
 	gb_flow_row stored = {0};
 	struct pool_flow *flow;
@@ -275,7 +280,7 @@
 	if (res->row_count == 0 || pool_flow_find(pool, res->rows[0].key))
 		return;
 	if (!gb_flow_decode(&res->rows[0].value, &stored)) {
-		row_unreadable(pool, "flows", &res->rows[0]);
+		row_log_unreadable(pool, "flows", &res->rows[0]);
 		return;
 	}
 	flow = pool_flow_new(pool, &stored.flow);
@@ -299,9 +304,9 @@
 
 	if (wanted && call->kind == POOL_CALL_INBOX_LIST) {
 		pool_page_learn(pool, GB_POOL_INBOX, res);
-		inbox_listed(pool, call->partition, res);
+		inbox_list_apply(pool, call->partition, res);
 	} else if (wanted) {
-		inbox_flow(pool, res);
+		inbox_flow_apply(pool, res);
 	}
 	pool_page_free(pool, pool_page_answered(pool, call));
 	pool_pages_next(pool);
--- a/libgooseberry/pool/page.c
+++ b/libgooseberry/pool/page.c
@@ -1,41 +1,41 @@
 /**
  * @file page.c
- * Pages of what is stored, as an owner reads them.
+ * Reads the stored tables in pages while an owner takes over.
  *
- * Load: a link that takes seconds for what is stored.  The pages that are asked
- * for at once are as many and as large as it takes in a moment, so that no
- * answer comes too late to count, and what members ask meanwhile is answered.
+ * On a slow link, loading takes seconds.  The number and size of the pages
+ * requested at once depend on what the link can carry in a short time, so that
+ * no answer comes after its timeout and members get their answers meanwhile.
  */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "state.h"
 
-/** Rows read at once; the store returns at most 500. */
-#define PAGE_ROWS 500
-/** The pages that are out take the link for this long, and each is waited for
- * ten times that, since its rows may be larger than those before. */
-#define PAGES_TIME (150 * GB_MSEC)
-#define PAGE_PATIENCE (10 * PAGES_TIME)
-/** A page that got no answer is asked for so often, where the link is what it
- * waits for. */
-#define PAGE_TRIES 4
-/** Pages that are out at once, two for each part, and rows of each, so that few
- * bytes are spent beside them. */
-#define PAGES_MOST (2 * GB_POOL_PARTITIONS)
-#define PAGE_ROWS_LEAST 4
-/** Bytes of a row before any was read, and those beside its value, which is
- * sent in base64. */
-#define ROW_BYTES 1500
-#define ROW_HEAD 80
-
-/** A page that is to be read. */
+/** Maximum number of rows in a page; the store returns at most 500. */
+#define PAGE_ROWS_MAX 500
+/** Time for which the pages in flight may keep the link busy.  The timeout of
+ * each is ten times that, since its rows may be larger than earlier ones. */
+#define PAGES_LINK_TIME (150 * GB_MSEC)
+#define PAGE_TIMEOUT (10 * PAGES_LINK_TIME)
+/** Maximum number of requests for a page without an answer, where the link may
+ * be the cause. */
+#define PAGE_TRIES_MAX 4
+/** Maximum number of pages in flight, two for each partition; and minimum
+ * number of rows of each, so that little is spent on what surrounds them. */
+#define PAGES_MAX (2 * GB_POOL_PARTITIONS)
+#define PAGE_ROWS_MIN 4
+/** Size of a row, in bytes, before any was read; and bytes of a row besides its
+ * value, which is sent in base64. */
+#define ROW_BYTES_DEFAULT 1500
+#define ROW_OVERHEAD_BYTES 80
+
+/** A page to read. */
 struct pool_page {
 	TAILQ_ENTRY(pool_page) next;
-	uint64_t call; /**< that is out for it */
+	uint64_t call; /**< call in flight for the page */
 	enum pool_call_kind kind;
 	uint32_t partition;
-	uint32_t round; /**< of reading the part */
+	uint32_t round; /**< of loading the partition */
 	enum gb_pool_table table;
 	char from[GB_KEY_MAX + 1];
 	char to[GB_KEY_MAX + 1];
@@ -43,7 +43,7 @@
 };
 
 static bool
-page_of_inbox(const struct pool_page *page)
+page_is_inbox(const struct pool_page *page)
 {
 	return page->kind == POOL_CALL_INBOX_LIST ||
 	       page->kind == POOL_CALL_INBOX_FLOW;
@@ -52,54 +52,55 @@
 void
 pool_page_free(struct gb_pool *pool, struct pool_page *page)
 {
-	if (page != NULL && page_of_inbox(page))
+	if (page != NULL && page_is_inbox(page))
 		pool->partitions[page->partition].inbox_in_flight--;
 	free(page);
 }
 
-/** Bytes that the link takes in a moment, 0: it does not matter. */
+/** Bytes that the link carries in PAGES_LINK_TIME, 0: no limit. */
 static uint64_t
-pages_bytes(const struct gb_pool *pool)
+pages_link_bytes(const struct gb_pool *pool)
 {
-	return pool_pace_rate(pool) * PAGES_TIME / GB_SEC;
+	return pool_pace_rate(pool) * PAGES_LINK_TIME / GB_SEC;
 }
 
 static uint32_t
 row_bytes(const struct gb_pool *pool, enum gb_pool_table table)
 {
-	return pool->row_bytes[table] > 0 ? pool->row_bytes[table] : ROW_BYTES;
+	return pool->row_bytes[table] > 0 ? pool->row_bytes[table]
+					  : ROW_BYTES_DEFAULT;
 }
 
-/** Pages that may be out at once: as many as the link takes with a few rows
- * each, and no more than all parts ask for. */
+/** Maximum number of pages in flight: as many as the link carries with a few
+ * rows each, and no more than all partitions request. */
 static uint32_t
-pages_most(const struct gb_pool *pool)
+pages_max(const struct gb_pool *pool)
 {
-	uint64_t least =
-	    (uint64_t)PAGE_ROWS_LEAST * row_bytes(pool, GB_POOL_FLOWS);
-	uint64_t most = pages_bytes(pool) / least;
+	uint64_t min_bytes =
+	    (uint64_t)PAGE_ROWS_MIN * row_bytes(pool, GB_POOL_FLOWS);
+	uint64_t count = pages_link_bytes(pool) / min_bytes;
 
-	if (most > PAGES_MOST)
-		return PAGES_MOST;
-	return most == 0 ? 1 : (uint32_t)most;
+	if (count > PAGES_MAX)
+		return PAGES_MAX;
+	return count == 0 ? 1 : (uint32_t)count;
 }
 
-/** Whether reading is what fills the link: it does not take the first rows of
- * all parts at once. */
+/** Whether loading fills the link: it can't carry the first rows of all
+ * partitions at once. */
 static bool
 pages_paced(const struct gb_pool *pool)
 {
-	return pages_bytes(pool) > 0 && pages_most(pool) < PAGES_MOST;
+	return pages_link_bytes(pool) > 0 && pages_max(pool) < PAGES_MAX;
 }
 
 static uint32_t
 page_rows(const struct gb_pool *pool, enum gb_pool_table table)
 {
 	uint64_t rows =
-	    pages_bytes(pool) / pages_most(pool) / row_bytes(pool, table);
+	    pages_link_bytes(pool) / pages_max(pool) / row_bytes(pool, table);
 
-	if (!pages_paced(pool) || rows > PAGE_ROWS)
-		return PAGE_ROWS;
+	if (!pages_paced(pool) || rows > PAGE_ROWS_MAX)
+		return PAGE_ROWS_MAX;
 	return rows == 0 ? 1 : (uint32_t)rows;
 }
 
@@ -115,7 +116,7 @@
 			 ? 1
 			 : page_rows(pool, page->table);
 	if (pages_paced(pool))
-		read.patience = PAGE_PATIENCE;
+		read.patience = PAGE_TIMEOUT;
 	call->partition = page->partition;
 	call->round = page->round;
 	page->call = call->id;
@@ -133,7 +134,7 @@
 
 	while (
 	    (page = TAILQ_FIRST(&pool->pages)) != NULL &&
-	    (!pages_paced(pool) || pool->pages_in_flight < pages_most(pool))) {
+	    (!pages_paced(pool) || pool->pages_in_flight < pages_max(pool))) {
 		TAILQ_REMOVE(&pool->pages, page, next);
 		if (page->round == pool->partitions[page->partition].round)
 			page_send(pool, page);
@@ -155,7 +156,7 @@
 	page->table = table;
 	snprintf(page->from, sizeof(page->from), "%s", from);
 	snprintf(page->to, sizeof(page->to), "%s", to);
-	if (page_of_inbox(page))
+	if (page_is_inbox(page))
 		pool->partitions[partition].inbox_in_flight++;
 	TAILQ_INSERT_TAIL(&pool->pages, page, next);
 }
@@ -182,7 +183,7 @@
     const struct gb_pool_read_res *res)
 {
 	if (res->status != GB_STORE_UNKNOWN || !pages_paced(pool) ||
-	    page->tries >= PAGE_TRIES)
+	    page->tries >= PAGE_TRIES_MAX)
 		return false;
 	pool->row_bytes[page->table] = 2 * row_bytes(pool, page->table);
 	page_send(pool, page);
@@ -199,7 +200,8 @@
 	if (res->row_count == 0)
 		return;
 	for (i = 0; i < res->row_count; i++)
-		bytes += ROW_HEAD + res->rows[i].value.gb_body_len * 4 / 3;
+		bytes +=
+		    ROW_OVERHEAD_BYTES + res->rows[i].value.gb_body_len * 4 / 3;
 	pool->row_bytes[table] = (uint32_t)(bytes / res->row_count);
 }
 
