--- a/libgooseberry/pool/admit.c
+++ b/libgooseberry/pool/admit.c
@@ -1,29 +1,32 @@
 /**
  * @file admit.c
- * Admission: what is refused at once, and when to come back.
+ * Admission: which submissions are refused at once, and when their callers
+ * should retry.
  *
- * Load: bursts of twice the usual.  A flow that waits costs memory and its
- * caller's patience, so the number that has not begun is bounded; what is
- * refused has not run and never will.
+ * Bursts of twice the usual load: a flow that waits costs memory and its
+ * caller's time, so the number of open flows is bounded.  What is refused has
+ * not run and never will.
  *
- * Load: the owner's link is too thin for the starts that are asked for.  A flow
- * whose starts would wait behind others until its objective has passed is
- * refused at once, with the time until what waits has been sent.
+ * A slow link: the owner's link can't carry all starts.  A flow whose starts
+ * would wait behind others until its objective has passed is refused at once;
+ * its caller is told the time until the waiting starts are sent.
  */
 #include "state.h"
 
-/** Flows that are not over; about 4 KiB each, so that they stay under a
- * quarter of the smallest node's memory (160 MB). */
-#define ADMIT_FLOWS_MOST 8000
-/** Time to come back after a refusal: as long as a burst drains for the
- * queues that wait least. */
-#define ADMIT_RETRY_US (2 * GB_SEC)
-/** The same of what no quota admits: until the operator raises it. */
+/** Maximum number of unfinished flows.  They take about 4 KiB each, and so less
+ * than a quarter of the smallest node's memory (160 MB). */
+#define ADMIT_FLOWS_MAX 8000
+/** Time after which a refused caller should retry: the time in which a burst
+ * drains for the queues that wait least. */
+#define ADMIT_RETRY (2 * GB_SEC)
+/** The same for a flow that its organisation's quota can never allow; the
+ * operator may raise the quota. */
 #define ADMIT_RETRY_QUOTA (30 * GB_SEC)
-/** Starts that wait for the link for less than this hold nobody up. */
-#define ADMIT_LINK_LEAST (500 * GB_MSEC)
+/** Flows are not refused while the waiting starts keep the link busy for less
+ * than this. */
+#define ADMIT_LINK_WAIT_MIN (500 * GB_MSEC)
 
-/** Time in which a flow earns in full, by what its caller declared. */
+/** Objective of a flow, by the run times that its caller declared. */
 static gb_time
 admit_objective(const struct gb_pool *pool, const gb_flow *flow)
 {
@@ -39,8 +42,8 @@
 	return queue->target_us + (gb_time)(queue->stretch * (double)work);
 }
 
-/** Whether a step asks for more at one moment than its organisation may ever
- * have. */
+/** Whether a step needs more at once than the quota of its organisation
+ * allows. */
 static bool
 admit_over_quota(const struct gb_pool *pool, const gb_flow *flow)
 {
@@ -65,17 +68,17 @@
 {
 	gb_time wait = pool_pace_wait(pool);
 
-	*retry_after = ADMIT_RETRY_US;
+	*retry_after = ADMIT_RETRY;
 	if (admit_over_quota(pool, flow)) {
 		*why = "a step needs more than its organisation may have";
 		*retry_after = ADMIT_RETRY_QUOTA;
 		return false;
 	}
-	if (pool->open_count >= ADMIT_FLOWS_MOST) {
+	if (pool->open_count >= ADMIT_FLOWS_MAX) {
 		*why = "too many flows are open";
 		return false;
 	}
-	if (wait > ADMIT_LINK_LEAST && wait > admit_objective(pool, flow)) {
+	if (wait > ADMIT_LINK_WAIT_MIN && wait > admit_objective(pool, flow)) {
 		*why = "the link takes too long to start what waits";
 		*retry_after = wait;
 		return false;
--- a/libgooseberry/pool/config.c
+++ b/libgooseberry/pool/config.c
@@ -1,7 +1,7 @@
 /**
  * @file config.c
- * The operator's configuration: its queues and services.  There may be
- * thousands of queues, and each change looks up that of every open flow.
+ * The operator's configuration: queues and services.  There may be thousands of
+ * queues, and each change looks up the queue of every open flow.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/libgooseberry/pool/event.c
+++ b/libgooseberry/pool/event.c
@@ -1,8 +1,9 @@
 /**
  * @file event.c
- * Structured log: one JSON object a line, to a descriptor that is never
- * waited for.  Lines beyond the budget and what the reader does not take are
- * counted, and the count is told with the next line that gets through.
+ * Structured log: one JSON object per line, written to a descriptor without
+ * blocking.  Lines beyond the budget, and lines that the reader doesn't accept
+ * in time, are dropped and counted; the next line that is written has the
+ * count.
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -15,23 +16,25 @@
 
 #include "pool.h"
 
-/** Bytes that wait for the reader before lines are dropped. */
-#define EVENTS_BUFFER (128 * 1024)
-/** Lines are gathered into writes of this size. */
-#define EVENTS_CHUNK 8192
+/** Size of the buffer for lines not yet written, in bytes; when it is full,
+ * lines are dropped. */
+#define EVENTS_BUFFER_BYTES (128 * 1024)
+/** Number of buffered bytes at which they are written. */
+#define EVENTS_FLUSH_BYTES 8192
 
 struct gb_events {
 	char *buffer;
 	size_t len;
 	int fd;
-	uint32_t budget; /**< normal lines a second */
-	uint32_t left;
-	gb_time second; /**< in which the budget counts */
+	uint32_t budget; /**< normal lines per second */
+	uint32_t budget_left;
+	/** Clock second to which the rest of the budget belongs. */
+	gb_time second;
 	uint64_t dropped;
-	uint64_t told;
+	uint64_t dropped_logged;
 	gb_time flushed;
 	const char *node;
-	const gb_time *clock; /**< null: the process's */
+	const gb_time *clock; /**< null: the clocks of the system */
 };
 
 struct gb_events *
@@ -44,7 +47,7 @@
 	(void)loop;
 	if (flags >= 0)
 		fcntl(fd, F_SETFL, flags | O_NONBLOCK);
-	events->buffer = gb_calloc(1, EVENTS_BUFFER);
+	events->buffer = gb_calloc(1, EVENTS_BUFFER_BYTES);
 	events->fd = fd;
 	events->budget = lines_per_s;
 	events->node = node;
@@ -87,25 +90,25 @@
 	return events->dropped;
 }
 
-/** Whether the budget lets a line through. */
+/** Whether the budget allows a line. */
 static bool
 events_admit(struct gb_events *events, enum gb_event_class class, gb_time now)
 {
 	if (now / GB_SEC != events->second) {
 		events->second = now / GB_SEC;
-		events->left = events->budget;
+		events->budget_left = events->budget;
 	}
 	if (class == GB_EVENT_ALWAYS)
 		return true;
-	if (events->left == 0) {
+	if (events->budget_left == 0) {
 		events->dropped++;
 		return false;
 	}
-	events->left--;
+	events->budget_left--;
 	return true;
 }
 
-/** Time of day, by which lines of several instances are put in order. */
+/** Time of day, by which lines of several instances are ordered. */
 static gb_time
 events_wall(const struct gb_events *events)
 {
@@ -118,7 +121,7 @@
 {
 	gb_time now;
 	json_t *line;
-	size_t room;
+	size_t space;
 	size_t n;
 	va_list ap;
 
@@ -137,20 +140,21 @@
 	json_object_set_new(line, "t_ms", json_integer(now / GB_MSEC));
 	json_object_set_new(
 	    line, "at_ms", json_integer(events_wall(events) / GB_MSEC));
-	if (events->dropped > events->told)
+	if (events->dropped > events->dropped_logged)
 		json_object_set_new(line, "dropped",
-		    json_integer((json_int_t)(events->dropped - events->told)));
-	room = EVENTS_BUFFER - events->len;
-	n = json_dumpb(line, events->buffer + events->len, room, JSON_COMPACT);
+		    json_integer((
+			json_int_t)(events->dropped - events->dropped_logged)));
+	space = EVENTS_BUFFER_BYTES - events->len;
+	n = json_dumpb(line, events->buffer + events->len, space, JSON_COMPACT);
 	json_decref(line);
-	if (n + 1 > room) {
+	if (n + 1 > space) {
 		events->dropped++;
 	} else {
-		events->told = events->dropped;
+		events->dropped_logged = events->dropped;
 		events->len += n;
 		events->buffer[events->len++] = '\n';
 	}
-	if (class == GB_EVENT_ALWAYS || events->len >= EVENTS_CHUNK ||
+	if (class == GB_EVENT_ALWAYS || events->len >= EVENTS_FLUSH_BYTES ||
 	    now - events->flushed >= GB_SEC) {
 		events->flushed = now;
 		events_flush(events);
--- a/libgooseberry/pool/feature.c
+++ b/libgooseberry/pool/feature.c
@@ -1,6 +1,6 @@
 /**
  * @file feature.c
- * Mechanisms that can be switched off, to measure what each is worth.
+ * Features that can be disabled by the setting `off`.
  */
 #include <string.h>
 
--- a/libgooseberry/pool/pace.c
+++ b/libgooseberry/pool/pace.c
@@ -1,43 +1,47 @@
 /**
  * @file pace.c
- * What an owner sends while its link fills.
+ * Decides what an owner sends while its link is congested.
  *
- * Load: starts, looks at workers, advice and store calls come to more than the
- * link carries (91 starts a second of 0.9 KB each, over 2 Mbit/s).  Whatever
- * is sent waits behind what was sent before; once renewals of leases and
- * answers wait for seconds, leases lapse and work is done twice.  So what keeps
- * promises (leases, stops, ends, answers) is always sent, and finds a short
- * queue: starts wait while the link is busy for longer than a moment, questions
- * for advice while it is busy at all, and looks at workers are spaced out. What
- * can't be started in time for want of the link is not taken in.
+ * Overload: starts, heartbeats to workers, advice and store calls are more than
+ * the link carries (91 starts a second of 0.9 KB each on 2 Mbit/s).  Everything
+ * sent waits behind what was sent before; once renewals of leases and answers
+ * wait for seconds, leases expire and work is done twice.
+ *
+ * So what guarantees depend on (leases, stops, ends, answers) is always sent,
+ * and finds a short queue: starts and advice calls wait while the link is busy
+ * for longer than a short time, and heartbeats to workers are sent less often.
+ * Flows that the link doesn't allow to start in time are not accepted.
  */
 #include <string.h>
 
 #include "state.h"
 
-/** Starts wait while the link is busy for longer than this: a renewal that is
- * sent behind them still comes well before its lease ends, also behind one gang
- * that is sent whole (0.3 s at 2 Mbit/s). */
-#define PACE_STARTS (40 * GB_MSEC)
-/** The same for questions for advice, which are of use only when the start
- * that follows can be sent. */
-#define PACE_ADVICE (80 * GB_MSEC)
-/** Looks at workers wait while the link is busy for longer than this: a new
- * owner asks all workers at once, and what members ask it meanwhile must be
- * answered well before its silence is suspected (0.9 s). */
-#define PACE_HEARTBEATS_MOST (200 * GB_MSEC)
-/** A look at a worker is put off by this many times as long as the link is
- * busy: ends are told in fewer, longer answers. */
-#define PACE_HEARTBEATS 2
-/** Answers to first looks take the link for this long, each with a connection
- * and a few runs. */
-#define PACE_FIRST_TIME (150 * GB_MSEC)
+/** Starts wait while the link is busy for longer than this: a lease renewal
+ * sent behind them still arrives well before the lease ends, also behind a gang
+ * that is sent as a whole (0.3 s at 2 Mbit/s). */
+#define PACE_STARTS_QUEUED_MAX (40 * GB_MSEC)
+/** The same for advice calls, which are useful only when the start that follows
+ * can be sent. */
+#define PACE_ADVICE_QUEUED_MAX (80 * GB_MSEC)
+/** Heartbeats to workers wait while the link is busy for longer than this: a
+ * new owner asks all workers at once, and must answer members well before they
+ * suspect it (0.9 s without answer). */
+#define PACE_HEARTBEATS_QUEUED_MAX (200 * GB_MSEC)
+/** A heartbeat is delayed by this many times the time for which the link is
+ * busy, so that ends are reported in fewer, longer answers. */
+#define PACE_HEARTBEATS_DELAY_FACTOR 2
+/** Time for which answers to first heartbeats may keep the link busy; and bytes
+ * of each, with a connection and a few runs. */
+#define PACE_FIRST_LINK_TIME (150 * GB_MSEC)
 #define PACE_FIRST_BYTES 700
-/** Bytes of a start beside its specification: names, lease, ticket, headers. */
+/** Bytes of a start order besides its specification: names, lease, ticket,
+ * headers. */
 #define PACE_START_BYTES 520
-/** A link that is used less than this is not what starts wait for. */
-#define PACE_FULL 0.8
-/** Share of the link that starts can have, beside looks and the store. */
+/** Share of the link in use below which waiting starts don't wait for the
+ * link. */
+#define PACE_FULL_SHARE 0.8
+/** Share of the link that is available to starts, besides heartbeats and the
+ * store. */
 #define PACE_STARTS_SHARE 0.5
 
 static struct gb_pool_link
@@ -59,36 +63,37 @@
 bool
 pool_pace_starts(const struct gb_pool *pool)
 {
-	return pace_link(pool).queued <= PACE_STARTS;
+	return pace_link(pool).queued <= PACE_STARTS_QUEUED_MAX;
 }
 
 bool
 pool_pace_advice(const struct gb_pool *pool)
 {
-	return pace_link(pool).queued <= PACE_ADVICE;
+	return pace_link(pool).queued <= PACE_ADVICE_QUEUED_MAX;
 }
 
 bool
 pool_pace_may_send_heartbeat(const struct gb_pool *pool)
 {
-	return pace_link(pool).queued <= PACE_HEARTBEATS_MOST;
+	return pace_link(pool).queued <= PACE_HEARTBEATS_QUEUED_MAX;
 }
 
 uint32_t
 pool_pace_first_heartbeats(const struct gb_pool *pool)
 {
 	uint64_t rate = pool_pace_rate(pool);
-	uint64_t most = rate * PACE_FIRST_TIME / GB_SEC / PACE_FIRST_BYTES;
+	uint64_t count =
+	    rate * PACE_FIRST_LINK_TIME / GB_SEC / PACE_FIRST_BYTES;
 
-	if (rate == 0 || most > UINT32_MAX)
+	if (rate == 0 || count > UINT32_MAX)
 		return UINT32_MAX;
-	return most == 0 ? 1 : (uint32_t)most;
+	return count == 0 ? 1 : (uint32_t)count;
 }
 
 gb_time
 pool_pace_heartbeat_delay(const struct gb_pool *pool, gb_time pause)
 {
-	return pause + PACE_HEARTBEATS * pace_link(pool).queued;
+	return pause + PACE_HEARTBEATS_DELAY_FACTOR * pace_link(pool).queued;
 }
 
 uint64_t
@@ -102,7 +107,7 @@
 {
 	struct gb_pool_link link = pace_link(pool);
 
-	if (link.bytes_per_s == 0 || link.use < PACE_FULL)
+	if (link.bytes_per_s == 0 || link.use < PACE_FULL_SHARE)
 		return 0;
 	return (gb_time)((double)pool->waiting_bytes * GB_SEC /
 			 ((double)link.bytes_per_s * PACE_STARTS_SHARE));
--- a/libgooseberry/pool/quota.c
+++ b/libgooseberry/pool/quota.c
@@ -1,17 +1,17 @@
 /**
  * @file quota.c
- * Quotas of organisations: what one may have running over all workers.
+ * Quotas of organisations: what each may have running on all workers.
  *
- * Load: a large organisation sends several times its usual, so that it stands
- * at its quota while owners are lost and orders go without an answer.  A run
- * counts from its order until it is proved that it is over and can't begin any
- * more: orders without answer, runs that are being stopped, copies, and what
- * ran on a worker that is away, until its lease has lapsed.
+ * Quotas hold also while a large organisation sends several times its usual
+ * load, owners are lost and orders get no answer.  A run counts from its start
+ * order until it has certainly ended and can't begin any more.  This includes
+ * orders without answer, runs being stopped, speculative copies, and runs on an
+ * unreachable worker until its lease has expired.
  *
- * After a takeover nobody knows what runs on workers that have not answered.
- * Whoever it belongs to, it is no more than there is room on them: that counts
- * against every quota until they have answered, or until no lease of an earlier
- * owner lasts.  Most answer within 0.3 s.
+ * After a takeover it is unknown what runs on workers that have not answered.
+ * Whichever organisation it belongs to, it is at most their capacity: that
+ * counts against every quota until they have answered, or until all leases of
+ * earlier owners have expired.  Most workers answer within 0.3 s.
  */
 #include "state.h"
 
@@ -61,27 +61,28 @@
 	org->runs--;
 }
 
-/** How many of so many fit into what is left of one kind of room. */
+/** Number of tasks, at most `wanted`, that fit into the rest of a quota of one
+ * resource. */
 static uint32_t
-kind_fits(int64_t quota, int64_t taken, int64_t each, uint32_t wanted)
+resource_fits(int64_t quota, int64_t taken, int64_t each, uint32_t wanted)
 {
-	int64_t times;
+	int64_t count;
 
 	if (quota == 0 || each <= 0)
 		return wanted;
-	times = (quota - taken) / each;
-	if (quota < taken || times <= 0)
+	count = (quota - taken) / each;
+	if (quota < taken || count <= 0)
 		return 0;
-	return times < (int64_t)wanted ? (uint32_t)times : wanted;
+	return count < (int64_t)wanted ? (uint32_t)count : wanted;
 }
 
 static uint32_t
 quota_fits(const struct gb_pool_amount *quota,
     const struct gb_pool_amount *taken, const gb_res *each, uint32_t wanted)
 {
-	wanted = kind_fits(quota->cpu, taken->cpu, each->cpu, wanted);
-	wanted = kind_fits(quota->mem, taken->mem, each->mem, wanted);
-	return kind_fits(quota->accel, taken->accel, each->accel, wanted);
+	wanted = resource_fits(quota->cpu, taken->cpu, each->cpu, wanted);
+	wanted = resource_fits(quota->mem, taken->mem, each->mem, wanted);
+	return resource_fits(quota->accel, taken->accel, each->accel, wanted);
 }
 
 uint32_t
@@ -106,10 +107,10 @@
 	return quota_fits(quota, &none, each, count) == count;
 }
 
-/** Whether something may run on a worker that this owner does not know of. */
+/** Whether a worker may have runs that this owner doesn't know of. */
 static bool
-worker_doubtful(const struct gb_pool *pool, const struct pool_worker *worker,
-    bool reconciled)
+worker_use_uncertain(const struct gb_pool *pool,
+    const struct pool_worker *worker, bool reconciled)
 {
 	if (worker->over)
 		return false;
@@ -118,24 +119,25 @@
 	return !worker->fenced && !reconciled;
 }
 
-/** A worker that nobody lists any more may be as large as any. */
+/** Largest capacity of any known worker, of each resource: assumed for a worker
+ * that is no longer listed. */
 static struct gb_pool_amount
-worker_most(const struct gb_pool *pool)
+worker_capacity_max(const struct gb_pool *pool)
 {
-	struct gb_pool_amount most = {0};
+	struct gb_pool_amount max = {0};
 	uint32_t i;
 
 	for (i = 0; i < pool->worker_count; i++) {
-		const gb_res *room = &pool->workers[i]->entry.capacity;
-
-		if (room->cpu > most.cpu)
-			most.cpu = room->cpu;
-		if (room->mem > most.mem)
-			most.mem = room->mem;
-		if (room->accel > most.accel)
-			most.accel = room->accel;
+		const gb_res *capacity = &pool->workers[i]->entry.capacity;
+
+		if (capacity->cpu > max.cpu)
+			max.cpu = capacity->cpu;
+		if (capacity->mem > max.mem)
+			max.mem = capacity->mem;
+		if (capacity->accel > max.accel)
+			max.accel = capacity->accel;
 	}
-	return most;
+	return max;
 }
 
 void
@@ -143,20 +145,21 @@
 {
 	static const struct gb_pool_amount none;
 	bool reconciled = pool_owner_reconciled(pool);
-	struct gb_pool_amount most = worker_most(pool);
+	struct gb_pool_amount max = worker_capacity_max(pool);
 	uint32_t i;
 
 	pool->uncertain_use = none;
 	for (i = 0; i < pool->worker_count; i++) {
 		const struct pool_worker *worker = pool->workers[i];
-		struct gb_pool_amount room = amount_of(&worker->entry.capacity);
+		struct gb_pool_amount capacity =
+		    amount_of(&worker->entry.capacity);
 		struct gb_pool_amount used = amount_of(&worker->used);
 
-		if (!worker_doubtful(pool, worker, reconciled))
+		if (!worker_use_uncertain(pool, worker, reconciled))
 			continue;
-		if (room.cpu == 0)
-			room = most;
-		amount_add(&pool->uncertain_use, &room);
+		if (capacity.cpu == 0)
+			capacity = max;
+		amount_add(&pool->uncertain_use, &capacity);
 		amount_sub(&pool->uncertain_use, &used);
 	}
 }
--- a/libgooseberry/pool/rank.c
+++ b/libgooseberry/pool/rank.c
@@ -1,51 +1,53 @@
 /**
  * @file rank.c
- * Order of waiting.
+ * Order in which waiting flows are started.
  *
- * Load: more is asked than can be done for seconds at a time (bursts of 1.6 to
- * 2.2 times on a pool that is 81% to 89% full).  A flow earns in full until
- * its objective, a fifth of it until three times that, then nothing.  So flows
- * that can still meet their objective go first, by the latest time at which
- * they may start; then those that are late but still earn; last those that can
- * earn nothing more.  The last two still end, whenever there is room.
+ * Overload: for seconds at a time more is submitted than can be done (bursts of
+ * 1.6 to 2.2 times the usual load on a pool that is 81% to 89% full).  A flow
+ * earns in full until its objective, a fifth of that until three times the
+ * objective, then nothing.  So flows that can still meet their objective go
+ * first, ordered by the latest time at which they may start; then those that
+ * are late but still earn; last those that can earn nothing any more.  The last
+ * two kinds still run when there is capacity.
  *
- * Load: a burst of gangs of 2 to 120 tasks on a full pool, of which not all can
- * be in time.  What a flow is worth grows by less than its size, and the room
- * of one large gang is that of several small ones, which find it sooner.  So
- * the more gangs wait for room, the further a flow that is larger than others
- * of its queue goes behind them, and a smaller one before them.
+ * Many waiting gangs: a burst of gangs of 2 to 120 tasks reaches a full pool,
+ * and not all of them can be in time.  The value of a flow grows by less than
+ * its size, and the capacity for one large gang is enough for several small
+ * ones, which find it sooner.  So the more gangs wait for capacity, the further
+ * a flow that is larger than others of its queue goes behind them, and the
+ * further a smaller one goes before them.
  *
- * Load: an organisation sends several times its usual on a full pool.  What is
- * beyond its weight goes behind all of others that still earns.
+ * Organisations: one sends several times its usual load to a full pool.  Its
+ * flows beyond its weight go behind all flows of others that still earn.
  *
- * Load: small gangs keep five eighths of the pool busy, and one comes that
- * needs two thirds of it.  Such a gang starts only in room that is kept for it,
- * and the small ones that this holds up must not be taken for a crowd: it keeps
- * its place by time.
+ * One very large gang: small gangs keep five eighths of the pool busy, and a
+ * gang arrives that needs two thirds of it.  It can start only on capacity that
+ * is reserved for it.  The small gangs that this delays don't count as many
+ * waiting gangs for it: its place depends on time alone.
  */
 #include <string.h>
 
 #include "state.h"
 
-/** A late flow earns something until this many times its objective.  From
- * the users' rules. */
+/** A late flow earns something until this many times its objective, by the
+ * users' rules. */
 #define RANK_LATE_FACTOR 3
-/** Stretch of a queue that is no longer configured. */
+/** Factor of the objective for a queue that is no longer configured. */
 #define RANK_STRETCH_DEFAULT 2.0
-/** Averages of a queue move slowly; chains are worked out anew after this, or
- * when something of the flow has changed. */
-#define RANK_AGE (300 * GB_MSEC)
+/** Chains are computed anew after this time, or when the flow has changed.  The
+ * averages of a queue change slowly. */
+#define RANK_CHAIN_AGE_MAX (300 * GB_MSEC)
 
 /** Share of its spare time by which a flow that is twice as large as others of
- * its queue goes behind them, when gangs that wait ask for this share of the
- * pool and more; and how many times as large one counts at the most. */
+ * its queue goes behind them, when the waiting gangs need RANK_CROWDED_SHARE of
+ * the pool or more; and the largest relative size that counts. */
 #define RANK_SIZE_SHARE 0.5
-#define RANK_CROWDED 0.5
-#define RANK_SIZE_MOST 3.0
-/** Share of the pool that others leave free by chance, at most.  A gang that
- * needs more never starts unless room is kept for it. */
-#define RANK_BY_CHANCE 0.25
-/** Weight of the newest flow in the size of its queue's. */
+#define RANK_CROWDED_SHARE 0.5
+#define RANK_SIZE_MAX 3.0
+/** Largest share of the pool that is free at times without a reservation.  A
+ * gang that needs more never starts unless capacity is reserved for it. */
+#define RANK_FREE_SHARE_MAX 0.25
+/** Weight of the newest flow in the mean flow size of its queue. */
 #define RANK_SIZE_WEIGHT 0.02
 
 enum rank_tier { RANK_ON_TIME, RANK_LATE, RANK_OVER_SHARE, RANK_TOO_LATE };
@@ -65,9 +67,9 @@
 	return stat;
 }
 
-/** Processors that a flow asks for in all, in thousandths. */
+/** Processors that all steps of a flow need, in thousandths. */
 static double
-rank_cores(const struct pool_flow *flow)
+rank_flow_cores(const struct pool_flow *flow)
 {
 	double cores = 0;
 	uint32_t i;
@@ -82,7 +84,7 @@
 pool_rank_learn(struct gb_pool *pool, const struct pool_flow *flow)
 {
 	struct pool_queue_stat *stat = pool_rank_queue(pool, flow->spec.queue);
-	double cores = rank_cores(flow);
+	double cores = rank_flow_cores(flow);
 
 	if (stat->cores <= 0)
 		stat->cores = cores;
@@ -90,7 +92,7 @@
 		stat->cores += RANK_SIZE_WEIGHT * (cores - stat->cores);
 }
 
-/** Processors of the steps of a flow that wait for room as a gang. */
+/** Processors that the waiting gangs of a flow need, in thousandths. */
 double
 pool_rank_gangs_wait(const struct gb_pool *pool, const struct pool_flow *flow)
 {
@@ -107,10 +109,10 @@
 	return cores;
 }
 
-/** How far a flow goes behind others of its queue for its size, when it has so
- * much time to spare in all. */
+/** Time by which a flow goes behind others of its queue because of its size;
+ * negative for a small one.  `spare` is the time it has to spare in all. */
 static gb_time
-rank_yields(
+rank_size_delay(
     const struct gb_pool *pool, const struct pool_flow *flow, gb_time spare)
 {
 	double own = pool_rank_gangs_wait(pool, flow);
@@ -122,20 +124,20 @@
 	HASH_FIND_STR(pool->queues, flow->spec.queue, stat);
 	if (!POOL_USES(pool, GB_FEATURE_SIZE_ORDER) || stat == NULL ||
 	    stat->cores <= 0 || pool->capacity <= 0 || others <= 0 ||
-	    own > RANK_BY_CHANCE * pool->capacity)
+	    own > RANK_FREE_SHARE_MAX * pool->capacity)
 		return 0;
-	crowded = others / (RANK_CROWDED * pool->capacity);
+	crowded = others / (RANK_CROWDED_SHARE * pool->capacity);
 	if (crowded > 1)
 		crowded = 1;
-	size = rank_cores(flow) / stat->cores;
-	if (size > RANK_SIZE_MOST)
-		size = RANK_SIZE_MOST;
+	size = rank_flow_cores(flow) / stat->cores;
+	if (size > RANK_SIZE_MAX)
+		size = RANK_SIZE_MAX;
 	return (
 	    gb_time)(RANK_SIZE_SHARE * crowded * (size - 1) * (double)spare);
 }
 
-/** Declared run times are off by up to 90%, so that the queue's own average
- * counts as much as what the caller declared. */
+/** Expected run time of a task.  Declared run times are off by up to 90%, so
+ * the queue's own average has the same weight as the declared one. */
 gb_time
 pool_rank_estimate(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step)
@@ -151,10 +153,12 @@
 	return (gb_time)((stat->run_us + (double)declared * stat->ratio) / 2);
 }
 
-/** Longest chain of work behind a step, with the step itself. */
+/** Expected time of the longest chain of steps of a flow; with
+ * `unfinished_only`, of steps that are not done.  Fills in for each step the
+ * chain that ends with it. */
 static gb_time
 rank_chain(const struct gb_pool *pool, const struct pool_flow *flow,
-    gb_time *chains, bool left_only)
+    gb_time *chains, bool unfinished_only)
 {
 	gb_time longest = 0;
 	uint32_t i;
@@ -162,20 +166,20 @@
 
 	for (i = 0; i < flow->step_count; i++) {
 		const struct pool_step *step = &flow->steps[i];
-		gb_time before = 0;
+		gb_time previous = 0;
 
 		for (j = 0; j < step->spec->after.after_len; j++) {
 			uint32_t k = step->spec->after.after_val[j];
 
-			if (k < i && chains[k] > before)
-				before = chains[k];
+			if (k < i && chains[k] > previous)
+				previous = chains[k];
 		}
-		chains[i] = before;
-		if (!left_only || step->done < step->spec->count)
+		chains[i] = previous;
+		if (!unfinished_only || step->done < step->spec->count)
 			chains[i] += pool_rank_estimate(pool, flow, step);
-		/* The objective grows by runs that failed by their own fault.
-		 */
-		if (!left_only)
+		/* The objective grows by the time of runs that failed by their
+		 * own error. */
+		if (!unfinished_only)
 			chains[i] += step->failed_took;
 		if (chains[i] > longest)
 			longest = chains[i];
@@ -197,7 +201,7 @@
 	flow->chain = rank_chain(pool, flow, chains, true);
 	flow->due = flow->submitted + objective;
 	flow->late_due = flow->submitted + RANK_LATE_FACTOR * objective;
-	flow->yields = rank_yields(pool, flow, objective - flow->chain);
+	flow->yields = rank_size_delay(pool, flow, objective - flow->chain);
 	flow->ranked = flow->change;
 	flow->ranked_at = pool->now;
 }
@@ -206,7 +210,7 @@
 pool_rank_flow(struct gb_pool *pool, struct pool_flow *flow)
 {
 	if (flow->ranked != flow->change ||
-	    pool->now - flow->ranked_at > RANK_AGE)
+	    pool->now - flow->ranked_at > RANK_CHAIN_AGE_MAX)
 		rank_chains(pool, flow);
 	flow->remaining = flow->chain + flow->wait;
 	flow->start_by = flow->due - flow->remaining + flow->yields;
--- a/libgooseberry/pool/share.c
+++ b/libgooseberry/pool/share.c
@@ -1,31 +1,32 @@
 /**
  * @file share.c
- * Shares of organisations when all is full.
+ * Shares of organisations when the pool is full.
  *
- * Load: one organisation sends four to five times its usual, so that the pool
- * is asked for more than it has for 8 s at a time.  An organisation's weight is
- * what it may send a second; what it sends beyond that waits behind what others
- * sent within theirs, and uses only room that they leave.
+ * Overload: one organisation sends four to five times its usual load, so that
+ * for 8 s at a time more is submitted than the pool can run.  An organisation's
+ * weight is the number of submissions it may send per second.  What it sends
+ * beyond that waits behind what others sent within their weight, and uses only
+ * capacity that they leave.
  */
 #include "org.h"
 
-/** A pause of an organisation saves up its share for so long: callers come in
- * bunches. */
-#define SHARE_SAVED GB_SEC
+/** Maximum time for which an organisation accumulates its unused share: callers
+ * send in bursts. */
+#define SHARE_ACCUMULATE_MAX GB_SEC
 
 bool
 pool_share_take(struct pool_org *org, gb_time now)
 {
-	double most;
+	double limit;
 
 	if (org == NULL || org->weight == 0)
 		return false;
-	most = (double)org->weight * SHARE_SAVED / GB_SEC;
+	limit = (double)org->weight * SHARE_ACCUMULATE_MAX / GB_SEC;
 	org->share_left +=
 	    (double)(now - org->share_at) / GB_SEC * (double)org->weight;
 	org->share_at = now;
-	if (org->share_left > most)
-		org->share_left = most;
+	if (org->share_left > limit)
+		org->share_left = limit;
 	if (org->share_left < 1)
 		return true;
 	org->share_left--;
