--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -1,7 +1,7 @@
 /*
  * Messages between the processes of gooseberrycart and its stand-ins, and the
- * records of a shard's log.  Times are microseconds.  The C code made from
- * this file by rpcgen is committed beside it.
+ * records of a shard's log.  Times are in microseconds.  The C code that rpcgen
+ * generates from this file is committed beside it.
  */
 
 const GB_NAME_MAX = 63;
@@ -14,9 +14,9 @@
 typedef opaque gb_body<GB_BODY_MAX>;
 
 enum gb_verdict {
-	GB_NOT_RUN = 0,		/* certainly not run, may go elsewhere */
+	GB_NOT_RUN = 0,		/* certainly not run, may be tried elsewhere */
 	GB_MAYBE_RUN = 1,	/* may have run */
-	GB_RUN = 2		/* ran, the answer is here */
+	GB_RUN = 2		/* has run, the answer is included */
 };
 
 struct gb_res {
@@ -31,7 +31,7 @@
 
 enum gb_store_status {
 	GB_STORE_OK = 0,
-	GB_STORE_CONFLICT = 1,	/* a condition did not hold, nothing written */
+	GB_STORE_CONFLICT = 1,	/* a condition failed, nothing was written */
 	GB_STORE_REFUSED = 2,	/* not done */
 	GB_STORE_UNKNOWN = 3	/* may have been done */
 };
@@ -60,12 +60,12 @@
 
 struct gb_txn_res {
 	gb_store_status status;
-	uint64_t vers;	/* of every row this transaction put */
+	uint64_t vers;	/* of every row that this transaction wrote */
 };
 
 struct gb_scan {
 	gb_key prefix;
-	gb_key after;		/* rows with a key greater than this */
+	gb_key after;		/* only rows with a greater key */
 	uint32_t limit;
 };
 
@@ -88,7 +88,7 @@
 	gb_name addr;		/* IP:port */
 	gb_name dc;
 	gb_name rack;
-	gb_name pool;		/* which services it may serve */
+	gb_name pool;		/* of workers; decides which services it may run */
 	gb_res capacity;
 	gb_instance_state state;
 };
@@ -110,7 +110,7 @@
 	gb_name team;
 	gb_name service;
 	gb_res res;
-	int64_t run_us;		/* declared run time, 0: until stopped */
+	int64_t run_us;		/* declared run time, 0: until it is stopped */
 	uint64_t vers;		/* of the document */
 };
 
@@ -118,39 +118,39 @@
 	GB_HELD_RUNNING = 0,
 	GB_HELD_OK = 1,
 	GB_HELD_FAILED = 2,
-	GB_HELD_STOPPED = 3,	/* by a stop message or a lapsed lease */
+	GB_HELD_STOPPED = 3,	/* by a stop message or an expired lease */
 	GB_HELD_REFUSED = 4	/* was never started */
 };
 
 struct gb_held {
 	gb_task_id id;
 	gb_held_state state;
-	uint64_t vers;		/* of the document it was started with */
+	uint64_t vers;		/* of the document that it was started with */
 	gb_res res;		/* declared */
-	gb_res used;		/* observed, with a lag */
+	gb_res used;		/* observed, with a delay */
 };
 
 struct gb_sync {
 	uint32_t shard;
 	uint64_t owner;	/* incarnation of the sender */
 	uint64_t epoch;
-	uint64_t seq;	/* grows by one with every sync of an epoch */
-	uint64_t incarnation; /* of the worker, 0 in a first sync */
-	int64_t anchor;		/* worker clock of the report this builds on */
-	int64_t lease_us;		/* the lease ends at anchor + lease_us */
+	uint64_t seq;	/* grows by one with each sync of an epoch */
+	uint64_t incarnation; /* of the worker, 0 in the first sync */
+	int64_t anchor;	/* worker's clock in the report that this is based on */
+	int64_t lease_us;	/* the lease ends at anchor + lease_us */
 	gb_start starts<>;
 	gb_task_id stops<>;
-	gb_task_id acks<>;	/* ended tasks the worker may forget */
+	gb_task_id acks<>;	/* ended tasks that the worker may drop */
 };
 
 struct gb_sync_res {
-	bool refused;		/* a newer epoch, sequence or incarnation */
+	bool refused;	/* the worker knows a newer epoch, seq or incarnation */
 	uint64_t epoch;
 	uint64_t incarnation;
-	uint64_t seq;	/* last sync carried out */
-	int64_t clock;		/* of the worker, counting suspended time */
-	uint32_t requests;	/* requests in hand from other owners */
-	uint64_t own<>;		/* requests in hand from this owner */
+	uint64_t seq;	/* of the last sync that was carried out */
+	int64_t clock;		/* of the worker, counts suspended time */
+	uint32_t requests; /* number of requests in flight from other owners */
+	uint64_t own<>;	/* ids of the requests in flight from this owner */
 	gb_held held<>;
 };
 
@@ -191,8 +191,8 @@
 	gb_name addr;
 	gb_name dc;
 	bool leaving;
-	bool informed;		/* has read the store since it started */
-	uint64_t seen;		/* version of the head row it has read */
+	bool informed;		/* has read the store since its start */
+	uint64_t seen;	/* version of the newest head row that it has read */
 	uint64_t config;	/* last configuration change applied */
 	gb_claim claims<>;
 };
@@ -218,7 +218,7 @@
 struct gb_answer {
 	gb_verdict verdict;
 	uint32_t status;
-	uint32_t retry_after_ms;	/* 0: no advice */
+	uint32_t retry_after_ms;	/* 0: not given */
 	uint64_t vers;		/* of a document, or 0 */
 	gb_key reason;
 	gb_body body;
@@ -247,7 +247,7 @@
 	gb_name team;
 	gb_name name;		/* service, job or worker */
 	gb_name author;
-	uint64_t vers;	/* expected (0: must be new), or wanted */
+	uint64_t vers; /* expected version (0: must be new), or requested one */
 	int64_t remaining_us;
 	gb_body body;
 };
@@ -272,25 +272,25 @@
 	gb_name pool;
 	uint32_t spread;	/* gb_spread */
 	uint64_t vers;		/* of the document it was submitted under */
-	uint64_t parent;	/* job whose tasks these are, 0: none */
+	uint64_t parent;	/* job that lent these tasks, 0: none */
 	uint32_t parent_shard;
 };
 
-/* Tasks that a job's home shard lends to another */
+/* Tasks that the home shard of a job lends to another shard */
 
 struct gb_loan {
 	uint64_t job;
-	uint64_t child;		/* the job that holds them in the other shard */
-	uint32_t shard;		/* that shard */
+	uint64_t child;		/* job that has them in the other shard */
+	uint32_t shard;		/* the other shard */
 	uint32_t tasks<>;	/* indexes of the tasks */
 };
 
 enum gb_lend_kind {
-	GB_LEND_OFFER = 1,	/* home: take these tasks */
-	GB_LEND_TAKEN = 2,	/* other: they are in the log */
-	GB_LEND_RESULT = 3,	/* other: they have ended */
-	GB_LEND_SETTLED = 4,	/* home: that is in the log */
-	GB_LEND_CANCEL = 5	/* home: stop them */
+	GB_LEND_OFFER = 1,	/* from the home shard: offers tasks */
+	GB_LEND_TAKEN = 2,	/* from the other shard: they are in its log */
+	GB_LEND_RESULT = 3,	/* from the other shard: they have ended */
+	GB_LEND_SETTLED = 4, /* from the home shard: the result is in its log */
+	GB_LEND_CANCEL = 5	/* from the home shard: stop them */
 };
 
 struct gb_lend {
@@ -351,13 +351,13 @@
 };
 
 struct gb_shard_row {
-	uint64_t owner;	/* incarnation, 0: nobody */
+	uint64_t owner;	/* incarnation, 0: no owner */
 	gb_name member;
 	uint64_t epoch;
 };
 
 struct gb_snapshot_row {
-	uint64_t seq;		/* last log sequence the snapshot covers */
+	uint64_t seq;	/* last sequence number of the log in the snapshot */
 };
 
 struct gb_member_row {
@@ -370,7 +370,7 @@
 struct gb_view_row {
 	uint64_t number;
 	gb_member_row members<4096>;
-	gb_name previous<4096>;	/* names of the view before */
+	gb_name previous<4096>;	/* names of the members of the previous view */
 };
 
 enum gb_change_kind {
@@ -387,13 +387,14 @@
 	uint64_t vers;
 	gb_name author;
 	int64_t at_us;		/* wall clock */
-	uint64_t nonce;	/* tells a lost answer's own write */
+	/* recognises a writer's own change when the answer was lost */
+	uint64_t nonce;
 	gb_body body;		/* JSON text of a document */
 };
 
 struct gb_config_row {
-	uint64_t seq;		/* last change that is covered */
-	uint64_t vers;		/* of that change's row */
+	uint64_t seq;		/* last change that is included */
+	uint64_t vers;		/* version of the row of that change */
 	gb_change changes<GB_LIST_MAX>;
 };
 
@@ -406,8 +407,9 @@
 };
 
 /*
- * Flows: jobs of dependent steps, which one owner of the pool schedules.  The
- * records are kept in the platform's tables; the messages go between nodes.
+ * Flows: jobs of dependent steps, which the owner of the pool schedules.  The
+ * records are stored in the platform's tables; the messages are sent between
+ * nodes.
  */
 
 const GB_SPEC_MAX = 16384;
@@ -416,19 +418,19 @@
 const GB_ATTEMPTS_MAX = 64;
 
 /* Flags of a step */
-const GB_STEP_GANG = 1;		/* tasks run only together */
+const GB_STEP_GANG = 1;		/* the tasks run only together */
 const GB_STEP_SAME_RACK = 2;
 const GB_STEP_CHECKPOINT = 4;
-const GB_STEP_SPECULATIVE = 8;	/* copies may run side by side */
+const GB_STEP_SPECULATIVE = 8;	/* a task may have two runs at once */
 
 struct gb_step {
 	uint32_t count;
 	gb_res res;		/* of one task */
-	int64_t estimate_us;	/* declared run time, often far off */
+	int64_t estimate_us;	/* declared run time, often wrong by far */
 	uint32_t flags;
-	uint32_t per_worker;	/* most tasks on one worker, 0: no limit */
-	gb_name label;		/* a worker must have it, empty: any */
-	gb_name rack;		/* where the data is, empty: anywhere */
+	uint32_t per_worker;	/* maximum tasks on one worker, 0: no limit */
+	gb_name label;		/* that a worker must have, empty: any */
+	gb_name rack;		/* rack with the data, empty: any */
 	uint32_t after<GB_STEPS_MAX>;
 };
 
@@ -437,18 +439,19 @@
 	gb_name id;
 	gb_name queue;
 	gb_name service;
-	uint32_t max_attempts;	/* of a task, when it was submitted */
-	int64_t submitted_us;	/* wall clock of the node that took it */
+	/* of a task, by the configuration at the submission */
+	uint32_t max_attempts;
+	int64_t submitted_us;	/* wall clock of the node that accepted it */
 	string spec<GB_SPEC_MAX>;
 	gb_step steps<GB_STEPS_MAX>;
 	gb_name org;		/* organisation it belongs to, empty: none */
-	bool over_share;	/* beyond what that may send, as it came */
+	bool over_share; /* beyond the share of org when it was accepted */
 };
 
-/* A flow as it is stored.  Programs that know no more read the flow alone. */
+/* A flow as it is stored.  Older programs read only the first field. */
 struct gb_flow_row {
 	gb_flow flow;
-	uint64_t config;	/* its caller was judged by it, 0: unknown */
+	uint64_t config; /* version that authorised its caller, 0: unknown */
 };
 
 enum gb_flow_status {
@@ -457,93 +460,97 @@
 	GB_FLOW_SUCCEEDED = 2,
 	GB_FLOW_FAILED = 3,
 	GB_FLOW_CANCELLED = 4,
-	GB_FLOW_UNKNOWN = 5	/* nobody submitted it */
+	GB_FLOW_UNKNOWN = 5	/* never submitted */
 };
 
-/* A task with more to tell than whether it is done.  What holds for a gang as
- * a whole stands under its first task. */
+/* A task with more state than whether it is done.  The state of a gang as a
+ * whole is stored under its first task. */
 struct gb_task_state {
 	uint32_t step;
 	uint32_t index;
-	uint64_t failed_runs<GB_ATTEMPTS_MAX>;	/* ends come in any order */
+	/* numbers of failed runs; ends come in any order */
+	uint64_t failed_runs<GB_ATTEMPTS_MAX>;
 	gb_name checkpoint;
 };
 
 const GB_UNREACHABLE_MAX = 8;
 
-/* A worker that fell silent with a task. */
+/* A worker that became unreachable while it had a task. */
 struct gb_unreachable_worker {
 	gb_name worker;
-	bool begun;		/* it had said that it runs the task */
-	bool early;		/* after that */
-	bool sole_suspect;		/* and no other flow's start was as new */
-	bool lapsed;		/* the lease was over before it was heard of */
+	bool begun;		/* it had reported that it runs the task */
+	bool early;		/* lost soon after that */
+	bool sole_suspect; /* and no other flow had a start as recent there */
+	bool lapsed;		/* the lease expired before it answered again */
 };
 
-/* A task under which workers have crashed, or may have. */
+/* A task under which workers have crashed or may have crashed. */
 struct gb_task_crashes {
 	uint32_t step;
 	uint32_t index;
-	uint32_t workers;	/* that crashed under it */
-	uint32_t confirmed;		/* of these, surely while they ran it */
-	uint32_t early;		/* soon after they had begun it */
-	uint32_t attributed;	/* of these, surely while they ran it */
-	bool sole_suspect;		/* once no other flow's start was as new */
+	uint32_t workers;	/* number of workers that crashed under it */
+	uint32_t confirmed; /* of workers, those that certainly ran it then */
+	/* of workers, those that crashed soon after they had started it */
+	uint32_t early;
+	uint32_t attributed;	/* of early, those that certainly ran it then */
+	bool sole_suspect; /* once no other flow had a start as recent there */
 	gb_unreachable_worker unreachable<GB_UNREACHABLE_MAX>;
 };
 
-/* What has become of a flow.  Rows of older programs end before `crashes`,
- * before `org` or before `worker_incarnations`. */
+/* State of a flow.  Rows of older programs end before `crashes`, before `org`
+ * or before `worker_incarnations`. */
 struct gb_flow_state {
 	gb_flow_status status;
 	bool cancelled;
-	bool owned;		/* an owner took it in: tasks may have begun */
-	gb_body done<GB_STEPS_MAX>;	/* a bit for each task of a step */
+	bool owned;	/* an owner works on it: tasks may have been started */
+	gb_body done<GB_STEPS_MAX>;	/* for each step: a bit for each task */
 	gb_task_state tasks<GB_TASKS_MAX>;
 	gb_task_crashes crashes<GB_TASKS_MAX>;
 	gb_name org;		/* organisation it belongs to, empty: none */
-	int64_t worker_incarnations<>;	/* of the workers that are away, in their order */
+	/* of the unreachable workers, in their order */
+	int64_t worker_incarnations<>;
 };
 
-/* Who owns the pool.  One copy in each part, so that every transaction of a
- * part can be bound to it. */
+/* Owner of the pool.  One copy in each partition, so that every transaction of
+ * the partition can have the row's version as a condition. */
 struct gb_owner_row {
 	uint64_t epoch;
 	gb_name name;
-	gb_name addr;		/* of its peer port, empty: nobody owns it */
+	gb_name addr;		/* of its peer port, empty: no owner */
 	uint64_t incarnation;
 	uint64_t serial;	/* grows with each write of the row */
 };
 
-/* Workers that may run something: a start is sent only to those in the stored
- * set, so that a successor knows whom to ask. */
+/* A worker that may have runs.  Starts are sent only to workers in the stored
+ * set, so that a successor knows which workers to ask. */
 struct gb_worker_ref {
 	gb_name id;
 	gb_name addr;
 };
 
-/* Rows of older programs end before `lives`. */
+/* Rows of older programs end before `incarnations`. */
 struct gb_worker_set {
 	gb_worker_ref list<GB_LIST_MAX>;
-	int64_t incarnations<GB_LIST_MAX>;	/* that answered last, 0: unknown */
+	int64_t incarnations<GB_LIST_MAX>; /* that answered last, 0: unknown */
 };
 
-const GB_KEY_DIGEST = 32;	/* bytes of an API key's SHA-256 digest */
+const GB_KEY_DIGEST = 32;	/* bytes of the SHA-256 digest of an API key */
 
 enum gb_flow_verdict {
 	GB_FLOW_ACCEPTED = 0,
 	GB_FLOW_REFUSED = 1,	/* never runs */
 	GB_FLOW_MAYBE = 2,	/* may have been accepted */
 	GB_FLOW_NOT_OWNER = 3,	/* ask another node; nothing was done */
-	GB_FLOW_BEHIND = 4,	/* has an older configuration */
-	GB_FLOW_CANT_STORE = 5,	/* not taken: the store refuses this owner */
-	GB_FLOW_DENIED = 6	/* the caller's key is not known; never runs */
+	GB_FLOW_BEHIND = 4, /* the answering node has an older configuration */
+	GB_FLOW_CANT_STORE = 5,	/* not accepted: the store refuses this owner */
+	GB_FLOW_DENIED = 6	/* unknown key of the caller; never runs */
 };
 
-/* Who calls, as the node that took the call found by its configuration. */
+/* The caller, as identified by the node that received the call, by its
+ * configuration. */
 struct gb_flow_caller {
 	uint64_t config;	/* version of that configuration */
-	gb_name org;		/* empty: the queue asks for no key */
+	gb_name org;		/* empty: the queue needs no key */
 	opaque key<GB_KEY_DIGEST>;	/* digest of the key, empty: none */
 };
 
@@ -560,7 +567,7 @@
 
 struct gb_flow_ask {
 	gb_flow_op op;
-	gb_name id;		/* of the flow, or name of the queue */
+	gb_name id;	/* of the flow, or name of the queue (pending) */
 	gb_flow_caller caller;
 };
 
@@ -571,52 +578,57 @@
 	int64_t retry_after_us;
 };
 
-/* A node tells the owner that it lives; the answer tells what the node needs
- * to know. */
+/* Heartbeat of a node to the owner; the answer has the owner status and what
+ * the node needs to know. */
 struct gb_hello {
 	gb_name name;
 	gb_name addr;
 	gb_name dc;
 	uint64_t incarnation;
-	uint64_t epoch;		/* newest that it has seen */
+	uint64_t epoch;		/* newest one that it knows */
 	uint64_t config;
 	uint32_t cpu_milli;
 	int64_t up_us;		/* age of its process */
 	bool leaving;
-	uint64_t members_known;	/* version of the list of members it has */
+	uint64_t members_known;	/* version of the list of members that it has */
 };
 
 struct gb_hello_res {
-	bool owner;		/* answers as the owner */
-	bool acquiring;		/* has claimed the pool and is loading it */
-	bool vacating;		/* the owner stops: take over at once */
+	bool owner;		/* the answering node is the owner */
+	bool acquiring;	/* has claimed the pool and is loading the tables */
+	bool vacating;		/* the owner is stopping: take over at once */
 	uint64_t epoch;
-	gb_name owner_addr;	/* as far as known */
-	int64_t owner_heard_us;	/* since the owner last answered this node */
-	int64_t store_silent_us;	/* since the owner's last store answer */
-	bool store_unavailable;		/* most parts do not take the owner's writes */
-	uint32_t largest_milli;	/* processor of the largest live member */
+	gb_name owner_addr;	/* empty if unknown */
+	/* time since the owner last answered this node */
+	int64_t owner_heard_us;
+	/* time since the store last answered the owner */
+	int64_t store_silent_us;
+	/* most partitions don't accept the owner's writes */
+	bool store_unavailable;
+	uint32_t largest_milli;	/* processor share of the largest live member */
 	uint64_t members_vers;	/* version of the list of members */
-	gb_name members<4096>;	/* empty when the caller has that version */
-	uint32_t rank;		/* the caller's, in the order of succession */
-	uint32_t ranked;	/* members that have a rank */
+	gb_name members<4096>;	/* empty if the caller has that version */
+	uint32_t rank;		/* of the caller, in the order of succession */
+	uint32_t ranked;	/* number of members that have a rank */
 	uint64_t config;
-	gb_body config_text;	/* empty unless the caller's is older */
-	uint32_t shed;		/* percent of new flows to turn away, of the
-				 * owner; older programs end before it */
+	/* empty unless the caller's configuration is older */
+	gb_body config_text;
+	/* percentage of new flows to reject, set by the owner; older
+	 * programs end before it */
+	uint32_t shed;
 };
 
-/* The owner asks a member to take the pool over from it. */
+/* Request of the owner to a member to take over the pool. */
 struct gb_succeed {
-	gb_name owner;		/* address of the owner that asks */
+	gb_name owner;		/* address of the owner */
 	uint64_t epoch;		/* of that owner */
 };
 
 struct gb_succeed_res {
-	bool begun;		/* it has begun to take the pool over */
+	bool begun;		/* the member has begun to take over the pool */
 };
 
-/* A member sends the owner a configuration that is newer than the owner's. */
+/* Sent by a member to the owner when the member's configuration is newer. */
 struct gb_config_news {
 	gb_body text;
 };
@@ -637,8 +649,8 @@
 
 enum gb_advice_status {
 	GB_ADVICE_OK = 0,
-	GB_ADVICE_BUSY = 1,	/* refused, ask again later */
-	GB_ADVICE_LOST = 2	/* no answer came */
+	GB_ADVICE_BUSY = 1,	/* refused, retry later */
+	GB_ADVICE_LOST = 2	/* no answer */
 };
 
 struct gb_advice_res {
--- a/libgooseberry/pool/feature.c
+++ b/libgooseberry/pool/feature.c
@@ -1,6 +1,7 @@
 /**
  * @file feature.c
- * Features that can be disabled by the setting `off`.
+ * Features that can be disabled by the setting `off`, to measure the effect of
+ * each.
  */
 #include <string.h>
 
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -67,12 +67,12 @@
 
 /** Whether a reported run or end names a known task. */
 static bool
-reported_task_known(
-    const struct pool_flow *flow, const struct gb_pool_run_report *reported)
+run_report_known(
+    const struct pool_flow *flow, const struct gb_pool_run_report *run_report)
 {
-	return flow != NULL && !flow->closed && reported->occurrence == 0 &&
-	       reported->step < flow->step_count &&
-	       reported->index < flow->steps[reported->step].spec->count;
+	return flow != NULL && !flow->closed && run_report->occurrence == 0 &&
+	       run_report->step < flow->step_count &&
+	       run_report->index < flow->steps[run_report->step].spec->count;
 }
 
 static void
@@ -98,25 +98,26 @@
  * kept, so that it isn't acknowledged before the flow is loaded. */
 static void
 end_apply(struct gb_pool *pool, struct pool_worker *worker,
-    struct pool_end *end, const struct gb_pool_run_report *reported)
+    struct pool_end *end, const struct gb_pool_run_report *run_report)
 {
 	struct pool_flow *flow;
 
-	if (!pool_partition_attached(pool, gb_pool_partition(reported->flow))) {
+	if (!pool_partition_attached(
+		pool, gb_pool_partition(run_report->flow))) {
 		end->held = gb_calloc(1, sizeof(*end->held));
-		*end->held = *reported;
+		*end->held = *run_report;
 		return;
 	}
-	flow = pool_flow_find(pool, reported->flow);
-	stats_count_end(pool, reported->outcome);
+	flow = pool_flow_find(pool, run_report->flow);
+	stats_count_end(pool, run_report->outcome);
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "run_end",
-	    "{s:s, s:I, s:I, s:I, s:s, s:s, s:b}", "flow", reported->flow,
-	    "step", (json_int_t)reported->step, "index",
-	    (json_int_t)reported->index, "run", (json_int_t)reported->run,
-	    "worker", worker->entry.id, "how", outcome_name(reported->outcome),
-	    "known", flow != NULL);
-	if (reported_task_known(flow, reported))
-		pool_flow_ended(pool, flow, reported, worker);
+	    "{s:s, s:I, s:I, s:I, s:s, s:s, s:b}", "flow", run_report->flow,
+	    "step", (json_int_t)run_report->step, "index",
+	    (json_int_t)run_report->index, "run", (json_int_t)run_report->run,
+	    "worker", worker->entry.id, "how",
+	    outcome_name(run_report->outcome), "known", flow != NULL);
+	if (run_report_known(flow, run_report))
+		pool_flow_ended(pool, flow, run_report, worker);
 	end_set_flow(end, flow);
 }
 
@@ -128,33 +129,33 @@
 	size_t i;
 
 	for (i = 0; i < report->ended_count; i++) {
-		const struct gb_pool_run_report *reported = &report->ended[i];
+		const struct gb_pool_run_report *run_report = &report->ended[i];
 
-		if (reported->number <= worker->seen)
+		if (run_report->number <= worker->seen)
 			continue;
-		worker->seen = reported->number;
-		end_apply(
-		    pool, worker, end_add(worker, reported->number), reported);
+		worker->seen = run_report->number;
+		end_apply(pool, worker, end_add(worker, run_report->number),
+		    run_report);
 	}
 }
 
 void
 pool_report_partition_attached(struct gb_pool *pool, uint32_t partition)
 {
-	struct gb_pool_run_report *reported;
+	struct gb_pool_run_report *run_report;
 	struct pool_end *end;
 	uint32_t i;
 
 	for (i = 0; i < pool->worker_count; i++) {
 		STAILQ_FOREACH(end, &pool->workers[i]->ends, next)
 		{
-			reported = end->held;
-			if (reported == NULL ||
-			    gb_pool_partition(reported->flow) != partition)
+			run_report = end->held;
+			if (run_report == NULL ||
+			    gb_pool_partition(run_report->flow) != partition)
 				continue;
 			end->held = NULL;
-			end_apply(pool, pool->workers[i], end, reported);
-			free(reported);
+			end_apply(pool, pool->workers[i], end, run_report);
+			free(run_report);
 		}
 	}
 }
@@ -162,7 +163,7 @@
 /** Stops a reported run that this owner doesn't know or need. */
 static void
 stray_run_stop(struct gb_pool *pool, const struct pool_worker *worker,
-    const struct gb_pool_run_report *reported)
+    const struct gb_pool_run_report *run_report)
 {
 	struct pool_call *call = pool_call_new(pool, POOL_CALL_RUN_STOP);
 	struct gb_pool_order order = {0};
@@ -170,30 +171,31 @@
 	call->worker = worker->handle;
 	order.worker = worker->entry.id;
 	order.addr = worker->entry.addr;
-	order.id.flow = reported->flow;
-	order.id.step = reported->step;
-	order.id.index = reported->index;
-	order.id.run = reported->run;
+	order.id.flow = run_report->flow;
+	order.id.step = run_report->step;
+	order.id.index = run_report->index;
+	order.id.run = run_report->run;
 	order.token = pool_incarnation_token(pool, worker);
 	call->token = order.token;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "stray_run_stopped",
-	    "{s:s, s:I, s:I, s:I, s:s}", "flow", reported->flow, "step",
-	    (json_int_t)reported->step, "index", (json_int_t)reported->index,
-	    "run", (json_int_t)reported->run, "worker", worker->entry.id);
+	    "{s:s, s:I, s:I, s:I, s:s}", "flow", run_report->flow, "step",
+	    (json_int_t)run_report->step, "index",
+	    (json_int_t)run_report->index, "run", (json_int_t)run_report->run,
+	    "worker", worker->entry.id);
 	pool->ops.stop(pool->ops.data, call->id, &order);
 }
 
 static struct pool_run *
 worker_run(const struct pool_worker *worker, const struct pool_flow *flow,
-    const struct gb_pool_run_report *reported)
+    const struct gb_pool_run_report *run_report)
 {
 	struct pool_run *run;
 
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		if (run->flow == flow && run->step == reported->step &&
-		    run->index == reported->index &&
-		    run->number == reported->run)
+		if (run->flow == flow && run->step == run_report->step &&
+		    run->index == run_report->index &&
+		    run->number == run_report->run)
 			return run;
 	}
 	return NULL;
@@ -203,18 +205,18 @@
  * needed. */
 static struct pool_run *
 run_adopt(struct gb_pool *pool, struct pool_worker *worker,
-    struct pool_flow *flow, const struct gb_pool_run_report *reported)
+    struct pool_flow *flow, const struct gb_pool_run_report *run_report)
 {
-	struct pool_step *step = &flow->steps[reported->step];
-	struct pool_task *task = &step->tasks[reported->index];
+	struct pool_step *step = &flow->steps[run_report->step];
+	struct pool_task *task = &step->tasks[run_report->index];
 	bool speculative = (step->spec->flags & GB_STEP_SPECULATIVE) != 0;
 	struct pool_run *run;
 
 	if (flow->status >= GB_FLOW_SUCCEEDED || task->done ||
 	    (!TAILQ_EMPTY(&task->runs) && !speculative))
 		return NULL;
-	run = pool_run_new(
-	    pool, flow, reported->step, reported->index, reported->run, worker);
+	run = pool_run_new(pool, flow, run_report->step, run_report->index,
+	    run_report->run, worker);
 	run->state = POOL_RUN_RUNNING;
 	run->confirmed = pool->now;
 	run->adopted = true;
@@ -224,19 +226,19 @@
 
 static void
 run_update(struct gb_pool *pool, struct pool_run *run,
-    const struct gb_pool_run_report *reported)
+    const struct gb_pool_run_report *run_report)
 {
 	if (run->confirmed == 0)
 		run->confirmed = pool->now;
 	if (run->state == POOL_RUN_START_UNKNOWN && run->stop_call == 0 &&
 	    run->stopped == 0)
 		run->state = POOL_RUN_RUNNING;
-	if (reported->percent != run->percent) {
-		run->percent = reported->percent;
+	if (run_report->percent != run->percent) {
+		run->percent = run_report->percent;
 		run->moved = pool->now;
 	}
 	snprintf(run->checkpoint, sizeof(run->checkpoint), "%s",
-	    reported->checkpoint);
+	    run_report->checkpoint);
 }
 
 static bool
@@ -308,27 +310,28 @@
 
 	worker->foreign = false;
 	for (i = 0; i < report->running_count; i++) {
-		const struct gb_pool_run_report *reported = &report->running[i];
+		const struct gb_pool_run_report *run_report =
+		    &report->running[i];
 
 		bool attached = pool_partition_attached(
-		    pool, gb_pool_partition(reported->flow));
+		    pool, gb_pool_partition(run_report->flow));
 
-		flow = pool_flow_find(pool, reported->flow);
+		flow = pool_flow_find(pool, run_report->flow);
 		run = NULL;
 		/* The flows of a partition that is not attached may still be
 		 * dropped, and their runs with them. */
-		if (attached && reported_task_known(flow, reported)) {
-			run = worker_run(worker, flow, reported);
+		if (attached && run_report_known(flow, run_report)) {
+			run = worker_run(worker, flow, run_report);
 			if (run == NULL)
-				run = run_adopt(pool, worker, flow, reported);
+				run = run_adopt(pool, worker, flow, run_report);
 		}
 		if (run != NULL) {
-			run_update(pool, run, reported);
+			run_update(pool, run, run_report);
 			continue;
 		}
 		worker->foreign = true;
 		if (attached)
-			stray_run_stop(pool, worker, reported);
+			stray_run_stop(pool, worker, run_report);
 	}
 }
 
