--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -101,9 +101,9 @@
 struct gb_pool_config *gb_pool_config_new(size_t queues, size_t services);
 /** Sorts the queues once all are filled in; they can't be found before. */
 void gb_pool_config_seal(struct gb_pool_config *);
-/** Adds an organisation unless it is invalid. gb_pool_config_orgs allocates
- * space for `most` organisations first. */
-void gb_pool_config_orgs(struct gb_pool_config *, size_t most);
+/** Adds an organisation unless it is invalid.  gb_pool_config_orgs allocates
+ * space for `max` organisations first. */
+void gb_pool_config_orgs(struct gb_pool_config *, size_t max);
 enum gb_pool_org_error gb_pool_config_org_add(
     struct gb_pool_config *, const struct gb_pool_org *);
 /** Adds a key to the organisation that was added last. */
@@ -533,6 +533,8 @@
 	uint64_t submitted, accepted, refused, repeated;
 	uint64_t starts, starts_refused, starts_lost, stops, preempted,
 	    heartbeats;
+	/** Ended runs by outcome; broken: GB_POOL_GANG_BROKEN, alone:
+	 * GB_POOL_GANG_INCOMPLETE. */
 	uint64_t done, failed, stopped, lapsed, broken, alone;
 	uint64_t crashed;	/**< runs lost with a worker that crashed */
 	uint64_t gone;		/**< runs that a worker no longer lists */
@@ -563,9 +565,9 @@
 	uint64_t quota_waits;	     /**< flows that waited for its quota */
 };
 
-/** Fills in at most `most` organisations; returns how many. */
+/** Fills in at most `max` organisations; returns how many. */
 size_t gb_pool_orgs(
-    const struct gb_pool *, struct gb_pool_org_stat *out, size_t most);
+    const struct gb_pool *, struct gb_pool_org_stat *out, size_t max);
 
 /* Events ------------------------------------------------------------------ */
 
--- a/libgooseberry/pool/org.c
+++ b/libgooseberry/pool/org.c
@@ -99,15 +99,14 @@
 
 size_t
 gb_pool_orgs(
-    const struct gb_pool *pool, struct gb_pool_org_stat *out, size_t most)
+    const struct gb_pool *pool, struct gb_pool_org_stat *out, size_t max)
 {
 	const struct pool_org *org;
 	size_t count = 0;
 
 	orgs_waiting(pool);
 
-	for (org = pool->orgs; org != NULL && count < most;
-	     org = org->hh.next) {
+	for (org = pool->orgs; org != NULL && count < max; org = org->hh.next) {
 		struct gb_pool_org_stat *stat = &out[count++];
 
 		snprintf(stat->name, sizeof(stat->name), "%s", org->name);
--- a/libgooseberry/pool/org_config.c
+++ b/libgooseberry/pool/org_config.c
@@ -69,10 +69,10 @@
 }
 
 void
-gb_pool_config_orgs(struct gb_pool_config *config, size_t most)
+gb_pool_config_orgs(struct gb_pool_config *config, size_t max)
 {
 	config->keyed = true;
-	config->orgs = gb_calloc(most, sizeof(*config->orgs));
+	config->orgs = gb_calloc(max, sizeof(*config->orgs));
 }
 
 const struct gb_pool_org *
