--- a/libgooseberry/pool/feature.c
+++ b/libgooseberry/pool/feature.c
@@ -1,6 +1,7 @@
 /**
  * @file feature.c
- * Mechanisms that can be switched off, to measure what each is worth.
+ * Features that can be disabled by the setting `off`, to measure the effect of
+ * each.
  */
 #include <string.h>
 
