--- a/libgooseberry/version/member.c
+++ b/libgooseberry/version/member.c
@@ -1,19 +1,21 @@
 /**
  * @file member.c
- * Who belongs to the cell, who is alive, and whether this member's own view
- * of the cell is fresh enough to act on.
+ * Members of the cell, their heartbeats, and whether this member's view of the
+ * cell is fresh, which means that the member may act on it.
  *
- * Every write that others act on (a document, a shard's owner, the view of
- * members) also touches the head row, whose version therefore tells how new a
- * member's knowledge is.  A view is fresh when
+ * Every write that other members act on (a document, the owner of a shard, the
+ * view of members) also writes the head row.  The version of the head row that
+ * a member has read shows which writes it knows.  A view is fresh when
  *  - the table service confirmed it within fresh_us, or
- *  - more than half of the members it names answered a heartbeat within
- *    fresh_us, having read the service since they started, and nobody knew a
- *    newer head.
- * A write counts as known once more than half of the members, of the view and
- * of the view before, have read it: any member that goes on without the
- * service has one of them among its witnesses.  So fresh_us later no member
- * acts on what was before, and no store of our own is needed for that.
+ *  - the service confirmed it within outage_us, more than half of the members
+ *    in it answered a heartbeat within fresh_us and had read the service since
+ *    they started, and no member knows a newer head row.
+ * A write is known once more than half of the members in the current view and
+ * more than half of those in the previous view have read it.  Every majority
+ * that could keep an older view fresh without the service then includes a
+ * member that reports the newer head row.  So fresh_us later no member acts on
+ * the state before the write, and the members need no replicated store of
+ * their own.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -94,9 +96,10 @@
 	       core->now - core->confirmed <= core->cfg.fresh_us;
 }
 
-/** Whether a member's answer says that nothing newer is known to it. */
+/** Whether a recent answer of a member confirms that it knows no newer head
+ * row. */
 static bool
-member_witness(const struct gb_core *core, const struct member *m, gb_time now)
+member_confirms(const struct gb_core *core, const struct member *m, gb_time now)
 {
 	return m->informed && now - m->echoed <= core->cfg.fresh_us &&
 	       m->seen <= core->head_seen;
@@ -107,9 +110,9 @@
 {
 	const struct member *m;
 	unsigned int all = 1;
-	unsigned int witnesses = 1;
+	unsigned int confirming = 1;
 
-	/* Who is in no view is waited for by nobody who changes things. */
+	/* Writers wait only for the members of a view to learn of a change. */
 	if (!core->ever_confirmed || !core->joined)
 		return false;
 	if (now - core->confirmed <= core->cfg.fresh_us)
@@ -120,18 +123,19 @@
 		if (m->seen > core->head_seen)
 			return false;
 		all += m->listed;
-		witnesses += m->listed && member_witness(core, m, now);
+		confirming += m->listed && member_confirms(core, m, now);
 	}
-	return 2 * witnesses > all;
+	return 2 * confirming > all;
 }
 
-/* How far a write has spread */
+/* Which members know of a write */
 
-/** Members that matter, and how many of them know of a write. */
+/** Members of the current and the previous view, and how many of them know of
+ * a write. */
 struct spread_count {
-	unsigned int now, now_know;
-	unsigned int before, before_know;
-	unsigned int missing; /**< live members that do not know of it */
+	unsigned int listed, listed_know;
+	unsigned int previous, previous_know;
+	unsigned int missing; /**< members of either view without the write */
 };
 
 static void
@@ -141,17 +145,17 @@
 	const struct member *m;
 
 	memset(count, 0, sizeof(*count));
-	/* This member made the write. */
-	count->now = count->now_know = core->joined;
-	count->before = count->before_know = core->previous;
+	/* This member made the write, so it knows of it. */
+	count->listed = count->listed_know = core->joined;
+	count->previous = count->previous_know = core->previous;
 	for (m = core->members; m != NULL; m = m->hh.next) {
-		/* An instance that has ended is nobody's witness. */
+		/* A terminated instance cannot confirm an older view. */
 		bool know = (m->informed && m->seen >= vers) || m->gone;
 
-		count->now += m->listed;
-		count->now_know += m->listed && know;
-		count->before += m->previous;
-		count->before_know += m->previous && know;
+		count->listed += m->listed;
+		count->listed_know += m->listed && know;
+		count->previous += m->previous;
+		count->previous_know += m->previous && know;
 		if ((m->listed || m->previous) && !know)
 			count->missing++;
 	}
@@ -165,8 +169,8 @@
 	if (spread->known_at != 0)
 		return true;
 	spread_count(core, spread->vers, &count);
-	if (2 * count.now_know <= count.now ||
-	    (count.before > 0 && 2 * count.before_know <= count.before))
+	if (2 * count.listed_know <= count.listed ||
+	    (count.previous > 0 && 2 * count.previous_know <= count.previous))
 		return false;
 	spread->known_at = core->now;
 	return true;
@@ -187,8 +191,9 @@
 
 /* Heartbeats */
 
+/** Fill in the shards that this member owns; returns their number. */
 static u_int
-claims_make(struct gb_core *core, gb_claim *claims)
+claims_fill(struct gb_core *core, gb_claim *claims)
 {
 	u_int n = 0;
 	uint32_t i;
@@ -222,12 +227,13 @@
 	beat->config = core->config_seq;
 	beat->claims.claims_val =
 	    gb_calloc(core->shard_count, sizeof(gb_claim));
-	beat->claims.claims_len = claims_make(core, beat->claims.claims_val);
+	beat->claims.claims_len = claims_fill(core, beat->claims.claims_val);
 }
 
-/** Take in what a peer says of itself. */
+/** Apply a peer's heartbeat; null when its name is invalid or this member's
+ * own. */
 static struct member *
-member_take_beat(struct gb_core *core, const gb_beat *beat)
+member_apply_beat(struct gb_core *core, const gb_beat *beat)
 {
 	struct member *m;
 	u_int i;
@@ -260,7 +266,7 @@
 {
 	core->now = now;
 	core->stats.beats++;
-	member_take_beat(core, beat);
+	member_apply_beat(core, beat);
 }
 
 void
@@ -270,7 +276,7 @@
 	struct member *m;
 
 	core->now = now;
-	m = member_take_beat(core, beat);
+	m = member_apply_beat(core, beat);
 	if (m != NULL && sent > m->echoed)
 		m->echoed = sent;
 }
--- a/libgooseberry/version/view.c
+++ b/libgooseberry/version/view.c
@@ -1,10 +1,11 @@
 /**
  * @file view.c
- * The rows of the cell in the table service: its head, its view of members
- * and the owners of shards.  A process that starts waits in a row of its own;
- * a member takes all that wait into the next view, and out of it those that
- * have left or have been silent.  The next view follows only when the last
- * one is known to so many members that nobody acts on the one before it.
+ * The rows of the cell in the table service: the head row, the view of members
+ * and the owners of shards.  A process that starts writes a row of its own and
+ * waits.  A member writes the next view, which adds the waiting processes and
+ * removes the members that have left or are silent.  A new view is written
+ * only when the current one is known to so many members that none acts on the
+ * one before it.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -12,12 +13,13 @@
 
 #include "process/core.h"
 
-/** Silence, in multiples of fresh_us, after which a member is taken out. */
+/** Silence, in multiples of fresh_us, after which a member is removed. */
 #define SILENCE_FACTOR 4
-#define ROW_RETRY (200 * GB_MSEC)
-/** Time after which any member may make a view that is due. */
-#define MAKER_PATIENCE (3 * GB_SEC)
-#define POLL_RETRY_LEAST (20 * GB_MSEC)
+/** Pause after a write of the view or of the own row. */
+#define ROW_WRITE_INTERVAL (200 * GB_MSEC)
+/** Time after which any member may write a view that is due. */
+#define VIEW_WRITER_TIMEOUT (3 * GB_SEC)
+#define POLL_RETRY_INTERVAL (20 * GB_MSEC)
 
 void
 view_touch_head(gb_txn *txn)
@@ -36,9 +38,9 @@
 
 /* Reading */
 
-/** Take in one member of the view. */
+/** Apply one member of the view's row. */
 static void
-view_member(struct gb_core *core, const gb_member_row *row)
+view_member_apply(struct gb_core *core, const gb_member_row *row)
 {
 	struct member *m;
 
@@ -58,8 +60,9 @@
 		snprintf(m->dc, sizeof(m->dc), "%s", row->dc);
 }
 
+/** Apply the view's row, if it is a new version. */
 static void
-view_row_seen(struct gb_core *core, const gb_row *row)
+view_row_apply(struct gb_core *core, const gb_row *row)
 {
 	gb_body body = row->value;
 	struct member *m;
@@ -83,7 +86,7 @@
 		m->previous = false;
 	}
 	for (i = 0; i < view.members.members_len; i++)
-		view_member(core, &view.members.members_val[i]);
+		view_member_apply(core, &view.members.members_val[i]);
 	for (i = 0; i < view.previous.previous_len; i++) {
 		const char *name = view.previous.previous_val[i];
 
@@ -95,9 +98,10 @@
 	xdr_free((xdrproc_t)xdr_gb_view_row, (char *)&view);
 }
 
-/** Somebody waits to be taken in: learn of it, so that beats reach it. */
+/** Apply the row of a process that waits to be added to the view; from now on
+ * it is sent heartbeats. */
 static void
-view_wait_seen(struct gb_core *core, const gb_row *row)
+wait_row_apply(struct gb_core *core, const gb_row *row)
 {
 	gb_body body = row->value;
 	gb_member_row r;
@@ -119,7 +123,8 @@
 	xdr_free((xdrproc_t)xdr_gb_member_row, (char *)&r);
 }
 
-/** Forget members that are in no view and silent. */
+/** Drop members that are in no view, do not wait for one, and are silent,
+ * terminated or leaving. */
 static void
 members_prune(struct gb_core *core)
 {
@@ -137,8 +142,9 @@
 	}
 }
 
+/** Apply all rows of the cell. */
 static void
-rows_taken(struct gb_core *core, const struct store_result *result)
+rows_apply(struct gb_core *core, const struct store_result *result)
 {
 	bool was_joined = core->joined;
 	struct member *m;
@@ -153,10 +159,10 @@
 		const gb_row *row = &result->rows[i];
 
 		if (strcmp(row->key, VIEW_KEY) == 0)
-			view_row_seen(core, row);
+			view_row_apply(core, row);
 		else if (strncmp(row->key, WAIT_PREFIX,
 			     sizeof(WAIT_PREFIX) - 1) == 0)
-			view_wait_seen(core, row);
+			wait_row_apply(core, row);
 		else
 			shard_row_seen(core, row);
 	}
@@ -165,25 +171,27 @@
 
 		shard->row_known = true;
 		if (was_joined && !core->joined && shard->state != SHARD_NONE)
-			shard_lose(core, shard, "taken out of the view");
+			shard_lose(core, shard, "removed from the view");
 	}
-	/* A new member acts once it has read the changes before its view. */
+	/* A new member acts only after it has read the changes that precede
+	 * its view. */
 	if (!was_joined && core->joined)
 		core->ever_confirmed = false;
 	members_prune(core);
 }
 
-/* Poll: the head alone, and all the rest when the head has changed */
+/* Poll: reads the head row, and all other rows only when it has changed */
 
 static void poll_changes(struct gb_core *);
 
+/** End a poll; confirmed says whether everything was read. */
 static void
 poll_end(struct gb_core *core, bool confirmed)
 {
 	core->polling = false;
 	core->poll_at =
 	    core->now + (confirmed && !core->poll_again ? core->cfg.beat_us
-							: POLL_RETRY_LEAST);
+							: POLL_RETRY_INTERVAL);
 	core->poll_again = false;
 	if (!confirmed)
 		return;
@@ -218,8 +226,8 @@
 		xdr_free((xdrproc_t)xdr_gb_change, (char *)&change);
 	}
 	if (gap) {
-		/* The changes between have been removed: a snapshot has them.
-		 */
+		/* Changes are missing because a snapshot replaced them: read
+		 * the snapshot at the next poll. */
 		core->config_loaded = false;
 		core->rows_stale = true;
 		poll_end(core, false);
@@ -265,7 +273,7 @@
 		poll_end(core, false);
 		return;
 	}
-	rows_taken(core, result);
+	rows_apply(core, result);
 	if (core->config_loaded)
 		poll_changes(core);
 	else
@@ -333,17 +341,17 @@
 }
 
 static void
-row_written(struct gb_core *core, const struct store_op *op,
+wait_written(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
 	(void)op;
 	core->row_pending = false;
-	core->row_retry_at = core->now + ROW_RETRY;
+	core->row_retry_at = core->now + ROW_WRITE_INTERVAL;
 	core->rows_stale = result->status != GB_STORE_OK;
 	view_poll_now(core);
 }
 
-/** Ask to be taken into the view. */
+/** Write this process's own row, which asks to be added to the view. */
 static void
 wait_write(struct gb_core *core)
 {
@@ -360,15 +368,15 @@
 	store_txn_put(&txn, key, body);
 	view_touch_head(&txn);
 	core->row_pending = true;
-	store_op_txn(core, &txn, row_written, GB_NONE, 0);
+	store_op_txn(core, &txn, wait_written, GB_NONE, 0);
 }
 
-/** Whether a member of the view can no longer act on any view.  One that has
- * joined judges by its silence: the next view is known to a majority before
- * anything rests on it.  Others have to wait for the end of the longest
- * outage. */
+/** Whether a member may be removed from the view.  For a process in the view a
+ * short silence is enough, since the next view is known to a majority before
+ * anything depends on it.  Other processes wait until the member cannot act on
+ * any view: for outage_us as well. */
 static bool
-member_spent(const struct gb_core *core, const struct member *m)
+member_expired(const struct gb_core *core, const struct member *m)
 {
 	gb_time silence = core->now - m->last_heard;
 
@@ -381,15 +389,15 @@
 	       (m->leaving && silence > core->cfg.suspect_us);
 }
 
-/** Why the next view is made. */
+/** Why the next view is written. */
 enum view_reason {
-	VIEW_CHANGE,  /**< a member takes others in or out */
-	VIEW_SETTLED, /**< the view is known widely, the one before is over */
-	VIEW_REPLACE, /**< a process takes the place of its earlier one */
-	VIEW_ANEW     /**< nobody of the view is left */
+	VIEW_CHANGE,	    /**< a member adds or removes others */
+	VIEW_DROP_PREVIOUS, /**< no member acts on the previous view */
+	VIEW_REPLACE,	    /**< a process replaces its earlier incarnation */
+	VIEW_RESTART	    /**< every member of the view has expired */
 };
 
-/** What the next view would be. */
+/** The next view, and the transaction that writes it. */
 struct next_view {
 	enum view_reason reason;
 	gb_view_row row;
@@ -409,7 +417,8 @@
 	row->dc = (char *)(uintptr_t)dc;
 }
 
-/** Keep a name as one of the view before, as the reason asks. */
+/** List a member as one of the previous view, if the reason requires it: those
+ * of the view that is replaced, or those that are listed already. */
 static void
 next_previous(
     struct next_view *next, const char *name, bool listed, bool previous)
@@ -421,6 +430,7 @@
 		    (char *)(uintptr_t)name;
 }
 
+/** Remove the row in which a process waits, if there is one. */
 static void
 next_wait_remove(struct next_view *next, const char *name, uint64_t vers)
 {
@@ -433,17 +443,18 @@
 	store_txn_remove(&next->txn, key);
 }
 
+/** Add a member to the next view unless it has to be left out. */
 static void
 next_member(struct gb_core *core, struct next_view *next, struct member *m)
 {
-	bool acquiring =
-	    next->reason == VIEW_CHANGE || next->reason == VIEW_ANEW;
+	bool changing =
+	    next->reason == VIEW_CHANGE || next->reason == VIEW_RESTART;
 
 	next_previous(next, m->name, m->listed, m->previous);
-	if (acquiring && m->wait_vers != 0) {
+	if (changing && m->wait_vers != 0) {
 		next_wait_remove(next, m->name, m->wait_vers);
 		next_add(next, m->name, m->wait_incarnation, m->addr, m->dc);
-	} else if (m->listed && (!acquiring || !member_spent(core, m))) {
+	} else if (m->listed && (!changing || !member_expired(core, m))) {
 		next_add(next, m->name, m->listed_incarnation, m->addr, m->dc);
 	}
 }
@@ -455,7 +466,7 @@
 	(void)op;
 	(void)result;
 	core->row_pending = false;
-	core->row_retry_at = core->now + ROW_RETRY;
+	core->row_retry_at = core->now + ROW_WRITE_INTERVAL;
 	core->rows_stale = true;
 	view_poll_now(core);
 }
@@ -494,28 +505,28 @@
 	store_op_txn(core, &next.txn, view_written, GB_NONE, 0);
 }
 
-/** Whether all members of the view are spent, so that one that waits may make
- * the next. */
+/** Whether all members of the view have expired, so that a waiting process may
+ * write the next one. */
 static bool
-view_spent(const struct gb_core *core)
+view_expired(const struct gb_core *core)
 {
 	const struct member *m;
 
 	for (m = core->members; m != NULL; m = m->hh.next) {
-		if (m->listed && !member_spent(core, m))
+		if (m->listed && !member_expired(core, m))
 			return false;
 	}
 	return true;
 }
 
-/** The first live member by name makes the next view; the others only when
- * that has been due for long. */
+/** Whether this member writes the next view: the first live one by name does,
+ * and any other once the view has been due for VIEW_WRITER_TIMEOUT. */
 static bool
-view_is_maker(const struct gb_core *core)
+view_is_writer(const struct gb_core *core)
 {
 	const struct member *m;
 
-	if (core->now - core->view_due_since > MAKER_PATIENCE)
+	if (core->now - core->view_due_since > VIEW_WRITER_TIMEOUT)
 		return true;
 	for (m = core->members; m != NULL; m = m->hh.next) {
 		if (m->listed && member_live(core, m) && m->informed &&
@@ -525,22 +536,22 @@
 	return true;
 }
 
-/** Whether somebody should be taken in or out. */
+/** Whether a process waits to be added, or a member should be removed. */
 static bool
 view_due(const struct gb_core *core)
 {
 	const struct member *m;
 
 	for (m = core->members; m != NULL; m = m->hh.next) {
-		if (m->wait_vers != 0 || (m->listed && member_spent(core, m)))
+		if (m->wait_vers != 0 || (m->listed && member_expired(core, m)))
 			return true;
 	}
 	return false;
 }
 
-/** Whether the view before is still named in the view's row. */
+/** Whether the view's row still lists members of the previous view. */
 static bool
-view_unsettled(const struct gb_core *core)
+view_has_previous(const struct gb_core *core)
 {
 	const struct member *m;
 
@@ -553,25 +564,27 @@
 	return false;
 }
 
-/** What a member of the view does about it. */
+/** As a member of the view, write the next one when it is due and the current
+ * one is in force. */
 static void
 view_maintain(struct gb_core *core)
 {
-	bool unsettled = view_unsettled(core);
+	bool has_previous = view_has_previous(core);
 
-	if (!unsettled && !view_due(core)) {
+	if (!has_previous && !view_due(core)) {
 		core->view_due_since = core->now;
 		return;
 	}
-	if (!view_is_maker(core) ||
+	if (!view_is_writer(core) ||
 	    !member_spread_done(core, &core->view_spread))
 		return;
 	core->view_due_since = core->now;
-	view_write(core, unsettled ? VIEW_SETTLED : VIEW_CHANGE);
+	view_write(core, has_previous ? VIEW_DROP_PREVIOUS : VIEW_CHANGE);
 }
 
+/** Join the view, or write the next one, as needed. */
 static void
-view_make(struct gb_core *core)
+view_update(struct gb_core *core)
 {
 	if (core->row_pending || core->now < core->row_retry_at ||
 	    !member_store_fresh(core) || core->leaving)
@@ -582,8 +595,8 @@
 		wait_write(core);
 	else if (core->named)
 		view_write(core, VIEW_REPLACE);
-	else if (view_spent(core))
-		view_write(core, VIEW_ANEW);
+	else if (view_expired(core))
+		view_write(core, VIEW_RESTART);
 }
 
 void
@@ -593,6 +606,6 @@
 		return;
 	if (!core->polling && core->now >= core->poll_at)
 		poll_start(core);
-	view_make(core);
+	view_update(core);
 	member_beats(core);
 }
