--- a/libgooseberry/version/config.c
+++ b/libgooseberry/version/config.c
@@ -1,7 +1,8 @@
 /**
  * @file config.c
- * Changes of configuration: one total order in the table service, applied by
- * every member in that order, never backwards.
+ * Changes of configuration (documents and drained workers).  They are totally
+ * ordered by their sequence numbers in the table service, and every member
+ * applies them in this order.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -9,13 +10,16 @@
 
 #include "process/core.h"
 
+/** Versions of a document that are kept in memory. */
 #define HISTORY_MAX 32
-/** Versions of a document that a snapshot keeps. */
-#define SAVED_VERSIONS 4
-#define CHANGE_RETRY (50 * GB_MSEC)
+/** Versions of a document that a snapshot contains. */
+#define SNAPSHOT_VERSIONS 4
+#define CHANGE_RETRY_DELAY (50 * GB_MSEC)
+/** When a caller may retry after the table service did not take a change. */
 #define STORE_RETRY_MS 1000
-#define COMMAND_LIMIT (30 * GB_SEC)
+#define COMMAND_TIMEOUT_MAX (30 * GB_SEC)
 
+/** A worker that an operator drains, whether it is known or not. */
 struct drain {
 	UT_hash_handle hh;
 	char worker[GB_NAME_MAX + 1];
@@ -23,6 +27,7 @@
 
 /* Teams */
 
+/** Index of a team; adds the team if it is new. */
 uint32_t
 config_team(struct gb_core *core, const char *name)
 {
@@ -86,6 +91,7 @@
 	xdr_free((xdrproc_t)xdr_gb_change, (char *)change);
 }
 
+/** Add a version to a document's history, dropping the oldest if it is full. */
 static void
 history_add(struct doc *doc, const gb_change *change)
 {
@@ -104,6 +110,8 @@
 	doc->history[doc->history_count++] = copy;
 }
 
+/** Apply a new version of a document.  One that does not parse makes the
+ * document invalid, but still counts as a version. */
 static void
 doc_apply(struct gb_core *core, const gb_change *change)
 {
@@ -164,9 +172,9 @@
 	}
 }
 
-/** What a change does, whatever its place in the order. */
+/** Apply a change without a check of its sequence number. */
 static void
-change_take(struct gb_core *core, const gb_change *change)
+change_apply(struct gb_core *core, const gb_change *change)
 {
 	switch (change->kind) {
 	case GB_CHANGE_DOCUMENT:
@@ -181,8 +189,9 @@
 	}
 }
 
+/** Set the last change applied and the version of its row. */
 static void
-config_moved(struct gb_core *core, uint64_t seq, uint64_t vers)
+config_advance(struct gb_core *core, uint64_t seq, uint64_t vers)
 {
 	uint32_t i;
 
@@ -198,19 +207,19 @@
 	if (change->seq != core->config_seq + 1)
 		return false;
 	core->stats.changes++;
-	change_take(core, change);
-	config_moved(core, change->seq, vers);
+	change_apply(core, change);
+	config_advance(core, change->seq, vers);
 	return true;
 }
 
 static void
-config_change_key(char *out, size_t size, uint64_t seq)
+change_key(char *out, size_t size, uint64_t seq)
 {
 	snprintf(out, size, CHANGE_PREFIX "%016" PRIx64, seq);
 }
 
-/* Snapshot of the documents: what a new process reads in place of all changes
- * since the first */
+/* Snapshot: the documents and drained workers, which a new process reads
+ * instead of all changes since the first */
 
 void
 config_load(struct gb_core *core, const gb_row *row)
@@ -229,8 +238,8 @@
 	core->config_saved_vers = row->vers;
 	if (saved.seq > core->config_seq) {
 		for (i = 0; i < saved.changes.changes_len; i++)
-			change_take(core, &saved.changes.changes_val[i]);
-		config_moved(core, saved.seq, saved.vers);
+			change_apply(core, &saved.changes.changes_val[i]);
+		config_advance(core, saved.seq, saved.vers);
 	}
 	xdr_free((xdrproc_t)xdr_gb_config_row, (char *)&saved);
 }
@@ -244,22 +253,23 @@
 	return x->seq < y->seq ? -1 : x->seq > y->seq;
 }
 
-/** The last versions of each document and the drained workers, in order.  The
- * changes are borrowed. */
+/** Fill in a snapshot: the last versions of each document and the drained
+ * workers, by sequence number.  The caller frees the array of changes, but not
+ * what the changes point to. */
 static void
 config_collect(const struct gb_core *core, gb_config_row *out)
 {
-	size_t most =
-	    HASH_COUNT(core->docs) * SAVED_VERSIONS + HASH_COUNT(core->drains);
+	size_t max = HASH_COUNT(core->docs) * SNAPSHOT_VERSIONS +
+		     HASH_COUNT(core->drains);
 	const struct doc *doc;
 	struct drain *d;
 
 	out->seq = core->config_seq;
 	out->vers = core->config_vers;
-	out->changes.changes_val = gb_calloc(most, sizeof(gb_change));
+	out->changes.changes_val = gb_calloc(max, sizeof(gb_change));
 	for (doc = core->docs; doc != NULL; doc = doc->hh.next) {
-		u_int from = doc->history_count > SAVED_VERSIONS
-				 ? doc->history_count - SAVED_VERSIONS
+		u_int from = doc->history_count > SNAPSHOT_VERSIONS
+				 ? doc->history_count - SNAPSHOT_VERSIONS
 				 : 0;
 
 		for (; from < doc->history_count; from++)
@@ -300,12 +310,13 @@
 		core->config_saved_vers = result->vers;
 		return;
 	}
-	/* Another member was first, or it is not known: look. */
+	/* Another member wrote a snapshot first, or the result is unknown:
+	 * read the row. */
 	store_op_scan(core, CONFIG_KEY, "", 1, config_reread, GB_NONE, 0);
 }
 
-/** Write a snapshot and remove the changes that it covers, but for the last
- * ones: members that are a little behind still read those. */
+/** Write a snapshot and remove the changes that it covers, except for the last
+ * snapshot_every: members that are slightly behind still read those. */
 static void
 config_save(struct gb_core *core)
 {
@@ -329,15 +340,16 @@
 	while (++seq + keep <= core->config_seq) {
 		char key[GB_KEY_MAX + 1];
 
-		config_change_key(key, sizeof(key), seq);
+		change_key(key, sizeof(key), seq);
 		store_txn_remove(&txn, key);
 	}
 	core->config_saving = true;
 	store_op_txn(core, &txn, config_saved, GB_NONE, core->config_seq);
 }
 
-/* Accepting a change */
+/* Acceptance of a change */
 
+/** Version of the document that a change replaces; 0: none. */
 static uint64_t
 change_current_version(struct gb_core *core, const gb_change *change)
 {
@@ -358,14 +370,15 @@
 }
 
 static void
-wait_refuse(struct gb_core *core, struct change_wait *wait, gb_verdict verdict,
+wait_reject(struct gb_core *core, struct change_wait *wait, gb_verdict verdict,
     unsigned status, unsigned retry_ms, const char *reason)
 {
 	core_answer(core, wait->answer, verdict, status, retry_ms, reason);
 	wait_free(core, wait);
 }
 
-/** The losing operator is told by whom and against which version. */
+/** Reject a change of an outdated version; the answer names the version in
+ * force and its author. */
 static void
 wait_conflict(struct gb_core *core, struct change_wait *wait)
 {
@@ -381,11 +394,12 @@
 	    " is in force, by %s",
 	    wait->expected, last == NULL ? 0 : last->vers,
 	    last == NULL ? "nobody" : last->author);
-	wait_refuse(core, wait, GB_NOT_RUN, 412, 0, reason);
+	wait_reject(core, wait, GB_NOT_RUN, 412, 0, reason);
 }
 
+/** The change whose write is sent but not confirmed, or null. */
 static struct change_wait *
-wait_sent(struct gb_core *core)
+wait_find_sent(struct gb_core *core)
 {
 	struct change_wait *wait;
 
@@ -407,13 +421,14 @@
 	view_poll_now(core);
 }
 
-/** The write did not take place: somebody else's took its number. */
+/** Retry a change under a new number: another change was written under this
+ * one. */
 static void
-change_again(struct gb_core *core, struct change_wait *wait)
+change_retry(struct gb_core *core, struct change_wait *wait)
 {
 	wait->sent = false;
 	core->change_busy = false;
-	core->change_retry_at = core->now + CHANGE_RETRY;
+	core->change_retry_at = core->now + CHANGE_RETRY_DELAY;
 	view_poll_now(core);
 }
 
@@ -421,7 +436,7 @@
 change_checked(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
-	struct change_wait *wait = wait_sent(core);
+	struct change_wait *wait = wait_find_sent(core);
 	gb_change found;
 	gb_body body;
 	bool mine;
@@ -431,13 +446,14 @@
 		return;
 	if (result->status != GB_STORE_OK) {
 		core->change_busy = false;
-		core->change_retry_at = core->now + CHANGE_RETRY;
+		core->change_retry_at = core->now + CHANGE_RETRY_DELAY;
 		return;
 	}
 	if (result->count == 0) {
-		/* Absent: the same write again can take effect only once. */
+		/* The row does not exist: the same write is repeated, and its
+		 * condition lets it take effect only once. */
 		core->change_busy = false;
-		core->change_retry_at = core->now + CHANGE_RETRY;
+		core->change_retry_at = core->now + CHANGE_RETRY_DELAY;
 		return;
 	}
 	memset(&found, 0, sizeof(found));
@@ -449,16 +465,17 @@
 	if (mine)
 		change_committed(core, wait, result->rows[0].vers);
 	else
-		change_again(core, wait);
+		change_retry(core, wait);
 }
 
+/** Read the row of a change to find out whether its write took effect. */
 static void
 change_check(struct gb_core *core, const struct change_wait *wait)
 {
 	char key[GB_KEY_MAX + 1];
 
 	core->change_busy = true;
-	config_change_key(key, sizeof(key), wait->change.seq);
+	change_key(key, sizeof(key), wait->change.seq);
 	store_op_scan(core, key, "", 1, change_checked, GB_NONE, 0);
 }
 
@@ -466,7 +483,7 @@
 change_written(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
-	struct change_wait *wait = wait_sent(core);
+	struct change_wait *wait = wait_find_sent(core);
 
 	(void)op;
 	if (wait == NULL)
@@ -483,8 +500,9 @@
 	}
 }
 
-/** Write a change under the next number.  The number is free only if this
- * member has seen every change before it, which the condition proves. */
+/** Write a change under the next sequence number.  The conditions let the write
+ * take effect only if the number is free and this member has read every change
+ * before it. */
 static void
 change_write(struct gb_core *core, struct change_wait *wait)
 {
@@ -506,12 +524,13 @@
 	if (!gb_xdr_encode((xdrproc_t)xdr_gb_change, &wait->change, &body))
 		return;
 	memset(&txn, 0, sizeof(txn));
-	config_change_key(key, sizeof(key), wait->change.seq);
+	change_key(key, sizeof(key), wait->change.seq);
 	store_txn_cond(&txn, key, 0);
 	store_txn_put(&txn, key, body);
 	if (wait->change.seq > 1) {
-		/* A late write must not meet a number that was removed. */
-		config_change_key(key, sizeof(key), wait->change.seq - 1);
+		/* A delayed write must fail if its number was used and removed
+		 * since then. */
+		change_key(key, sizeof(key), wait->change.seq - 1);
 		store_txn_cond(&txn, key, wait->after_vers);
 	}
 	view_bind(core, &txn);
@@ -520,8 +539,8 @@
 	store_op_txn(core, &txn, change_written, GB_NONE, 0);
 }
 
-/** Tell that a change is accepted, and whether it is in force: all members
- * have it, or those that have not can no longer act on the old one. */
+/** Answer that a change is accepted, and whether it is in force: every member
+ * either knows it or can no longer act on the state before it. */
 static void
 wait_accepted(struct gb_core *core, struct change_wait *wait, bool in_force)
 {
@@ -538,7 +557,7 @@
 	wait_free(core, wait);
 }
 
-/** Bring one waiting change forward. */
+/** Answer or reject a waiting change, if that is due. */
 static void
 wait_tick(struct gb_core *core, struct change_wait *wait)
 {
@@ -552,10 +571,10 @@
 		if (in_force || late)
 			wait_accepted(core, wait, in_force);
 	} else if (!wait->sent && !member_store_fresh(core)) {
-		wait_refuse(core, wait, GB_NOT_RUN, 503, STORE_RETRY_MS,
+		wait_reject(core, wait, GB_NOT_RUN, 503, STORE_RETRY_MS,
 		    "the table service is unavailable");
 	} else if (!wait->sent && late) {
-		wait_refuse(core, wait, GB_NOT_RUN, 503, STORE_RETRY_MS,
+		wait_reject(core, wait, GB_NOT_RUN, 503, STORE_RETRY_MS,
 		    "other changes went first");
 	} else if (late && wait->answer != 0) {
 		core_answer(core, wait->answer, GB_MAYBE_RUN, 503,
@@ -581,7 +600,7 @@
 	if (core->change_busy || !core->joined ||
 	    core->now < core->change_retry_at || !member_store_fresh(core))
 		return;
-	wait = wait_sent(core);
+	wait = wait_find_sent(core);
 	if (wait != NULL) {
 		change_write(core, wait);
 		return;
@@ -599,12 +618,12 @@
 wait_new(struct gb_core *core, uint64_t id, const gb_command *cmd)
 {
 	struct change_wait *wait = gb_calloc(1, sizeof(*wait));
-	gb_time limit = cmd->remaining_us;
+	gb_time timeout = cmd->remaining_us;
 
-	if (limit <= 0 || limit > COMMAND_LIMIT)
-		limit = COMMAND_LIMIT;
+	if (timeout <= 0 || timeout > COMMAND_TIMEOUT_MAX)
+		timeout = COMMAND_TIMEOUT_MAX;
 	wait->answer = id;
-	wait->deadline = core->now + limit;
+	wait->deadline = core->now + timeout;
 	wait->expected = cmd->vers;
 	wait->change.team = gb_strdup(cmd->team);
 	wait->change.name = gb_strdup(cmd->name);
@@ -654,6 +673,7 @@
 	    cmd->verb == GB_VERB_DRAIN ? GB_CHANGE_DRAIN : GB_CHANGE_UNDRAIN;
 }
 
+/** Answer with one version of a document; without a version, the last one. */
 static void
 get_command(struct gb_core *core, uint64_t id, const gb_command *cmd)
 {
--- a/libgooseberry/version/document.c
+++ b/libgooseberry/version/document.c
@@ -1,6 +1,7 @@
 /**
  * @file document.c
- * A team's document: its fields in one table, its check and its defaults.
+ * Parses a team's document: the table of its fields, the checks and the
+ * defaults.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -36,23 +37,23 @@
 
 /** One field of a document. */
 struct field {
-	const char *path; /**< at most one dot */
+	const char *path; /**< JSON path with at most one dot */
 	enum field_type type;
 	bool required;
-	int64_t least, most;
+	int64_t min, max; /**< of a number; of FIELD_MS in milliseconds */
 	const char *const *choices;
 	size_t choice_count;
-	size_t offset;
+	size_t offset; /**< in struct gb_doc */
 };
 
 #define AT(member) offsetof(struct gb_doc, member)
-#define INT(path, least, most, member)                                   \
-	{                                                                \
-		path, FIELD_INT, false, least, most, NULL, 0, AT(member) \
+#define INT(path, min, max, member)                                   \
+	{                                                             \
+		path, FIELD_INT, false, min, max, NULL, 0, AT(member) \
 	}
-#define MS(path, least, most, member)                                   \
-	{                                                               \
-		path, FIELD_MS, false, least, most, NULL, 0, AT(member) \
+#define MS(path, min, max, member)                                   \
+	{                                                            \
+		path, FIELD_MS, false, min, max, NULL, 0, AT(member) \
 	}
 #define CHOICE(path, req, names, member)                           \
 	{                                                          \
@@ -60,9 +61,9 @@
 		    sizeof(names) / sizeof((names)[0]), AT(member) \
 	}
 
-#define CPU_MOST 1000000
-#define MEM_MOST 16777216
-#define ACCEL_MOST 64
+#define CPU_MAX_MILLI 1000000
+#define MEM_MAX_MB 16777216
+#define ACCEL_MAX 64
 #define DAY_MS 86400000
 
 static const struct field fields[] = {
@@ -75,9 +76,9 @@
     INT("policy.queue_limit", 0, 100000, queue_limit),
     MS("policy.timeout_ms", 1, 600000, timeout_us),
     MS("policy.run_ms", 0, 7LL * DAY_MS, run_us),
-    INT("resources.cpu_milli", 0, CPU_MOST, res.cpu),
-    INT("resources.memory_mb", 0, MEM_MOST, res.mem),
-    INT("resources.accelerators", 0, ACCEL_MOST, res.accel),
+    INT("resources.cpu_milli", 0, CPU_MAX_MILLI, res.cpu),
+    INT("resources.memory_mb", 0, MEM_MAX_MB, res.mem),
+    INT("resources.accelerators", 0, ACCEL_MAX, res.accel),
     INT("replicas", 0, 100000, replicas),
     {"placement.dcs", FIELD_DCS, false, 0, 0, NULL, 0, AT(dcs)},
     {"placement.pool", FIELD_NAME, false, 0, 0, NULL, 0, AT(pool)},
@@ -102,13 +103,14 @@
 	return band_names[band];
 }
 
-/** What a check needs to name the place of a fault. */
+/** Text of the document, to find the line and column of an error. */
 struct doc_check {
 	const char *text;
 	size_t len;
 	struct gb_error *err;
 };
 
+/** Set the error to "line:column: path: what". */
 static void
 doc_error(const struct doc_check *check, const char *path, const char *what)
 {
@@ -149,11 +151,11 @@
 	char what[96];
 	int64_t number = json_integer_value(value);
 
-	if (!json_is_integer(value) || number < field->least ||
-	    number > field->most) {
+	if (!json_is_integer(value) || number < field->min ||
+	    number > field->max) {
 		snprintf(what, sizeof(what),
 		    "must be a whole number from %lld to %lld",
-		    (long long)field->least, (long long)field->most);
+		    (long long)field->min, (long long)field->max);
 		doc_error(check, field->path, what);
 		return false;
 	}
@@ -194,8 +196,9 @@
 	return true;
 }
 
+/** Check the value of a field and store it in the document. */
 static bool
-field_take(const struct doc_check *check, const struct field *field,
+field_parse(const struct doc_check *check, const struct field *field,
     const json_t *value, const struct gb_dcs *dcs, struct gb_doc *doc)
 {
 	void *out = (char *)doc + field->offset;
@@ -241,8 +244,10 @@
 	return NULL;
 }
 
+/** Parse the fields of an object whose path is the prefix; given records the
+ * fields that are present. */
 static bool
-object_take(const struct doc_check *check, const char *prefix, json_t *object,
+object_parse(const struct doc_check *check, const char *prefix, json_t *object,
     const struct gb_dcs *dcs, struct gb_doc *doc, bool *given)
 {
 	const char *key;
@@ -258,10 +263,10 @@
 		field = field_find(path);
 		if (field != NULL) {
 			given[field - fields] = true;
-			if (!field_take(check, field, value, dcs, doc))
+			if (!field_parse(check, field, value, dcs, doc))
 				return false;
 		} else if (json_is_object(value) && prefix[0] == '\0') {
-			if (!object_take(check, path, value, dcs, doc, given))
+			if (!object_parse(check, path, value, dcs, doc, given))
 				return false;
 		} else {
 			doc_error(check, path, "is not a field of a document");
@@ -271,6 +276,7 @@
 	return true;
 }
 
+/** Set the defaults; those that depend on the kind are set by doc_complete. */
 static void
 doc_defaults(struct gb_doc *doc)
 {
@@ -282,8 +288,11 @@
 	doc->timeout_us = 2 * GB_SEC;
 }
 
+/** Check the document as a whole and set the defaults that depend on its
+ * kind. */
 static bool
-doc_whole(const struct doc_check *check, struct gb_doc *doc, const bool *given)
+doc_complete(
+    const struct doc_check *check, struct gb_doc *doc, const bool *given)
 {
 	size_t i;
 
@@ -320,23 +329,23 @@
 {
 	struct doc_check check = {text, len, err};
 	bool given[FIELD_COUNT] = {false};
-	json_error_t fault;
+	json_error_t json_error;
 	json_t *root;
 	bool ok;
 
 	doc_defaults(doc);
-	root = json_loadb(text, len, JSON_REJECT_DUPLICATES, &fault);
+	root = json_loadb(text, len, JSON_REJECT_DUPLICATES, &json_error);
 	if (root == NULL) {
-		gb_error_set(err, GB_E_INVALID, "%d:%d: %s", fault.line,
-		    fault.column, fault.text);
+		gb_error_set(err, GB_E_INVALID, "%d:%d: %s", json_error.line,
+		    json_error.column, json_error.text);
 		return false;
 	}
 	ok = json_is_object(root);
 	if (!ok)
 		gb_error_set(
 		    err, GB_E_INVALID, "1:1: a document must be an object");
-	ok = ok && object_take(&check, "", root, dcs, doc, given) &&
-	     doc_whole(&check, doc, given);
+	ok = ok && object_parse(&check, "", root, dcs, doc, given) &&
+	     doc_complete(&check, doc, given);
 	json_decref(root);
 	return ok;
 }
--- a/libgooseberry/version/route.c
+++ b/libgooseberry/version/route.c
@@ -1,24 +1,27 @@
 /**
  * @file route.c
- * What an entry knows of shards: who owns each, and roughly how much room it
- * has.  A stale entry does no harm: whoever does not own a shard refuses.
+ * Routing table of an entry: the owner of each shard and roughly its free
+ * capacity.  An outdated table is safe: a scheduler rejects requests for a
+ * shard that it does not own.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "gooseberry.h"
 
-#define AVOID_FOR (500 * GB_MSEC)
+/** How long a shard is avoided after it rejected a request or did not answer.
+ */
+#define AVOID_TIME (500 * GB_MSEC)
 #define MEMBERS_MAX 1024
 
 struct route_shard {
-	uint64_t epoch;
-	bool owned;
-	bool local; /**< in the entry's own data centre */
-	uint32_t free_slots;
-	uint32_t in_flight;
+	uint64_t epoch;	     /**< of the last known owner */
+	bool owned;	     /**< a live member claims it as active */
+	bool local;	     /**< in the entry's own data centre */
+	uint32_t free_slots; /**< as the owner reported */
+	uint32_t in_flight;  /**< requests of this entry */
 	gb_time avoid_until;
-	char addr[GB_NAME_MAX + 1];
+	char addr[GB_NAME_MAX + 1]; /**< of the last known owner */
 };
 
 struct gb_route {
@@ -26,7 +29,7 @@
 	uint32_t shard_count;
 	struct route_shard *shards;
 	uint32_t member_count;
-	char (*members)[GB_NAME_MAX + 1];
+	char (*members)[GB_NAME_MAX + 1]; /**< addresses, nearest first */
 	uint64_t seed;
 	gb_time now;
 };
@@ -57,6 +60,7 @@
 	free(route);
 }
 
+/** Apply a member's claim of a shard, unless a newer epoch is known. */
 static void
 route_claim(struct gb_route *route, const gb_beat *beat, const gb_claim *claim)
 {
@@ -73,6 +77,8 @@
 	snprintf(shard->addr, sizeof(shard->addr), "%s", beat->addr);
 }
 
+/** List the members that are not leaving, those of the own data centre
+ * first. */
 static void
 route_members(struct gb_route *route, const gb_view *view)
 {
@@ -131,44 +137,47 @@
 	return route->shards[shard].addr;
 }
 
-/** Room that a shard is thought to have, less what was sent since. */
+/** Estimated free capacity of a shard in slots: as reported, less this entry's
+ * requests in flight. */
 static int64_t
 shard_free_capacity(const struct route_shard *shard)
 {
 	return (int64_t)shard->free_slots - shard->in_flight;
 }
 
+/** Whether a shard has an owner and is not avoided. */
 static bool
-shard_open(const struct gb_route *route, const struct route_shard *shard)
+shard_usable(const struct gb_route *route, const struct route_shard *shard)
 {
 	return shard->owned && shard->addr[0] != '\0' &&
 	       route->now >= shard->avoid_until;
 }
 
-/** Shards that are considered, in this order. */
-enum route_pass { PASS_LOCAL_ROOM, PASS_ROOM, PASS_OPEN, PASS_OWNED, PASSES };
+/** Sets of shards that are sampled in this order until one has a shard: local
+ * with free capacity, any with free capacity, usable, and owned. */
+enum route_pass { PASS_LOCAL_FREE, PASS_FREE, PASS_USABLE, PASS_OWNED, PASSES };
 
 static bool
-pass_takes(const struct gb_route *route, const struct route_shard *shard,
+pass_allows(const struct gb_route *route, const struct route_shard *shard,
     unsigned int pass)
 {
 	if (!shard->owned)
 		return false;
 	switch (pass) {
-	case PASS_LOCAL_ROOM:
-		return shard->local && shard_open(route, shard) &&
+	case PASS_LOCAL_FREE:
+		return shard->local && shard_usable(route, shard) &&
 		       shard_free_capacity(shard) > 0;
-	case PASS_ROOM:
-		return shard_open(route, shard) &&
+	case PASS_FREE:
+		return shard_usable(route, shard) &&
 		       shard_free_capacity(shard) > 0;
-	case PASS_OPEN:
-		return shard_open(route, shard);
+	case PASS_USABLE:
+		return shard_usable(route, shard);
 	default:
 		return true;
 	}
 }
 
-/** Sample one shard of a pass. */
+/** First shard of a pass from a random position on; GB_NONE: no shard. */
 static uint32_t
 route_sample(struct gb_route *route, uint32_t avoid, unsigned int pass)
 {
@@ -181,7 +190,7 @@
 	for (i = 0; i < route->shard_count; i++) {
 		uint32_t n = (at + i) % route->shard_count;
 
-		if (n != avoid && pass_takes(route, &route->shards[n], pass))
+		if (n != avoid && pass_allows(route, &route->shards[n], pass))
 			return n;
 	}
 	return GB_NONE;
@@ -234,5 +243,5 @@
 {
 	route->now = now;
 	if (shard < route->shard_count)
-		route->shards[shard].avoid_until = now + AVOID_FOR;
+		route->shards[shard].avoid_until = now + AVOID_TIME;
 }
