--- a/libgooseberry/request/relay.c
+++ b/libgooseberry/request/relay.c
@@ -1,8 +1,8 @@
 /**
  * @file relay.c
- * A caller's request or command on its way through an entry: tries at other
- * shards when that is allowed, a second try beside one that takes long, and
- * one whole answer.
+ * Relays a caller's request or command from an entry to a scheduler: retries
+ * it at other shards when that is allowed, sends a hedged request when the
+ * first try takes long, and gives exactly one answer.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -10,10 +10,11 @@
 
 #include "process/entry.h"
 
-#define TRIES_MOST 4
-#define RELAY_GRACE (100 * GB_MSEC)
-#define AGAIN_BASE (20 * GB_MSEC)
-#define AGAIN_MOST (400 * GB_MSEC)
+#define TRIES_MAX 4
+/** How long after the deadline a scheduler's answer is still awaited. */
+#define ANSWER_GRACE (100 * GB_MSEC)
+#define RETRY_DELAY_BASE (20 * GB_MSEC)
+#define RETRY_DELAY_MAX (400 * GB_MSEC)
 
 /* Answers */
 
@@ -63,6 +64,7 @@
 	free(relay);
 }
 
+/** Send the caller the final answer and release the relay. */
 static void
 relay_end(struct relay *relay, const gb_answer *answer)
 {
@@ -120,9 +122,9 @@
 	free(handle);
 }
 
-/** Call a function of the relay later, unless it has ended by then. */
+/** Call fire after a delay; the timer holds a reference to the relay. */
 static void
-relay_later(struct relay *relay, uint64_t ms, uv_timer_cb fire)
+relay_timer_start(struct relay *relay, uint64_t ms, uv_timer_cb fire)
 {
 	uv_timer_t *timer = gb_calloc(1, sizeof(*timer));
 
@@ -133,7 +135,7 @@
 }
 
 static void
-again_fire(uv_timer_t *timer)
+retry_fire(uv_timer_t *timer)
 {
 	struct relay *relay = timer->data;
 
@@ -143,28 +145,31 @@
 	relay_unref(relay);
 }
 
+/** Send the next try after a backoff. */
 static void
-relay_again(struct relay *relay)
+relay_retry_later(struct relay *relay)
 {
 	struct gb_entry *entry = relay->entry;
-	gb_time wait =
-	    gb_retry_delay(&entry->retry, relay->tries, AGAIN_BASE, AGAIN_MOST);
+	gb_time wait = gb_retry_delay(
+	    &entry->retry, relay->tries, RETRY_DELAY_BASE, RETRY_DELAY_MAX);
 
 	entry->retries++;
-	relay_later(relay, (uint64_t)(wait / GB_MSEC) + 1, again_fire);
+	relay_timer_start(relay, (uint64_t)(wait / GB_MSEC) + 1, retry_fire);
 }
 
-/** Whether another try may help and is allowed. */
+/** Whether another try may succeed and is allowed.  Status 0: no answer. */
 static bool
-relay_may_retry(struct relay *relay, gb_verdict verdict, unsigned int status)
+relay_retry_allowed(
+    struct relay *relay, gb_verdict verdict, unsigned int status)
 {
-	if (relay->tries >= TRIES_MOST ||
-	    gb_clock_boot() + AGAIN_BASE >= relay->deadline)
+	if (relay->tries >= TRIES_MAX ||
+	    gb_clock_boot() + RETRY_DELAY_BASE >= relay->deadline)
 		return false;
 	if (verdict == GB_MAYBE_RUN) {
-		/* The scheduler lets only idempotent requests in again.  A
-		 * job's name makes its commands idempotent; a document's
-		 * version does not tell whose change it was. */
+		/* The scheduler admits a repeated request only if it is
+		 * idempotent or has a key.  Commands on a job are idempotent
+		 * by its name.  An apply is not repeated: the version of a
+		 * document does not show whose change it was. */
 		return status == 0 &&
 		       (relay->proc == GB_PROC_REQUEST ||
 			   relay->arg.command.verb != GB_VERB_APPLY) &&
@@ -174,7 +179,8 @@
 	       gb_retry_spend(&relay->entry->retry);
 }
 
-/** Join the parts of a list: {"jobs": [a]} and {"jobs": [b]}. */
+/** Append a shard's part of a list: {"jobs": [a]} and {"jobs": [b]} give
+ * {"jobs": [a, b]}. */
 static void
 gather_add(struct relay *relay, const gb_answer *answer)
 {
@@ -195,6 +201,7 @@
 	gb_text_add(&relay->list, "%.*s", (int)items, open + 1);
 }
 
+/** Add a shard's part of a list, then ask the next shard, or answer. */
 static void
 gather_next(struct relay *relay, const gb_answer *answer)
 {
@@ -213,17 +220,16 @@
 	relay_end(relay, &whole);
 }
 
-/** One try that is out. */
-struct
-try {
+/** One try in flight. */
+struct relay_try {
 	struct relay *relay;
 	uint32_t shard;
 };
 
-static struct try *
-try_new(struct relay *relay, uint32_t shard)
+static struct relay_try *
+relay_try_new(struct relay *relay, uint32_t shard)
 {
-	struct try *try = gb_calloc(1, sizeof(*try));
+	struct relay_try *try = gb_calloc(1, sizeof(*try));
 
 	try->relay = relay;
 	try->shard = shard;
@@ -234,7 +240,7 @@
 }
 
 static void
-try_free(struct try *try)
+relay_try_free(struct relay_try *try)
 {
 	struct relay *relay = try->relay;
 
@@ -244,9 +250,11 @@
 	relay_unref(relay);
 }
 
-/** What to do after the end of a try, other than a second one beside it. */
+/** Handle the end of a try, other than a hedged one: answer, or retry.  The
+ * answer is null when none came. */
 static void
-relay_next(struct relay *relay, gb_verdict verdict, const gb_answer *answer)
+relay_try_ended(
+    struct relay *relay, gb_verdict verdict, const gb_answer *answer)
 {
 	unsigned int status = answer == NULL ? 0 : answer->status;
 
@@ -256,8 +264,8 @@
 	}
 	if (answer == NULL && verdict == GB_MAYBE_RUN)
 		relay->maybe = true;
-	if (verdict != GB_RUN && relay_may_retry(relay, verdict, status))
-		relay_again(relay);
+	if (verdict != GB_RUN && relay_retry_allowed(relay, verdict, status))
+		relay_retry_later(relay);
 	else if (answer != NULL)
 		relay_end(relay, answer);
 	else
@@ -267,9 +275,9 @@
 }
 
 static void
-relay_done(void *data, gb_verdict verdict, void *res)
+relay_try_done(void *data, gb_verdict verdict, void *res)
 {
-	struct try *try = data;
+	struct relay_try *try = data;
 	struct relay *relay = try->relay;
 	const gb_answer *answer = res;
 
@@ -281,23 +289,24 @@
 		gb_route_failed(
 		    relay->entry->route, gb_clock_boot(), try->shard);
 	if (!relay->ended)
-		relay_next(relay, verdict, answer);
-	try_free(try);
+		relay_try_ended(relay, verdict, answer);
+	relay_try_free(try);
 }
 
-/* A second try beside one that takes long: its shard lets it in only if it is
- * idempotent or has a key, and only a whole answer counts. */
+/* Hedged request: a second try while the first is in flight.  Its shard admits
+ * it only if it is idempotent or has a key.  Only its success is used, errors
+ * are ignored. */
 
 static void
 hedge_done(void *data, gb_verdict verdict, void *res)
 {
-	struct try *try = data;
+	struct relay_try *try = data;
 	const gb_answer *answer = res;
 
 	if (!try->relay->ended && answer != NULL && answer->verdict == GB_RUN &&
 	    verdict == GB_RUN)
 		relay_end(try->relay, answer);
-	try_free(try);
+	relay_try_free(try);
 }
 
 static void
@@ -318,12 +327,13 @@
 		req.remaining_us = remaining;
 		req.repeated = TRUE;
 		gb_rpc_client_call(gb_rpc_pool_get(entry->pool, addr),
-		    GB_PROC_REQUEST, &req, remaining + RELAY_GRACE, hedge_done,
-		    try_new(relay, shard));
+		    GB_PROC_REQUEST, &req, remaining + ANSWER_GRACE, hedge_done,
+		    relay_try_new(relay, shard));
 	}
 	relay_unref(relay);
 }
 
+/** Address of the scheduler for the next try, or null; sets its shard. */
 static const char *
 relay_addr(struct relay *relay)
 {
@@ -360,7 +370,7 @@
 	}
 	relay->tries++;
 	if (addr == NULL) {
-		relay_next(relay, GB_NOT_RUN, NULL);
+		relay_try_ended(relay, GB_NOT_RUN, NULL);
 		return;
 	}
 	if (relay->proc == GB_PROC_REQUEST) {
@@ -370,8 +380,8 @@
 		relay->arg.command.remaining_us = remaining;
 	}
 	gb_rpc_client_call(gb_rpc_pool_get(entry->pool, addr), relay->proc,
-	    &relay->arg, remaining + RELAY_GRACE, relay_done,
-	    try_new(relay, relay->shard));
+	    &relay->arg, remaining + ANSWER_GRACE, relay_try_done,
+	    relay_try_new(relay, relay->shard));
 }
 
 void
@@ -380,7 +390,7 @@
 	struct gb_entry *entry = relay->entry;
 
 	if (relay->proc == GB_PROC_REQUEST && entry->settings.hedge_ms > 0)
-		relay_later(
+		relay_timer_start(
 		    relay, (uint64_t)entry->settings.hedge_ms, hedge_fire);
 	relay_send(relay);
 }
--- a/libgooseberry/request/request.c
+++ b/libgooseberry/request/request.c
@@ -1,7 +1,8 @@
 /**
  * @file request.c
- * Requests of callers: admission, a bounded queue that knows deadlines,
- * retries by verdict, idempotency keys, and one final answer for each.
+ * Requests of callers: admission, a bounded queue with deadlines, retries that
+ * depend on the verdict, idempotency keys, and exactly one final answer for
+ * each request.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -9,15 +10,21 @@
 
 #include "process/core.h"
 
-#define TRIES_MOST 4
-#define RETRY_AFTER_LEAST_MS 50
-#define RETRY_AFTER_MOST_MS 5000
+/** Execs sent for one request, with the first. */
+#define TRIES_MAX 4
+#define RETRY_AFTER_MIN_MS 50
+#define RETRY_AFTER_MAX_MS 5000
+/** When a caller may retry after the table service was unavailable. */
 #define STORE_RETRY_MS 1000
+/** When a caller may retry while the shard has no usable owner or worker. */
 #define OWNER_RETRY_MS 200
-#define KEPT_ANSWER_MOST 65536
-#define REMAINING_MOST (600 * GB_SEC)
-/** An exec may begin this long after its caller's deadline at the most. */
+/** Largest answer that is stored under an idempotency key, in bytes. */
+#define KEPT_ANSWER_MAX 65536
+#define TIMEOUT_MAX (600 * GB_SEC)
+/** Latest time after its caller's deadline at which an exec may begin. */
 #define EXEC_MARGIN (50 * GB_MSEC)
+/** Waiting requests without a fitting worker after which a dispatch stops. */
+#define DISPATCH_BLOCKED_MAX 8
 
 static struct request *
 request_find(struct gb_core *core, uint64_t id)
@@ -59,19 +66,19 @@
 	}
 }
 
-/** When a caller should come back: the time in which the queue drains. */
+/** When a caller may retry: the time in which the queue drains. */
 static unsigned int
 retry_after_ms(const struct shard *shard)
 {
-	uint64_t ms = RETRY_AFTER_LEAST_MS;
+	uint64_t ms = RETRY_AFTER_MIN_MS;
 
 	if (shard->drain_rate > 0)
 		ms = ((uint64_t)shard->waiting_count + 1) * 1000 /
 		     shard->drain_rate;
-	if (ms < RETRY_AFTER_LEAST_MS)
-		ms = RETRY_AFTER_LEAST_MS;
+	if (ms < RETRY_AFTER_MIN_MS)
+		ms = RETRY_AFTER_MIN_MS;
 	return (
-	    unsigned int)(ms > RETRY_AFTER_MOST_MS ? RETRY_AFTER_MOST_MS : ms);
+	    unsigned int)(ms > RETRY_AFTER_MAX_MS ? RETRY_AFTER_MAX_MS : ms);
 }
 
 /* Idempotency keys */
@@ -82,6 +89,8 @@
 	snprintf(out, size, KEY_PREFIX "%s/%s", r->spec.team, r->spec.key);
 }
 
+/** Ignores the result of a removed or finished key: the caller has its answer
+ * already. */
 static void
 key_updated(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
@@ -91,8 +100,8 @@
 	(void)result;
 }
 
-/** Remove the key of a request that was not run, so that it may be sent
- * again under the same key. */
+/** Remove the key of a request that was not run, so that the caller may retry
+ * it under the same key. */
 static void
 key_remove(struct gb_core *core, const struct request *r)
 {
@@ -108,6 +117,7 @@
 	store_op_txn(core, &txn, key_updated, GB_NONE, 0);
 }
 
+/** Encode the row of a key, with the answer when the request is done. */
 static bool
 key_encode(
     const struct request *r, bool done, const gb_exec_res *res, gb_body *out)
@@ -125,7 +135,7 @@
 	return gb_xdr_encode((xdrproc_t)xdr_gb_key_row, &row, out);
 }
 
-/** Keep the answer for repeats. */
+/** Store the answer under the key, for later requests with the same key. */
 static void
 key_finish(
     struct gb_core *core, const struct request *r, const gb_exec_res *res)
@@ -134,7 +144,7 @@
 	gb_body body;
 	gb_txn txn;
 
-	if (!r->key_written || res->body.gb_body_len > KEPT_ANSWER_MOST ||
+	if (!r->key_written || res->body.gb_body_len > KEPT_ANSWER_MAX ||
 	    !key_encode(r, true, res, &body))
 		return;
 	memset(&txn, 0, sizeof(txn));
@@ -144,10 +154,11 @@
 	store_op_txn(core, &txn, key_updated, GB_NONE, 0);
 }
 
-/* Ends */
+/* Final answers */
 
+/** End a request with an error. */
 static void
-request_refuse(struct gb_core *core, struct request *r, gb_verdict verdict,
+request_fail(struct gb_core *core, struct request *r, gb_verdict verdict,
     unsigned status, unsigned retry_ms, const char *reason)
 {
 	if (verdict == GB_NOT_RUN && r->maybe)
@@ -159,6 +170,7 @@
 	request_free(core, r);
 }
 
+/** End a request with the answer of the worker. */
 static void
 request_answer(struct gb_core *core, struct request *r, const gb_exec_res *res)
 {
@@ -175,20 +187,23 @@
 	request_free(core, r);
 }
 
+/** Put a request at the end of its shard's queue. */
 static void
-request_wait(struct request *r)
+request_enqueue(struct request *r)
 {
-	/* An answer to an earlier try that still comes is dropped. */
+	/* A late answer to an earlier try is ignored. */
 	r->rid = 0;
 	r->state = REQUEST_WAITING;
 	TAILQ_INSERT_TAIL(&r->shard->waiting, r, next);
 	r->shard->waiting_count++;
 }
 
-/* Key before the first send */
+/* Write of the key, which precedes the first exec */
 
 static void key_write(struct gb_core *, struct request *);
 
+/** Continue a request whose key exists already: written by this request, or by
+ * an earlier one. */
 static void
 key_found(struct gb_core *core, struct request *r, const gb_row *stored)
 {
@@ -199,17 +214,17 @@
 	memset(&row, 0, sizeof(row));
 	memset(&res, 0, sizeof(res));
 	if (!gb_xdr_decode((xdrproc_t)xdr_gb_key_row, &body, &row)) {
-		request_refuse(core, r, GB_MAYBE_RUN, 409, 0,
+		request_fail(core, r, GB_MAYBE_RUN, 409, 0,
 		    "the key's record cannot be read");
 		return;
 	}
 	if (row.nonce == r->key_nonce) {
 		r->key_written = true;
 		r->key_vers = stored->vers;
-		request_wait(r);
+		request_enqueue(r);
 		request_dispatch(core, r->shard);
 	} else if (row.fingerprint != r->fingerprint) {
-		request_refuse(core, r, GB_NOT_RUN, 422, 0,
+		request_fail(core, r, GB_NOT_RUN, 422, 0,
 		    "the key belongs to another request");
 	} else if (row.done) {
 		res.verdict = GB_RUN;
@@ -217,7 +232,7 @@
 		res.body = row.body;
 		request_answer(core, r, &res);
 	} else {
-		request_refuse(core, r, GB_MAYBE_RUN, 409, 0,
+		request_fail(core, r, GB_MAYBE_RUN, 409, 0,
 		    "a request with this key may have run");
 	}
 	xdr_free((xdrproc_t)xdr_gb_key_row, (char *)&row);
@@ -232,7 +247,7 @@
 	if (r == NULL)
 		return;
 	if (result->status != GB_STORE_OK)
-		request_refuse(core, r, GB_NOT_RUN, 503, STORE_RETRY_MS,
+		request_fail(core, r, GB_NOT_RUN, 503, STORE_RETRY_MS,
 		    "the table service is unavailable");
 	else if (result->count == 0)
 		key_write(core, r);
@@ -253,11 +268,11 @@
 	case GB_STORE_OK:
 		r->key_written = true;
 		r->key_vers = result->vers;
-		request_wait(r);
+		request_enqueue(r);
 		request_dispatch(core, r->shard);
 		break;
 	case GB_STORE_REFUSED:
-		request_refuse(core, r, GB_NOT_RUN, 503, STORE_RETRY_MS,
+		request_fail(core, r, GB_NOT_RUN, 503, STORE_RETRY_MS,
 		    "the table service is unavailable");
 		break;
 	case GB_STORE_CONFLICT:
@@ -286,6 +301,7 @@
 
 /* Admission */
 
+/** Answer a request that is not admitted. */
 static void
 request_reject(struct gb_core *core, uint64_t id, unsigned status,
     unsigned retry_ms, const char *reason)
@@ -294,7 +310,8 @@
 	core_answer(core, id, GB_NOT_RUN, status, retry_ms, reason);
 }
 
-/** Check a request against its document; null when it may not enter. */
+/** Check a request against the state of the shard and its document.  Returns
+ * null when it is rejected. */
 static const struct gb_doc *
 request_admit(struct gb_core *core, uint64_t id, const gb_request *req,
     struct shard *shard)
@@ -349,8 +366,8 @@
 	struct shard *shard = shard_get(core, req->shard);
 	const struct gb_doc *doc;
 	struct request *r;
-	gb_request bare = *req;
-	gb_time remaining = req->remaining_us;
+	gb_request bodyless = *req;
+	gb_time timeout = req->remaining_us;
 
 	core->now = now;
 	core->stats.requests++;
@@ -360,15 +377,15 @@
 	r = gb_calloc(1, sizeof(*r));
 	r->id = id;
 	r->shard = shard;
-	bare.body.gb_body_len = 0;
-	bare.body.gb_body_val = NULL;
+	bodyless.body.gb_body_len = 0;
+	bodyless.body.gb_body_val = NULL;
 	gb_xdr_copy(
-	    (xdrproc_t)xdr_gb_request, &bare, &r->spec, sizeof(r->spec));
-	if (remaining == 0)
-		remaining = doc->timeout_us;
-	if (remaining > REMAINING_MOST)
-		remaining = REMAINING_MOST;
-	r->deadline = now + remaining;
+	    (xdrproc_t)xdr_gb_request, &bodyless, &r->spec, sizeof(r->spec));
+	if (timeout == 0)
+		timeout = doc->timeout_us;
+	if (timeout > TIMEOUT_MAX)
+		timeout = TIMEOUT_MAX;
+	r->deadline = now + timeout;
 	r->started = now;
 	r->need = doc->res;
 	r->idempotent = doc->idempotent;
@@ -387,7 +404,7 @@
 		key_write(core, r);
 		return;
 	}
-	request_wait(r);
+	request_enqueue(r);
 	request_dispatch(core, shard);
 }
 
@@ -396,33 +413,36 @@
 {
 	struct request *r = request_find(core, id);
 
-	/* What has been sent goes on; what waits need not be sent. */
+	/* A request that was sent to a worker is not stopped. */
 	if (r != NULL && r->state == REQUEST_WAITING)
-		request_refuse(
+		request_fail(
 		    core, r, GB_NOT_RUN, 499, 0, "the caller has gone");
 }
 
-/* Sending */
+/* Dispatch */
 
-/** What the filter of a search for a worker looks at. */
-struct send {
+/** Context of the filter that restricts the workers for a request. */
+struct request_filter {
 	struct gb_core *core;
 	const struct request *request;
 };
 
+/** Whether a worker of the shard is in the request's pool, and not the one
+ * whose try failed. */
 static bool
-send_allows(void *data, uint32_t at)
+request_filter_allows(void *data, uint32_t at)
 {
-	const struct send *send = data;
+	const struct request_filter *context = data;
 	const struct worker *w =
-	    worker_at(send->core, send->request->shard, at);
+	    worker_at(context->core, context->request->shard, at);
 
-	if (w->handle == send->request->avoid)
+	if (w->handle == context->request->avoid)
 		return false;
-	return send->request->pool[0] == '\0' ||
-	       strcmp(send->request->pool, w->pool) == 0;
+	return context->request->pool[0] == '\0' ||
+	       strcmp(context->request->pool, w->pool) == 0;
 }
 
+/** Send a waiting request to a worker as an exec. */
 static void
 request_send(struct gb_core *core, struct request *r, struct worker *w)
 {
@@ -475,10 +495,11 @@
 
 	if (core_list_stale(core))
 		return;
-	for (r = TAILQ_FIRST(&shard->waiting); r != NULL && blocked < 8;
-	     r = next) {
-		struct send send = {core, r};
-		struct gb_filter filter = {send_allows, NULL, &send};
+	for (r = TAILQ_FIRST(&shard->waiting);
+	     r != NULL && blocked < DISPATCH_BLOCKED_MAX; r = next) {
+		struct request_filter context = {core, r};
+		struct gb_filter filter = {
+		    request_filter_allows, NULL, &context};
 		struct worker *w;
 
 		next = TAILQ_NEXT(r, next);
@@ -494,6 +515,7 @@
 
 /* Answers of workers */
 
+/** Drop an exec and free its capacity, unless the shard was lost since. */
 static void
 exec_release(struct gb_core *core, struct exec *e)
 {
@@ -511,8 +533,8 @@
 	free(e);
 }
 
-/** Nobody waits for an exec any more; its room stays taken until the worker
- * shows that it has ended. */
+/** Stop waiting for an exec without an answer.  Its capacity stays in use
+ * until a report of the worker shows that it has ended. */
 static void
 exec_give_up(struct gb_core *core, uint64_t rid)
 {
@@ -529,8 +551,9 @@
 	w->given_up++;
 }
 
+/** Count an ended request in the rate at which the shard's queue drains. */
 static void
-drain_count(struct gb_core *core, struct shard *shard)
+drain_rate_update(struct gb_core *core, struct shard *shard)
 {
 	gb_time span = core->now - shard->drain_from;
 
@@ -546,23 +569,23 @@
 	shard->drain_from = core->now;
 }
 
-/** A try failed: try again elsewhere, or give the final answer at once. */
+/** A try failed: retry on another worker if that is allowed, else fail. */
 static void
-request_failed(struct gb_core *core, struct request *r, gb_verdict verdict)
+request_try_failed(struct gb_core *core, struct request *r, gb_verdict verdict)
 {
 	bool own = r->shard->state == SHARD_ACTIVE && !core->leaving;
 
 	r->maybe = r->maybe || verdict == GB_MAYBE_RUN;
 	if (own && gb_verdict_retryable(verdict, r->idempotent) &&
-	    r->tries < TRIES_MOST && core->now < r->deadline &&
+	    r->tries < TRIES_MAX && core->now < r->deadline &&
 	    gb_core_fresh(core, core->now) && gb_retry_spend(&core->retry)) {
 		core->stats.retries++;
 		r->avoid = r->worker;
-		request_wait(r);
+		request_enqueue(r);
 		request_dispatch(core, r->shard);
 		return;
 	}
-	request_refuse(core, r, verdict, verdict == GB_NOT_RUN ? 503 : 502,
+	request_fail(core, r, verdict, verdict == GB_NOT_RUN ? 503 : 502,
 	    retry_after_ms(r->shard),
 	    verdict == GB_NOT_RUN ? "no worker took the request"
 				  : "the worker did not answer");
@@ -592,11 +615,11 @@
 		exec_release(core, e);
 	if (r == NULL)
 		return;
-	drain_count(core, r->shard);
+	drain_rate_update(core, r->shard);
 	if (res->verdict == GB_RUN)
 		request_answer(core, r, res);
 	else
-		request_failed(core, r, res->verdict);
+		request_try_failed(core, r, res->verdict);
 	if (w->shard->state == SHARD_ACTIVE)
 		request_dispatch(core, w->shard);
 }
@@ -658,7 +681,7 @@
 	}
 }
 
-/* Time */
+/* Deadlines and lost shards */
 
 void
 request_tick(struct gb_core *core)
@@ -674,10 +697,10 @@
 			if (r->serial == r->shard->serial)
 				r->shard->sent_count--;
 			exec_give_up(core, r->rid);
-			request_refuse(core, r, GB_MAYBE_RUN, 504, 0,
+			request_fail(core, r, GB_MAYBE_RUN, 504, 0,
 			    "the deadline passed while it ran");
 		} else {
-			request_refuse(core, r, GB_NOT_RUN, 504,
+			request_fail(core, r, GB_NOT_RUN, 504,
 			    retry_after_ms(r->shard),
 			    "the deadline passed before it could start");
 		}
@@ -695,12 +718,12 @@
 	HASH_ITER(hh, core->requests, r, next)
 	{
 		if (r->shard == shard && r->state != REQUEST_SENT)
-			request_refuse(core, r, GB_NOT_RUN, 503, OWNER_RETRY_MS,
+			request_fail(core, r, GB_NOT_RUN, 503, OWNER_RETRY_MS,
 			    "the shard changed its owner");
 	}
 	HASH_ITER(hh, core->execs, e, next_exec)
 	{
-		/* Those with a caller still bring their answers. */
+		/* The others still end with an answer or a timeout. */
 		if (!e->given_up || worker_get(core, e->worker)->shard != shard)
 			continue;
 		HASH_DEL(core->execs, e);
--- a/libgooseberry/request/retry.c
+++ b/libgooseberry/request/retry.c
@@ -4,7 +4,9 @@
  */
 #include "gooseberry.h"
 
+/** Credit of one retry. */
 #define RETRY_COST 1000
+/** Largest exponent of the backoff, so that the shift does not overflow. */
 #define BACKOFF_STEPS_MAX 16
 
 void
@@ -36,14 +38,14 @@
 
 gb_time
 gb_retry_delay(
-    struct gb_retry *retry, unsigned int try, gb_time base, gb_time most)
+    struct gb_retry *retry, unsigned int try, gb_time base, gb_time max)
 {
 	gb_time ceiling;
 
 	if (try > BACKOFF_STEPS_MAX)
 		try = BACKOFF_STEPS_MAX;
 	ceiling = base << try;
-	if (ceiling > most)
-		ceiling = most;
+	if (ceiling > max)
+		ceiling = max;
 	return 1 + (gb_time)(gb_random_next(&retry->seed) % (uint64_t)ceiling);
 }
--- a/libgooseberry/request/trace.c
+++ b/libgooseberry/request/trace.c
@@ -1,6 +1,7 @@
 /**
  * @file trace.c
- * W3C traceparent in and out, and a line of JSON for each hop.
+ * Trace context: reads and makes W3C traceparent values, and writes each span
+ * as a line of JSON.
  */
 #include <ctype.h>
 #include <inttypes.h>
@@ -9,6 +10,7 @@
 
 #include "gooseberry.h"
 
+/* Layout of a traceparent: "00-TRACE_ID-SPAN_ID-FLAGS", all hexadecimal */
 #define TRACE_LEN 55
 #define TRACE_ID_AT 3
 #define TRACE_ID_LEN 32
@@ -63,7 +65,7 @@
     const char *hop, gb_time start, gb_time end, const char *detail)
 {
 	char line[512];
-	bool child = trace_valid(parent);
+	bool has_parent = trace_valid(parent);
 
 	if (env->trace == NULL || !gb_trace_sampled(own))
 		return;
@@ -72,7 +74,7 @@
 	    "\"hop\":\"%s\",\"start_us\":%" PRId64 ",\"took_us\":%" PRId64
 	    ",\"detail\":\"%s\"}",
 	    TRACE_ID_LEN, own + TRACE_ID_AT, SPAN_LEN, own + SPAN_AT,
-	    child ? SPAN_LEN : 0, child ? parent + SPAN_AT : "", hop, start,
-	    end - start, detail);
+	    has_parent ? SPAN_LEN : 0, has_parent ? parent + SPAN_AT : "", hop,
+	    start, end - start, detail);
 	env->trace(env->data, line);
 }
--- a/libgooseberry/request/verdict.c
+++ b/libgooseberry/request/verdict.c
@@ -1,6 +1,6 @@
 /**
  * @file verdict.c
- * Whether a request may have run.
+ * Verdicts: whether a request was run, and whether it may be retried.
  */
 #include "gooseberry.h"
 
