--- a/libgooseberry/connection/http.c
+++ b/libgooseberry/connection/http.c
@@ -13,8 +13,9 @@
 #include "rpc.h"
 
 #define HTTP_BACKLOG 1024
-/** Bytes of an answer before its body: status, date, type, length. */
-#define HTTP_ANSWER_HEAD 170
+/** Estimated bytes of an answer before its body: status, date, type and
+ * length. */
+#define HTTP_HEAD_BYTES 170
 
 struct http_server {
 	uv_tcp_t tcp;
@@ -26,7 +27,7 @@
 	int port;
 	struct gb_link *link;
 	unsigned int in_flight;
-	bool leaving; /**< connections end with their next answer */
+	bool leaving; /**< connections are closed after their next answer */
 	bool closing;
 };
 
@@ -35,9 +36,10 @@
 	struct http_server *server;
 };
 
-/** Allocated from the request's pool: told when the connection goes. */
+/** Detaches a call from its h2o request.  It is allocated from the pool of that
+ * request, which is freed when the connection is closed early. */
 struct http_guard {
-	struct http_call *call;
+	struct http_call *call; /**< null once it is answered */
 };
 
 static void
@@ -263,7 +265,7 @@
 		http_call_add(call, "content-type", type);
 		h2o_send_inline(req, body, len);
 		gb_link_out(call->server->link, gb_clock_boot(),
-		    GB_TRAFFIC_CALLER, HTTP_ANSWER_HEAD + len);
+		    GB_TRAFFIC_CALLER, HTTP_HEAD_BYTES + len);
 	}
 	free(call);
 }
--- a/libgooseberry/connection/http.h
+++ b/libgooseberry/connection/http.h
@@ -1,6 +1,6 @@
 /**
  * @file http.h
- * HTTP server over h2o on libuv, as the entry needs it.
+ * HTTP server, implemented with h2o on a libuv event loop.
  */
 #ifndef GB_HTTP_H
 #define GB_HTTP_H
@@ -9,36 +9,39 @@
 
 struct http_server;
 
-/** A request whose answer is due.  It may outlive its connection. */
+/** A request that is to be answered.  It may outlive its connection. */
 struct http_call {
 	struct http_server *server;
-	void *req; /**< h2o_req_t, null once the connection has gone */
+	void *req; /**< h2o_req_t, null once the connection is closed */
 	const char *method;
-	const char *path; /**< without the query, terminated */
-	const char *query;
+	const char *path;  /**< without the query */
+	const char *query; /**< without the question mark, may be empty */
 	const char *body;
 	size_t body_len;
-	void *guard; /**< tells this call when its connection goes */
-	void *data;  /**< the handler's */
+	void *guard; /**< struct http_guard, internal to http.c */
+	void *data;  /**< for the handler */
 };
 
+/** Handles a request; it is answered now or later with http_call_answer. */
 typedef void (*http_handler)(void *, struct http_call *);
 
 struct http_server *http_server_new(struct uv_loop_s *, const char *addr,
     size_t body_limit, http_handler, void *, struct gb_error *);
 int http_server_port(const struct http_server *);
-/** Count what it answers as sent to callers. */
+/** Count the bytes of answers in a link, as traffic to callers. */
 void http_server_count(struct http_server *, struct gb_link *);
-/** End every connection with its next answer; still accept new ones, until
- * the balancer has seen that this entry is leaving. */
+/** Close each connection after its next answer.  New connections are accepted
+ * until the balancer knows that this instance is leaving. */
 void http_server_leave(struct http_server *);
-/** Stop accepting; tell clients to close when their answer is written. */
+/** Stop accepting connections, and close each one after its next answer. */
 void http_server_close(struct http_server *);
+/** Number of requests that are not answered yet. */
 unsigned int http_server_in_flight(const struct http_server *);
-/** Header of a request or null; lives as long as the connection. */
+/** Copy a header of the request and return the copy.  Null when the header is
+ * missing or the connection is closed. */
 const char *http_call_header(
     const struct http_call *, const char *name, char *out, size_t size);
-/** Host that the request is for, without a port. */
+/** Copy the host of the request, without the port. */
 void http_call_host(const struct http_call *, char *out, size_t size);
 /** Add a header to the answer. */
 void http_call_add(struct http_call *, const char *name, const char *value);
--- a/libgooseberry/connection/rpc.h
+++ b/libgooseberry/connection/rpc.h
@@ -1,6 +1,7 @@
 /**
  * @file rpc.h
- * What the server and the client of remote procedure calls share.
+ * Record streams and addresses, shared by the server and the client of remote
+ * procedure calls.
  */
 #ifndef GB_RPC_H
 #define GB_RPC_H
@@ -11,35 +12,39 @@
 
 #define RPC_PROGRAM 0x20676261u
 #define RPC_PROGRAM_VERSION 1
+/** Longest record, in bytes. */
 #define RPC_RECORD_MAX (16u * 1024 * 1024)
+/** Bit of a record mark that is set for the last fragment of a record. */
 #define RPC_LAST_FRAGMENT 0x80000000u
+/** Length of a record mark, in bytes. */
 #define RPC_MARK_LEN 4
 #define RPC_CONNECTION_BACKLOG 512
 
-/** Collects the fragments of a record from a stream. */
+/** Bytes of a stream that are not a complete record yet. */
 struct rpc_reader {
 	char *data;
 	size_t len;
 	size_t size;
 };
 
-/** Called with each whole record; false ends the connection. */
+/** Called with each complete record; false ends the connection. */
 typedef bool (*rpc_record_fn)(void *, char *, size_t);
 
-/** Take in bytes; false when the stream is malformed or a record is not
- * wanted. */
+/** Add bytes received and call the function for each complete record.  False
+ * when the stream is malformed or the function returned false. */
 bool rpc_reader_feed(
     struct rpc_reader *, const char *, size_t, rpc_record_fn, void *);
 void rpc_reader_free(struct rpc_reader *);
 
-/** Write one message as a record, with an optional body behind it that the
- * message's own coder handles. */
+/** Write a message as one record, followed by a body if there is a coder for
+ * it.  Adds the record's length to bytes; false when it cannot be written. */
 bool rpc_stream_write(
     uv_stream_t *, struct rpc_msg *, xdrproc_t, void *, size_t *bytes);
 
-/** Split "IP:port"; false when malformed. */
+/** Parse "IP:port"; false when malformed. */
 bool rpc_addr_parse(const char *, struct sockaddr_in *);
 
+/** Allocate the buffer of a read; the read callback frees it. */
 void rpc_stream_alloc(uv_handle_t *, size_t, uv_buf_t *);
 
 #endif
--- a/libgooseberry/connection/rpc_client.c
+++ b/libgooseberry/connection/rpc_client.c
@@ -1,12 +1,12 @@
 /**
  * @file rpc_client.c
- * Calls procedures of one peer over one connection, which is made when it is
- * needed.  Answers are matched by id; those nobody waits for are dropped.
+ * Calls procedures of one peer over one connection, which is opened when it is
+ * needed.  Answers are matched to calls by id; late ones are dropped.
  *
- * A connection may go silent without a reset while a new one would work.  One
- * that has carried nothing since a call was written whose time is up takes no
- * new calls; it stays open for the calls that are out, since the peer may only
- * be slow.
+ * A connection may become silent without a reset while a new one would work.
+ * When a call times out and nothing was received since it was written, the
+ * connection is retired: it takes no new calls, but stays open for the calls
+ * in flight, since the peer may only be slow.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -17,62 +17,63 @@
 #include "rpc.h"
 
 #define TIMEOUT_SCAN_MS 10
-/** A connection on which nothing ever came is this old before it is replaced,
- * doubled with each such one in a row: a peer that stands still, or can't be
- * reached, is not flooded with connections. */
-#define LINK_UNHEARD_LEAST GB_SEC
-#define LINK_UNHEARD_DOUBLINGS 3
+/** Age at which a connection that never received anything is retired.  It is
+ * doubled for each such connection in a row, so that a paused or unreachable
+ * peer is not flooded with connections. */
+#define SILENT_CONN_MIN_AGE GB_SEC
+#define SILENT_CONN_DOUBLINGS_MAX 3
 
-struct rpc_link;
+struct rpc_client_conn;
 
-/** One call that is out. */
+/** One call in flight, or waiting for the connection. */
 struct rpc_pending {
 	UT_hash_handle hh;
 	uint32_t xid;
 	uint32_t proc;
-	struct rpc_link *link; /**< that it was written to, or null */
+	struct rpc_client_conn *conn; /**< it was written to, or null */
 	gb_time written;
 	gb_time deadline;
 	gb_rpc_done done;
 	void *data;
-	gb_body arg; /* coded, until the connection stands */
+	gb_body arg; /**< encoded argument, until it is written */
 };
 
-/** The socket; outlives the client while libuv closes it. */
-struct rpc_link {
+/** Connection to the peer; outlives the client while libuv closes it. */
+struct rpc_client_conn {
 	uv_tcp_t tcp;
 	uv_connect_t connect;
-	LIST_ENTRY(rpc_link) next;
+	LIST_ENTRY(rpc_client_conn) next;
 	struct gb_rpc_client *client; /**< null when closed */
 	struct rpc_reader reader;
-	bool up;
-	gb_time made;
-	gb_time last_heard; /**< when something last came, 0: never */
+	bool connected;
+	gb_time created;
+	gb_time last_heard; /**< when bytes were last received, 0: never */
 };
 
-LIST_HEAD(rpc_links, rpc_link);
+LIST_HEAD(rpc_client_conns, rpc_client_conn);
 
 struct gb_rpc_client {
 	uv_timer_t timer;
 	uv_loop_t *loop;
 	const struct gb_env *env;
-	struct rpc_link *link; /**< takes new calls, or null */
-	struct rpc_links old;  /**< take none, and have calls out */
-	unsigned int unheard;  /**< connections in a row that were silent */
+	struct rpc_client_conn *conn;	 /**< takes new calls, or null */
+	struct rpc_client_conns retired; /**< take none, have calls in flight */
+	/** Connections in a row that never received anything. */
+	unsigned int silent_conns;
 	struct rpc_pending *pending;
 	char addr[GB_NAME_MAX + 1];
 	uint32_t next_xid;
-	size_t bytes;
+	size_t bytes; /**< received and sent */
 	bool freed;
 };
 
 static void
-link_closed(uv_handle_t *handle)
+conn_closed(uv_handle_t *handle)
 {
-	struct rpc_link *link = (struct rpc_link *)handle;
+	struct rpc_client_conn *conn = (struct rpc_client_conn *)handle;
 
-	rpc_reader_free(&link->reader);
-	free(link);
+	rpc_reader_free(&conn->reader);
+	free(conn);
 }
 
 static void
@@ -85,48 +86,50 @@
 	free(call);
 }
 
-/** First call of a connection among those up to an id. */
+/** First call written to a connection (null: not written yet) with an id up to
+ * a limit. */
 static struct rpc_pending *
-link_call(const struct gb_rpc_client *client, const struct rpc_link *link,
-    uint32_t limit)
+conn_first_call(const struct gb_rpc_client *client,
+    const struct rpc_client_conn *conn, uint32_t limit)
 {
 	struct rpc_pending *call;
 
 	for (call = client->pending; call != NULL; call = call->hh.next) {
-		if (call->xid <= limit && call->link == link)
+		if (call->xid <= limit && call->conn == conn)
 			return call;
 	}
 	return NULL;
 }
 
-/** Close a connection, and end its calls.  Those that wait for the one that
- * takes new calls were not sent. */
+/** Close a connection and end its calls, which may have run.  When it is the
+ * one that takes new calls, those not written yet end as not run. */
 static void
-link_close(struct rpc_link *link)
+conn_close(struct rpc_client_conn *conn)
 {
-	struct gb_rpc_client *client = link->client;
-	bool current = client->link == link;
+	struct gb_rpc_client *client = conn->client;
+	bool current = client->conn == conn;
 	struct rpc_pending *call;
 	uint32_t limit = client->next_xid;
 
 	if (current)
-		client->link = NULL;
+		client->conn = NULL;
 	else
-		LIST_REMOVE(link, next);
-	link->client = NULL;
-	uv_close((uv_handle_t *)&link->tcp, link_closed);
-	/* Callbacks may add calls; those have newer ids and stay. */
-	while ((call = link_call(client, link, limit)) != NULL)
+		LIST_REMOVE(conn, next);
+	conn->client = NULL;
+	uv_close((uv_handle_t *)&conn->tcp, conn_closed);
+	/* Callbacks may add calls; these have greater ids and are kept. */
+	while ((call = conn_first_call(client, conn, limit)) != NULL)
 		pending_finish(client, call, GB_MAYBE_RUN, NULL);
-	while (current && (call = link_call(client, NULL, limit)) != NULL)
+	while (current && (call = conn_first_call(client, NULL, limit)) != NULL)
 		pending_finish(client, call, GB_NOT_RUN, NULL);
 }
 
+/** Handle one answer; false ends the connection. */
 static bool
-link_record(void *data, char *record, size_t len)
+conn_record(void *data, char *record, size_t len)
 {
-	struct rpc_link *link = data;
-	struct gb_rpc_client *client = link->client;
+	struct rpc_client_conn *conn = data;
+	struct gb_rpc_client *client = conn->client;
 	const struct gb_rpc_method *method;
 	struct rpc_pending *call;
 	char verf[MAX_AUTH_BYTES];
@@ -160,28 +163,28 @@
 	xdr_free(method->res, res);
 	free(res);
 	xdr_destroy(&xdrs);
-	return ok && link->client != NULL;
+	return ok && conn->client != NULL;
 }
 
 static void
-link_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
+conn_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
 {
-	struct rpc_link *link = (struct rpc_link *)stream;
+	struct rpc_client_conn *conn = (struct rpc_client_conn *)stream;
 	bool ok = n >= 0;
 
-	if (link->client != NULL && n > 0) {
-		link->client->bytes += (size_t)n;
-		link->client->unheard = 0;
-		link->last_heard = gb_clock_boot();
+	if (conn->client != NULL && n > 0) {
+		conn->client->bytes += (size_t)n;
+		conn->client->silent_conns = 0;
+		conn->last_heard = gb_clock_boot();
 		ok = rpc_reader_feed(
-		    &link->reader, buf->base, (size_t)n, link_record, link);
+		    &conn->reader, buf->base, (size_t)n, conn_record, conn);
 	}
-	if (!ok && link->client != NULL)
-		link_close(link);
+	if (!ok && conn->client != NULL)
+		conn_close(conn);
 	free(buf->base);
 }
 
-/** Write bytes that are coded already. */
+/** XDR coder for an argument that is encoded already. */
 static bool_t
 raw_code(XDR *xdrs, gb_body *body)
 {
@@ -204,9 +207,9 @@
 	msg.rm_call.cb_proc = call->proc;
 	msg.rm_call.cb_cred = none;
 	msg.rm_call.cb_verf = none;
-	call->link = client->link;
+	call->conn = client->conn;
 	call->written = gb_clock_boot();
-	rpc_stream_write((uv_stream_t *)&client->link->tcp, &msg,
+	rpc_stream_write((uv_stream_t *)&client->conn->tcp, &msg,
 	    (xdrproc_t)raw_code, &call->arg, &client->bytes);
 	gb_link_out(gb_env_link(client->env), call->written,
 	    GB_TRAFFIC_RPC + call->proc, client->bytes - before);
@@ -215,23 +218,23 @@
 }
 
 static void
-link_connected(uv_connect_t *req, int status)
+conn_connected(uv_connect_t *req, int status)
 {
-	struct rpc_link *link = req->data;
-	struct gb_rpc_client *client = link->client;
+	struct rpc_client_conn *conn = req->data;
+	struct gb_rpc_client *client = conn->client;
 	struct rpc_pending *call;
 
 	if (client == NULL)
 		return;
 	if (status != 0) {
-		link_close(link);
+		conn_close(conn);
 		return;
 	}
-	link->up = true;
-	uv_tcp_nodelay(&link->tcp, 1);
-	uv_read_start((uv_stream_t *)&link->tcp, rpc_stream_alloc, link_read);
+	conn->connected = true;
+	uv_tcp_nodelay(&conn->tcp, 1);
+	uv_read_start((uv_stream_t *)&conn->tcp, rpc_stream_alloc, conn_read);
 	for (call = client->pending; call != NULL; call = call->hh.next) {
-		if (call->link == NULL)
+		if (call->conn == NULL)
 			call_write(client, call);
 	}
 }
@@ -239,22 +242,22 @@
 static void
 client_connect(struct gb_rpc_client *client)
 {
-	struct rpc_link *link = gb_calloc(1, sizeof(*link));
+	struct rpc_client_conn *conn = gb_calloc(1, sizeof(*conn));
 	struct sockaddr_in sin;
 
-	link->client = client;
-	link->made = gb_clock_boot();
-	client->link = link;
-	uv_tcp_init(client->loop, &link->tcp);
-	link->connect.data = link;
+	conn->client = client;
+	conn->created = gb_clock_boot();
+	client->conn = conn;
+	uv_tcp_init(client->loop, &conn->tcp);
+	conn->connect.data = conn;
 	if (!rpc_addr_parse(client->addr, &sin) ||
-	    uv_tcp_connect(&link->connect, &link->tcp, (struct sockaddr *)&sin,
-		link_connected) != 0)
-		link_close(link);
+	    uv_tcp_connect(&conn->connect, &conn->tcp, (struct sockaddr *)&sin,
+		conn_connected) != 0)
+		conn_close(conn);
 }
 
-/** First call whose time is up.  Calls stand in the order they were made,
- * but not in the order of their deadlines. */
+/** First call whose deadline has passed.  Calls are in the order in which they
+ * were made, not in that of their deadlines. */
 static struct rpc_pending *
 client_expired(struct gb_rpc_client *client, gb_time now)
 {
@@ -267,65 +270,67 @@
 	return NULL;
 }
 
-/** Whether a connection has gone silent, by a call on it whose time is up. */
+/** Whether a connection is silent, judged by an expired call on it. */
 static bool
-link_silent(const struct rpc_link *link, const struct rpc_pending *call)
+conn_silent(const struct rpc_client_conn *conn, const struct rpc_pending *call)
 {
-	unsigned int doublings = link->client->unheard;
-
-	if (link->last_heard != 0)
-		return link->last_heard < call->written;
-	if (doublings > LINK_UNHEARD_DOUBLINGS)
-		doublings = LINK_UNHEARD_DOUBLINGS;
-	return gb_clock_boot() - link->made >= LINK_UNHEARD_LEAST << doublings;
+	unsigned int doublings = conn->client->silent_conns;
+
+	if (conn->last_heard != 0)
+		return conn->last_heard < call->written;
+	if (doublings > SILENT_CONN_DOUBLINGS_MAX)
+		doublings = SILENT_CONN_DOUBLINGS_MAX;
+	return gb_clock_boot() - conn->created >= SILENT_CONN_MIN_AGE
+						      << doublings;
 }
 
-/** No new calls go over a connection that has gone silent. */
+/** Retire the connection of an expired call if it is silent. */
 static void
 client_retire(struct gb_rpc_client *client, const struct rpc_pending *call)
 {
-	struct rpc_link *link = call->link;
+	struct rpc_client_conn *conn = call->conn;
 
-	if (link == NULL || link != client->link || !link_silent(link, call))
+	if (conn == NULL || conn != client->conn || !conn_silent(conn, call))
 		return;
-	if (link->last_heard == 0)
-		client->unheard++;
-	client->link = NULL;
-	LIST_INSERT_HEAD(&client->old, link, next);
+	if (conn->last_heard == 0)
+		client->silent_conns++;
+	client->conn = NULL;
+	LIST_INSERT_HEAD(&client->retired, conn, next);
 }
 
-/** Close the old connections whose calls have all ended. */
+/** Close the retired connections whose calls have all ended. */
 static void
-client_sweep(struct gb_rpc_client *client)
+client_close_retired(struct gb_rpc_client *client)
 {
-	struct rpc_link *link;
-	struct rpc_link *next;
+	struct rpc_client_conn *conn;
+	struct rpc_client_conn *next;
 
-	for (link = LIST_FIRST(&client->old); link != NULL; link = next) {
-		next = LIST_NEXT(link, next);
-		if (link_call(client, link, client->next_xid) == NULL)
-			link_close(link);
+	for (conn = LIST_FIRST(&client->retired); conn != NULL; conn = next) {
+		next = LIST_NEXT(conn, next);
+		if (conn_first_call(client, conn, client->next_xid) == NULL)
+			conn_close(conn);
 	}
 }
 
+/** End the expired calls, and close the connections that serve no call. */
 static void
 client_scan(uv_timer_t *timer)
 {
 	struct gb_rpc_client *client = timer->data;
 	struct rpc_pending *call;
 	gb_time now = gb_clock_boot();
-	bool stuck = false;
+	bool unsent = false;
 
-	/* A callback may end other calls, so search anew after each. */
+	/* A callback may end other calls, so restart the search after each. */
 	while ((call = client_expired(client, now)) != NULL) {
-		stuck = stuck || call->link == NULL;
+		unsent = unsent || call->conn == NULL;
 		client_retire(client, call);
 		pending_finish(client, call,
-		    call->link != NULL ? GB_MAYBE_RUN : GB_NOT_RUN, NULL);
+		    call->conn != NULL ? GB_MAYBE_RUN : GB_NOT_RUN, NULL);
 	}
-	if (stuck && client->link != NULL && !client->link->up)
-		link_close(client->link);
-	client_sweep(client);
+	if (unsent && client->conn != NULL && !client->conn->connected)
+		conn_close(client->conn);
+	client_close_retired(client);
 	if (client->pending == NULL)
 		uv_timer_stop(timer);
 }
@@ -339,7 +344,7 @@
 	client->loop = loop;
 	client->env = env;
 	snprintf(client->addr, sizeof(client->addr), "%s", addr);
-	LIST_INIT(&client->old);
+	LIST_INIT(&client->retired);
 	uv_timer_init(loop, &client->timer);
 	client->timer.data = client;
 	return client;
@@ -357,10 +362,10 @@
 	if (client == NULL || client->freed)
 		return;
 	client->freed = true;
-	if (client->link != NULL)
-		link_close(client->link);
-	while (!LIST_EMPTY(&client->old))
-		link_close(LIST_FIRST(&client->old));
+	if (client->conn != NULL)
+		conn_close(client->conn);
+	while (!LIST_EMPTY(&client->retired))
+		conn_close(LIST_FIRST(&client->retired));
 	uv_close((uv_handle_t *)&client->timer, client_closed);
 }
 
@@ -384,9 +389,9 @@
 	if (!uv_is_active((uv_handle_t *)&client->timer))
 		uv_timer_start(&client->timer, client_scan, TIMEOUT_SCAN_MS,
 		    TIMEOUT_SCAN_MS);
-	if (client->link == NULL)
+	if (client->conn == NULL)
 		client_connect(client);
-	else if (client->link->up)
+	else if (client->conn->connected)
 		call_write(client, call);
 }
 
--- a/libgooseberry/connection/rpc_method.c
+++ b/libgooseberry/connection/rpc_method.c
@@ -1,6 +1,6 @@
 /**
  * @file rpc_method.c
- * The procedures that processes offer each other, as a table.
+ * Table of the remote procedures and the XDR coders of their messages.
  */
 #include "gooseberry.h"
 
@@ -8,7 +8,8 @@
 	[num] = {num, label, (xdrproc_t)xdr_##in, sizeof(in), \
 	    (xdrproc_t)xdr_##out, sizeof(out)}
 
-/** Answers of programs that turn nothing away end before their last field. */
+/** Older programs do not shed load and end the answer before the field shed:
+ * the field then reads as 0. */
 static bool_t
 hello_res_code(XDR *xdrs, gb_hello_res *res)
 {
--- a/libgooseberry/connection/rpc_pool.c
+++ b/libgooseberry/connection/rpc_pool.c
@@ -1,6 +1,6 @@
 /**
  * @file rpc_pool.c
- * Clients by address.
+ * Pool of clients, one for each address, created on first use.
  */
 #include <stdlib.h>
 
--- a/libgooseberry/connection/rpc_server.c
+++ b/libgooseberry/connection/rpc_server.c
@@ -11,8 +11,8 @@
 
 TAILQ_HEAD(connection_list, rpc_connection);
 
-/** Seconds without traffic after which the kernel asks whether the peer is
- * still there: one that went silent never closes its connections. */
+/** Seconds without traffic after which TCP keepalive probes the peer: an
+ * unreachable peer never closes its connections. */
 #define KEEPALIVE_S 30
 
 struct gb_rpc_server {
@@ -21,12 +21,13 @@
 	gb_rpc_serve serve;
 	void *data;
 	struct connection_list connections;
-	unsigned int refs; /**< its owner's, the listener's, connections' */
-	size_t bytes;
+	/** One for the owner, the listener and each connection. */
+	unsigned int refs;
+	size_t bytes; /**< received and sent */
 	int port;
 };
 
-/** Lives as long as its socket or a call that came through it. */
+/** Lives as long as its socket or a call received on it. */
 struct rpc_connection {
 	uv_tcp_t tcp;
 	TAILQ_ENTRY(rpc_connection) next;
@@ -77,14 +78,16 @@
 	uv_close((uv_handle_t *)&conn->tcp, connection_closed);
 }
 
-/** Codes an empty result. */
+/** XDR coder of an empty result. */
 static bool_t
-nothing_code(XDR *xdrs, ...)
+empty_code(XDR *xdrs, ...)
 {
 	(void)xdrs;
 	return TRUE;
 }
 
+/** Send the reply to a call.  The number is that of the procedure, proc codes
+ * the result. */
 static void
 reply_send(struct rpc_connection *conn, uint32_t xid, uint32_t number,
     enum accept_stat stat, xdrproc_t proc, void *res)
@@ -109,6 +112,7 @@
 	    GB_TRAFFIC_RPC + number, conn->server->bytes - before);
 }
 
+/** Decode the argument of a call and pass it to the server's function. */
 static void
 call_serve(struct rpc_connection *conn, uint32_t xid, uint32_t proc, XDR *xdrs)
 {
@@ -121,7 +125,7 @@
 		    "Refused a malformed %s call.", method->name);
 		xdr_free(method->arg, arg);
 		free(arg);
-		reply_send(conn, xid, proc, GARBAGE_ARGS, nothing_code, NULL);
+		reply_send(conn, xid, proc, GARBAGE_ARGS, empty_code, NULL);
 		return;
 	}
 	call = gb_calloc(1, sizeof(*call));
@@ -134,6 +138,7 @@
 	free(arg);
 }
 
+/** Handle one record; false ends the connection. */
 static bool
 connection_record(void *data, char *record, size_t len)
 {
@@ -154,12 +159,10 @@
 	}
 	if (msg.rm_call.cb_prog != RPC_PROGRAM ||
 	    msg.rm_call.cb_vers != RPC_PROGRAM_VERSION) {
-		reply_send(
-		    conn, msg.rm_xid, 0, PROG_UNAVAIL, nothing_code, NULL);
+		reply_send(conn, msg.rm_xid, 0, PROG_UNAVAIL, empty_code, NULL);
 	} else if (msg.rm_call.cb_proc == 0 ||
 		   msg.rm_call.cb_proc >= GB_PROCS) {
-		reply_send(
-		    conn, msg.rm_xid, 0, PROC_UNAVAIL, nothing_code, NULL);
+		reply_send(conn, msg.rm_xid, 0, PROC_UNAVAIL, empty_code, NULL);
 	} else {
 		gb_link_in(gb_env_link(conn->server->env),
 		    GB_TRAFFIC_RPC + (unsigned int)msg.rm_call.cb_proc,
@@ -294,8 +297,8 @@
 void
 gb_rpc_call_refuse(struct gb_rpc_call *call)
 {
-	reply_send(call->conn, call->xid, call->proc, PROC_UNAVAIL,
-	    nothing_code, NULL);
+	reply_send(
+	    call->conn, call->xid, call->proc, PROC_UNAVAIL, empty_code, NULL);
 	connection_unref(call->conn);
 	free(call);
 }
--- a/libgooseberry/connection/rpc_stream.c
+++ b/libgooseberry/connection/rpc_stream.c
@@ -8,7 +8,7 @@
 
 #include "rpc.h"
 
-/** One write in flight, with the bytes it owns. */
+/** One write in flight; it owns the bytes. */
 struct rpc_write {
 	uv_write_t req;
 	char *data;
@@ -34,10 +34,10 @@
 	reader->len += len;
 }
 
-/** Length of the first whole record with its marks; 0 when more is needed,
- * SIZE_MAX when malformed.  Joins the fragments in place. */
+/** Length of the first record with its marks: 0 when it is incomplete, SIZE_MAX
+ * when it is malformed or too long.  Sets the payload's length. */
 static size_t
-reader_join(struct rpc_reader *reader, size_t *payload)
+reader_record_len(struct rpc_reader *reader, size_t *payload)
 {
 	size_t at = 0;
 	size_t total = 0;
@@ -63,7 +63,8 @@
 	return at;
 }
 
-/** Copy the payload of the first record, without its marks. */
+/** Copy the payload of the first record, without the marks of its
+ * fragments. */
 static char *
 reader_payload(const struct rpc_reader *reader, size_t payload)
 {
@@ -88,7 +89,7 @@
 	reader_append(reader, data, len);
 	for (;;) {
 		size_t payload = 0;
-		size_t used = reader_join(reader, &payload);
+		size_t used = reader_record_len(reader, &payload);
 		char *record;
 		bool more;
 
--- a/libgooseberry/connection/standin_platform.c
+++ b/libgooseberry/connection/standin_platform.c
@@ -1,6 +1,7 @@
 /**
  * @file standin_platform.c
- * The platform as the stand-ins offer it, over remote procedure calls.
+ * Platform functions that call the stand-in programs through remote procedure
+ * calls.
  */
 #include <stdlib.h>
 
@@ -8,10 +9,10 @@
 
 struct standin {
 	struct gb_rpc_pool *pool;
-	char store[GB_NAME_MAX + 1];
+	char store[GB_NAME_MAX + 1]; /**< address of the table service */
 };
 
-/** A call that is out, with the function its caller waits in. */
+/** A call in flight, with the function that gets its result. */
 struct standin_call {
 	union {
 		gb_txn_done txn;
@@ -32,6 +33,7 @@
 	return call;
 }
 
+/** Status of a store operation that got no answer. */
 static gb_store_status
 status_of(gb_verdict verdict)
 {
--- a/libgooseberry/gooseberry.h
+++ b/libgooseberry/gooseberry.h
@@ -632,8 +632,8 @@
 /** End all calls in flight with an error, and free the client once the event
  * loop has closed its sockets. */
 void gb_rpc_client_free(struct gb_rpc_client *);
-/** Call a procedure; the function is called exactly once, also on a timeout.
- * The argument is encoded before this returns. */
+/** Call a procedure.  The function is called exactly once, also on a timeout or
+ * an error, and possibly before this returns.  The argument is not kept. */
 void gb_rpc_client_call(struct gb_rpc_client *, uint32_t proc, void *arg,
     gb_time timeout, gb_rpc_done, void *);
 /** Bytes received and sent. */
