--- a/cli/ctl.c
+++ b/cli/ctl.c
@@ -1,6 +1,6 @@
 /**
  * @file ctl.c
- * gooseberryctl: drives a cell from the command line.
+ * gooseberryctl: the command line client, which calls the entries of a cell.
  */
 #include <argp.h>
 #include <inttypes.h>
@@ -13,8 +13,10 @@
 
 #include "ctl.h"
 
-#define PATH_MOST 512
-#define WATCH_TIMES 600
+/** Size of the path of a request. */
+#define PATH_MAX_LEN 512
+/** Times that --watch prints the status, once a second. */
+#define WATCH_REPEATS 600
 
 const char *argp_program_version = "gooseberryctl 0.1";
 
@@ -128,7 +130,7 @@
 	case ARGP_KEY_ARG:
 		if (ctl->verb == NULL)
 			ctl->verb = arg;
-		else if (ctl->arg_count < CTL_ARGS_MOST)
+		else if (ctl->arg_count < CTL_ARGS_MAX)
 			ctl->arg[ctl->arg_count++] = arg;
 		else
 			argp_usage(state);
@@ -142,14 +144,16 @@
 	}
 }
 
+/** Make the path of a team's collection, or of an object in it. */
 static void
 team_path(const struct ctl *ctl, char *out, const char *what, const char *name)
 {
-	snprintf(out, PATH_MOST, "/v1/teams/%s/%s%s%s", ctl->team, what,
+	snprintf(out, PATH_MAX_LEN, "/v1/teams/%s/%s%s%s", ctl->team, what,
 	    name[0] == '\0' ? "" : "/", name);
 }
 
-/** Read a path and print its list, or the answer as it is. */
+/** Get a path and print the list in the answer as a table, or the answer as
+ * JSON. */
 static enum ctl_exit
 list_print(const struct ctl *ctl, const char *path, const char *list,
     const char *const *columns)
@@ -171,6 +175,7 @@
 
 /* Documents */
 
+/** Read the team and service of a document; false after an error message. */
 static bool
 doc_names(const char *text, char *team, char *service)
 {
@@ -190,7 +195,8 @@
 	return ok;
 }
 
-/** Version in force, 0 when there is none; the text goes to the caller. */
+/** Get the version of a document in force, 0 when there is none.  Copies the
+ * text unless text is null; the caller frees it. */
 static enum ctl_exit
 doc_current(
     const struct ctl *ctl, const char *path, uint64_t *vers, char **text)
@@ -213,6 +219,7 @@
 	return code;
 }
 
+/** Submit the next version of a document; it fails unless vers is in force. */
 static enum ctl_exit
 doc_put(
     const struct ctl *ctl, const char *path, uint64_t vers, const char *text)
@@ -238,7 +245,7 @@
 {
 	char team[GB_NAME_MAX + 1];
 	char service[GB_NAME_MAX + 1];
-	char path[PATH_MOST];
+	char path[PATH_MAX_LEN];
 	char *text = ctl_file_read(ctl->arg[0]);
 	struct ctl named = *ctl;
 	enum ctl_exit code = CTL_INVALID;
@@ -260,7 +267,7 @@
 {
 	char team[GB_NAME_MAX + 1];
 	char service[GB_NAME_MAX + 1];
-	char path[PATH_MOST];
+	char path[PATH_MAX_LEN];
 	char *text = ctl_file_read(ctl->arg[0]);
 	char *old = NULL;
 	struct ctl named = *ctl;
@@ -283,8 +290,8 @@
 run_get(const struct ctl *ctl)
 {
 	struct ctl_answer answer;
-	char path[PATH_MOST];
-	char query[PATH_MOST + 64];
+	char path[PATH_MAX_LEN];
+	char query[PATH_MAX_LEN + 64];
 	enum ctl_exit code;
 
 	team_path(ctl, path, "documents", ctl->arg[0]);
@@ -303,8 +310,8 @@
 {
 	static const char *const columns[] = {
 	    "version", "change", "author", "at_us", NULL};
-	char name[PATH_MOST / 2];
-	char path[PATH_MOST];
+	char name[PATH_MAX_LEN / 2];
+	char path[PATH_MAX_LEN];
 
 	snprintf(name, sizeof(name), "%.200s/history", ctl->arg[0]);
 	team_path(ctl, path, "documents", name);
@@ -315,8 +322,8 @@
 run_rollback(const struct ctl *ctl)
 {
 	struct ctl_answer answer;
-	char path[PATH_MOST];
-	char query[PATH_MOST + 64];
+	char path[PATH_MAX_LEN];
+	char query[PATH_MAX_LEN + 64];
 	enum ctl_exit code;
 	uint64_t vers;
 
@@ -336,7 +343,7 @@
 {
 	static const char *const columns[] = {
 	    "service", "kind", "version", NULL};
-	char path[PATH_MOST];
+	char path[PATH_MAX_LEN];
 
 	team_path(ctl, path, "documents", "");
 	return list_print(ctl, path, "documents", columns);
@@ -344,13 +351,14 @@
 
 /* Jobs */
 
+/** Send a request for a job and print the job in the answer. */
 static enum ctl_exit
 job_call(const struct ctl *ctl, const char *method, const char *body)
 {
 	static const char *const columns[] = {"name", "service", "state",
 	    "tasks", "waiting", "active", "ended", NULL};
 	struct ctl_answer answer;
-	char path[PATH_MOST];
+	char path[PATH_MAX_LEN];
 	enum ctl_exit code;
 
 	team_path(ctl, path, "jobs", ctl->arg[0]);
@@ -399,7 +407,7 @@
 run_explain(const struct ctl *ctl)
 {
 	struct ctl_answer answer;
-	char path[PATH_MOST];
+	char path[PATH_MAX_LEN];
 	enum ctl_exit code;
 
 	team_path(ctl, path, "jobs", ctl->arg[0]);
@@ -426,7 +434,7 @@
 {
 	static const char *const columns[] = {"name", "service", "band",
 	    "state", "tasks", "waiting", "active", "ended", "why", NULL};
-	char path[PATH_MOST];
+	char path[PATH_MAX_LEN];
 
 	team_path(ctl, path, "jobs", "");
 	return list_print(ctl, path, "jobs", columns);
@@ -447,7 +455,7 @@
 run_drain(const struct ctl *ctl)
 {
 	struct ctl_answer answer;
-	char path[PATH_MOST];
+	char path[PATH_MAX_LEN];
 	enum ctl_exit code;
 
 	snprintf(
@@ -479,7 +487,7 @@
 static enum ctl_exit
 run_status(const struct ctl *ctl)
 {
-	unsigned int times = ctl->watch ? WATCH_TIMES : 1;
+	unsigned int times = ctl->watch ? WATCH_REPEATS : 1;
 	enum ctl_exit code;
 
 	for (;;) {
@@ -507,7 +515,7 @@
 	return ctl_show_trace(ctl->trace_file, ctl->arg[0]);
 }
 
-/** Counters of a scheduler. */
+/** Print the metrics of a scheduler. */
 static enum ctl_exit
 run_metrics(const struct ctl *ctl)
 {
@@ -521,7 +529,7 @@
 	return code;
 }
 
-/** Home shard of a job's name. */
+/** Print the home shard of a job. */
 static enum ctl_exit
 run_home(const struct ctl *ctl)
 {
@@ -531,8 +539,8 @@
 
 static const struct {
 	const char *verb;
-	unsigned int args; /**< at least */
-	bool team;	   /**< needs --team */
+	unsigned int args_min;
+	bool needs_team;
 	enum ctl_exit (*run)(const struct ctl *);
 } commands[] = {
     {"check", 1, false, run_check},
@@ -559,8 +567,9 @@
     {"home", 1, true, run_home},
 };
 
+/** Value of an environment variable, or a default. */
 static const char *
-env_or(const char *name, const char *fallback)
+env_get(const char *name, const char *fallback)
 {
 	const char *value = getenv(name);
 
@@ -575,20 +584,20 @@
 	struct ctl ctl = {.tasks = 1, .deadline_ms = 10000};
 	size_t i;
 
-	ctl.server = env_or("GOOSEBERRY_SERVER", "http://127.0.0.1:8080");
-	ctl.token = env_or("GOOSEBERRY_TOKEN", "");
-	ctl.team = env_or("GOOSEBERRY_TEAM", NULL);
+	ctl.server = env_get("GOOSEBERRY_SERVER", "http://127.0.0.1:8080");
+	ctl.token = env_get("GOOSEBERRY_TOKEN", "");
+	ctl.team = env_get("GOOSEBERRY_TEAM", NULL);
 	argp_err_exit_status = CTL_USAGE;
 	argp_parse(&argp, argc, argv, 0, NULL, &ctl);
 	for (i = 0; i < sizeof(commands) / sizeof(commands[0]); i++) {
 		if (strcmp(commands[i].verb, ctl.verb) != 0)
 			continue;
-		if (ctl.arg_count < commands[i].args ||
-		    (commands[i].team && ctl.team == NULL)) {
+		if (ctl.arg_count < commands[i].args_min ||
+		    (commands[i].needs_team && ctl.team == NULL)) {
 			fprintf(stderr, "gooseberryctl: %s needs %s\n",
 			    ctl.verb,
-			    ctl.arg_count < commands[i].args ? "an argument"
-							     : "--team");
+			    ctl.arg_count < commands[i].args_min ? "an argument"
+								 : "--team");
 			return CTL_USAGE;
 		}
 		curl_global_init(CURL_GLOBAL_ALL);
--- a/cli/ctl.h
+++ b/cli/ctl.h
@@ -1,6 +1,6 @@
 /**
  * @file ctl.h
- * What the parts of gooseberryctl share.
+ * Options, answers and functions shared by the files of gooseberryctl.
  */
 #ifndef GB_CTL_H
 #define GB_CTL_H
@@ -20,60 +20,63 @@
 	CTL_INVALID = 6
 };
 
-/** Arguments of a command: the log files of all instances at the most. */
-#define CTL_ARGS_MOST 64
+/** Most arguments of a command; trace takes a log file of each instance. */
+#define CTL_ARGS_MAX 64
 
+/** Command, arguments and options of a call of gooseberryctl. */
 struct ctl {
-	const char *server;
-	const char *token;
-	const char *team;
-	const char *dcs;
-	const char *as;
-	const char *trace_file;
-	bool json;
-	bool watch;
-	bool quiet; /**< say nothing of what is missing */
+	const char *server;	/**< URL of an entry */
+	const char *token;	/**< bearer token */
+	const char *team;	/**< team to act for, or null */
+	const char *dcs;	/**< data centres that check knows, or null */
+	const char *as;		/**< kind of file that check reads, or null */
+	const char *trace_file; /**< file of spans, or null */
+	bool json;		/**< print the answer as JSON */
+	bool watch;		/**< repeat every second */
+	bool quiet;		/**< print no message for status 404 */
 	unsigned long deadline_ms;
-	unsigned int tasks;
-	unsigned int shards;
-	const char *service;
-	const char *verb;
-	const char *arg[CTL_ARGS_MOST];
+	unsigned int tasks;  /**< of a job to submit */
+	unsigned int shards; /**< of the cell, for home */
+	const char *service; /**< document of a job to submit, or null */
+	const char *verb;    /**< command */
+	const char *arg[CTL_ARGS_MAX];
 	unsigned int arg_count;
 };
 
 /** Answer of an entry. */
 struct ctl_answer {
-	long status;
-	char verdict[24];
+	long status;	  /**< HTTP status */
+	char verdict[24]; /**< gooseberry-verdict, may be empty */
 	char etag[32];
-	char job[64];
+	char job[64]; /**< gooseberry-job */
 	struct gb_text body;
 };
 
-/** Call an entry; CTL_OK when its status is 2xx, and otherwise the problem is
- * told on standard error. */
+/** Call an entry.  Returns CTL_OK when the status is 2xx; otherwise prints the
+ * problem to standard error.  The answer is released with ctl_answer_clear. */
 enum ctl_exit ctl_call(const struct ctl *, const char *method, const char *path,
     const char *header, const char *body, struct ctl_answer *);
 void ctl_answer_clear(struct ctl_answer *);
-/** Whole text of a file, or null after a message. */
+/** Read a file.  The caller frees the text; null after an error message. */
 char *ctl_file_read(const char *file);
 
-/** Print a list of objects as a table. */
+/** Print a list of objects as a table; columns ends with null. */
 void ctl_show_table(const json_t *list, const char *const *columns);
-/** Print one trace as a tree. */
+/** Print the spans of a trace as a tree. */
 enum ctl_exit ctl_show_trace(const char *file, const char *id);
-/** Print the life of a flow out of log files, or standard input. */
+/** Print the events of a flow from log files, or from standard input when
+ * there are none. */
 enum ctl_exit ctl_trace_flow(
     const char *flow, const char *const *files, unsigned int count);
-/** Organisations out of the text of an instance's counters, as a list. */
+/** Read the organisations from the text of an instance's metrics, as a list of
+ * objects. */
 json_t *ctl_orgs_read(const char *metrics);
-/** Print the organisations that the instance at the server's address, that of
- * its counters, sees as the pool's owner. */
+/** Print the organisations of the pool.  The server must be the address at
+ * which the pool's owner serves its metrics. */
 enum ctl_exit ctl_show_orgs(const struct ctl *);
 /** Check a settings file or a document without a server. */
 enum ctl_exit ctl_check(const struct ctl *, const char *file);
-/** Lines that differ between two texts. */
+/** Print the lines that are in only one of two texts. */
 void ctl_show_diff(const char *before, const char *after);
 
 #endif
--- a/cli/ctl_check.c
+++ b/cli/ctl_check.c
@@ -1,6 +1,6 @@
 /**
  * @file ctl_check.c
- * Checks settings and documents without a server.
+ * gooseberryctl check: checks settings and documents without a server.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,7 +9,8 @@
 #include "ctl.h"
 #include "node/node.h"
 
-#define FILE_MOST (1024 * 1024)
+/** Size of the buffer for a file, in bytes; the rest is not read. */
+#define FILE_MAX (1024 * 1024)
 
 char *
 ctl_file_read(const char *file)
@@ -22,8 +23,8 @@
 		fprintf(stderr, "gooseberryctl: %s: cannot be opened\n", file);
 		return NULL;
 	}
-	text = gb_calloc(1, FILE_MOST);
-	len = fread(text, 1, FILE_MOST - 1, f);
+	text = gb_calloc(1, FILE_MAX);
+	len = fread(text, 1, FILE_MAX - 1, f);
 	text[len] = '\0';
 	fclose(f);
 	return text;
@@ -36,8 +37,8 @@
 		snprintf(dcs->name[dcs->count++], GB_NAME_MAX + 1, "%s", name);
 }
 
-/** Data centres from the command line; without any, those the document
- * names are taken as known. */
+/** Get the data centres of --dcs.  Without the option, every data centre in the
+ * document counts as known. */
 static void
 dcs_read(const struct ctl *ctl, const json_t *doc, struct gb_dcs *dcs)
 {
@@ -64,8 +65,10 @@
 	free(copy);
 }
 
+/** Kind of a file: as given with --as, else by a setting that only this kind
+ * has. */
 static const char *
-kind_guess(const struct ctl *ctl, const json_t *root)
+file_kind(const struct ctl *ctl, const json_t *root)
 {
 	if (ctl->as != NULL)
 		return ctl->as;
@@ -95,7 +98,7 @@
 	if (text == NULL)
 		return CTL_INVALID;
 	root = json_loads(text, 0, NULL);
-	kind = kind_guess(ctl, root);
+	kind = file_kind(ctl, root);
 	if (strcmp(kind, "sched") == 0) {
 		ok = gb_settings_parse(gb_sched_settings_table,
 		    gb_sched_settings_count, &sched, file, text, strlen(text),
--- a/cli/ctl_http.c
+++ b/cli/ctl_http.c
@@ -1,6 +1,6 @@
 /**
  * @file ctl_http.c
- * Calls of gooseberryctl to an entry, through libcurl.
+ * HTTP calls of gooseberryctl to an entry, through libcurl.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,7 +10,9 @@
 
 #include "ctl.h"
 
-#define URL_MOST 1024
+#define URL_MAX 1024
+/** How much longer than the deadline an answer is awaited. */
+#define ANSWER_GRACE_MS 5000
 
 static size_t
 on_body(char *data, size_t size, size_t count, void *arg)
@@ -50,8 +52,9 @@
 	return list;
 }
 
+/** Print the problem details of an answer; returns the exit code. */
 static enum ctl_exit
-problem(const struct ctl_answer *answer)
+problem_print(const struct ctl_answer *answer)
 {
 	json_t *root = answer->body.data == NULL
 			   ? NULL
@@ -80,7 +83,7 @@
 {
 	CURL *easy = curl_easy_init();
 	struct curl_slist *headers = headers_make(ctl, header);
-	char url[URL_MOST];
+	char url[URL_MAX];
 	CURLcode code;
 
 	memset(answer, 0, sizeof(*answer));
@@ -93,7 +96,7 @@
 	curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(easy, CURLOPT_HEADERDATA, answer);
 	curl_easy_setopt(
-	    easy, CURLOPT_TIMEOUT_MS, (long)ctl->deadline_ms + 5000);
+	    easy, CURLOPT_TIMEOUT_MS, (long)ctl->deadline_ms + ANSWER_GRACE_MS);
 	if (body != NULL)
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body);
 	code = curl_easy_perform(easy);
@@ -108,7 +111,7 @@
 	if (answer->status == 404 && ctl->quiet)
 		return CTL_NOT_RUN;
 	if (answer->status / 100 != 2)
-		return problem(answer);
+		return problem_print(answer);
 	if (answer->body.data == NULL)
 		gb_text_add(&answer->body, "%s", "");
 	return CTL_OK;
--- a/cli/ctl_org.c
+++ b/cli/ctl_org.c
@@ -1,6 +1,7 @@
 /**
  * @file ctl_org.c
- * Organisations, out of the counters of the instance that owns the pool.
+ * gooseberryctl organisations: reads the metrics of the instance that owns the
+ * pool.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -9,9 +10,10 @@
 
 #include "ctl.h"
 
-#define ORG_COUNTER "gooseberry_org_"
+/** Prefix of the names of the metrics of organisations. */
+#define ORG_METRIC "gooseberry_org_"
 
-/** The object of an organisation in a list, made when it is new. */
+/** Object of an organisation in a list; it is added when it is missing. */
 static json_t *
 org_find(json_t *list, const char *name)
 {
@@ -29,7 +31,8 @@
 	return org;
 }
 
-/** A line `gooseberry_org_FIGURE{org="NAME"} VALUE`; others tell nothing. */
+/** Add the value of a line `gooseberry_org_FIGURE{org="NAME"} VALUE`; other
+ * lines are ignored. */
 static void
 org_line(json_t *list, const char *line)
 {
@@ -37,7 +40,7 @@
 	char name[GB_NAME_MAX + 1];
 	int64_t value;
 
-	if (sscanf(line, ORG_COUNTER "%63[a-z_]{org=\"%63[^\"]\"} %" SCNd64,
+	if (sscanf(line, ORG_METRIC "%63[a-z_]{org=\"%63[^\"]\"} %" SCNd64,
 		figure, name, &value) == 3)
 		json_object_set_new(
 		    org_find(list, name), figure, json_integer(value));
--- a/cli/ctl_show.c
+++ b/cli/ctl_show.c
@@ -1,6 +1,6 @@
 /**
  * @file ctl_show.c
- * What gooseberryctl prints: tables, differences, traces.
+ * Output of gooseberryctl: tables, differences of texts, and traces.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,6 +12,7 @@
 #define SPANS_MAX 256
 #define LINES_MAX 2000
 
+/** Text of a value in a table; "-" when it is missing or empty. */
 static void
 cell_text(const json_t *value, char *out, size_t size)
 {
@@ -28,6 +29,7 @@
 		snprintf(out, size, "-");
 }
 
+/** Print a row of a table; without a row, the header in upper case. */
 static void
 row_print(const json_t *row, const char *const *columns, const int *width)
 {
@@ -80,6 +82,7 @@
 
 /* Differences */
 
+/** Split a text in place into its lines, without empty ones. */
 static size_t
 lines_split(char *text, char **lines)
 {
@@ -138,8 +141,9 @@
 	return value == NULL ? "" : value;
 }
 
+/** Print the spans with a parent, each followed by its children. */
 static void
-span_print(json_t **spans, size_t count, const char *parent, int depth)
+spans_print(json_t **spans, size_t count, const char *parent, int depth)
 {
 	size_t i;
 
@@ -151,7 +155,7 @@
 		    (long long)json_integer_value(
 			json_object_get(spans[i], "took_us")),
 		    span_field(spans[i], "detail"));
-		span_print(
+		spans_print(
 		    spans, count, span_field(spans[i], "span"), depth + 1);
 	}
 }
@@ -194,7 +198,7 @@
 	fclose(f);
 	for (i = 0; i < count; i++) {
 		if (span_is_root(spans, count, i)) {
-			span_print(
+			spans_print(
 			    spans, count, span_field(spans[i], "parent"), 0);
 			break;
 		}
--- a/cli/ctl_trace.c
+++ b/cli/ctl_trace.c
@@ -1,7 +1,7 @@
 /**
  * @file ctl_trace.c
- * The life of one flow out of the structured lines of all instances, in the
- * order of their clocks, and what it came to.
+ * gooseberryctl trace: prints the events of one flow from the structured log
+ * lines of all instances, in the order of their wall clocks, and how it ended.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,30 +11,32 @@
 
 #include "ctl.h"
 
-#define TRACE_LINE_MOST 65536
+/** Longest line of a log file, in bytes. */
+#define TRACE_LINE_MAX 65536
 
-/** A line that concerns the flow. */
+/** A log line that concerns the flow. */
 struct trace_line {
-	json_int_t at; /**< wall clock of its instance, milliseconds */
-	size_t number; /**< order in which it was read */
+	json_int_t at_ms; /**< wall clock of its instance */
+	size_t number;	  /**< position in the order of reading */
 	json_t *json;
 };
 
+/** The lines of a flow. */
 struct trace {
-	const char *flow;
+	const char *flow; /**< its id */
 	struct trace_line *lines;
 	size_t count;
 	size_t size;
-	size_t unreadable;
+	size_t unreadable; /**< lines that are not valid JSON */
 };
 
-/** Lines without a flow that tell why flows wait. */
+/** Events without a flow that may be the reason why flows wait. */
 static const char *const context_events[] = {"ownership_gained",
     "ownership_lost", "takeover_settled", "takeover_decided", "store_out",
     "store_regained", "config_taken"};
 
 static bool
-trace_context(const char *event)
+event_is_context(const char *event)
 {
 	size_t i;
 
@@ -46,14 +48,15 @@
 	return false;
 }
 
+/** Add a line if it concerns the flow, else free it. */
 static void
-trace_take(struct trace *trace, json_t *line)
+trace_add(struct trace *trace, json_t *line)
 {
 	const char *flow = json_string_value(json_object_get(line, "flow"));
 	const char *event = json_string_value(json_object_get(line, "event"));
 	struct trace_line *out;
 
-	if (event == NULL || (flow == NULL ? !trace_context(event)
+	if (event == NULL || (flow == NULL ? !event_is_context(event)
 					   : strcmp(flow, trace->flow) != 0)) {
 		json_decref(line);
 		return;
@@ -65,18 +68,19 @@
 	}
 	out = &trace->lines[trace->count];
 	out->number = trace->count++;
-	out->at = json_integer_value(json_object_get(line, "at_ms"));
+	out->at_ms = json_integer_value(json_object_get(line, "at_ms"));
 	out->json = line;
 }
 
+/** Read the lines of a log; what precedes the JSON object is skipped. */
 static void
 trace_read(struct trace *trace, FILE *in)
 {
-	char *text = gb_calloc(1, TRACE_LINE_MOST);
+	char *text = gb_calloc(1, TRACE_LINE_MAX);
 	const char *start;
 	json_t *line;
 
-	while (fgets(text, TRACE_LINE_MOST, in) != NULL) {
+	while (fgets(text, TRACE_LINE_MAX, in) != NULL) {
 		start = strchr(text, '{');
 		if (start == NULL)
 			continue;
@@ -84,7 +88,7 @@
 		if (line == NULL)
 			trace->unreadable++;
 		else
-			trace_take(trace, line);
+			trace_add(trace, line);
 	}
 	free(text);
 }
@@ -95,15 +99,15 @@
 	const struct trace_line *x = a;
 	const struct trace_line *y = b;
 
-	if (x->at != y->at)
-		return x->at < y->at ? -1 : 1;
+	if (x->at_ms != y->at_ms)
+		return x->at_ms < y->at_ms ? -1 : 1;
 	return x->number < y->number ? -1 : x->number > y->number;
 }
 
-/** First and last line of the flow itself; what lies far from both says
- * nothing about it. */
+/** Times of the first and last line of the flow itself, both 0 when there is
+ * none.  Lines without a flow outside this time do not concern it. */
 static void
-trace_span(const struct trace *trace, json_int_t *first, json_int_t *last)
+trace_bounds(const struct trace *trace, json_int_t *first, json_int_t *last)
 {
 	size_t i;
 
@@ -113,18 +117,20 @@
 		if (json_object_get(trace->lines[i].json, "flow") == NULL)
 			continue;
 		if (*first == 0)
-			*first = trace->lines[i].at;
-		*last = trace->lines[i].at;
+			*first = trace->lines[i].at_ms;
+		*last = trace->lines[i].at_ms;
 	}
 }
 
+/** Print a line with the seconds since the first one, the instance, the event
+ * and its fields. */
 static void
-line_print(const struct trace_line *line, json_int_t from)
+line_print(const struct trace_line *line, json_int_t first_ms)
 {
 	const char *key;
 	json_t *value;
 
-	printf("%8.3f %-18s %-24s", (double)(line->at - from) / 1000,
+	printf("%8.3f %-18s %-24s", (double)(line->at_ms - first_ms) / 1000,
 	    json_string_value(json_object_get(line->json, "node")),
 	    json_string_value(json_object_get(line->json, "event")));
 	json_object_foreach(line->json, key, value)
@@ -142,9 +148,9 @@
 	printf("\n");
 }
 
-/** The line that says what became of the flow, or null. */
+/** Last line that reports the end of the flow, or null. */
 static const struct trace_line *
-trace_cause(const struct trace *trace)
+trace_end_line(const struct trace *trace)
 {
 	static const char *const ends[] = {
 	    "flow_over", "flow_refused", "flow_not_served", "request_given_up"};
@@ -166,7 +172,7 @@
 static enum ctl_exit
 trace_print(struct trace *trace)
 {
-	const struct trace_line *cause;
+	const struct trace_line *end;
 	json_int_t first;
 	json_int_t last;
 	size_t i;
@@ -174,25 +180,26 @@
 	if (trace->count > 0)
 		qsort(trace->lines, trace->count, sizeof(*trace->lines),
 		    line_compare);
-	trace_span(trace, &first, &last);
+	trace_bounds(trace, &first, &last);
 	if (first == 0) {
 		fprintf(stderr, "gooseberryctl: %s: no line names it\n",
 		    trace->flow);
 		return CTL_NOT_RUN;
 	}
 	for (i = 0; i < trace->count; i++) {
-		if (trace->lines[i].at >= first && trace->lines[i].at <= last)
+		if (trace->lines[i].at_ms >= first &&
+		    trace->lines[i].at_ms <= last)
 			line_print(&trace->lines[i], first);
 	}
-	cause = trace_cause(trace);
-	if (cause == NULL) {
+	end = trace_end_line(trace);
+	if (end == NULL) {
 		printf("cause: not over yet\n");
 	} else {
 		const char *why =
-		    json_string_value(json_object_get(cause->json, "why"));
+		    json_string_value(json_object_get(end->json, "why"));
 
 		printf("cause: %s: %s\n",
-		    json_string_value(json_object_get(cause->json, "event")),
+		    json_string_value(json_object_get(end->json, "event")),
 		    why == NULL ? "see its line" : why);
 	}
 	if (trace->unreadable > 0)
--- a/cli/daemon.c
+++ b/cli/daemon.c
@@ -1,6 +1,7 @@
 /**
  * @file daemon.c
- * Command line, signals and logs of a daemon.
+ * Common main function of the daemons: command line, settings, signals and the
+ * file for spans.
  */
 #include <argp.h>
 #include <signal.h>
@@ -9,7 +10,8 @@
 
 #include "daemon.h"
 
-/** Names the settings file when the command line does not. */
+/** Environment variable with the settings file, if the command line has
+ * none. */
 #define SETTINGS_VARIABLE "GOOSEBERRYCART_CONFIG"
 
 enum option_key { OPT_PRINT = 'p', OPT_CHECK = 'c', OPT_DOCUMENT = 1000 };
@@ -126,6 +128,7 @@
 	uv_signal_start(&hangup, on_reload, SIGHUP);
 }
 
+/** Log an error; returns the exit code. */
 static int
 fail(const struct gb_error *err)
 {
@@ -133,6 +136,7 @@
 	return EXIT_FAILURE;
 }
 
+/** Print the settings, or their table; returns the exit code. */
 static int
 settings_show(void)
 {
--- a/cli/entry.c
+++ b/cli/entry.c
@@ -1,6 +1,7 @@
 /**
  * @file entry.c
- * gooseberry-entry: the entry.
+ * gooseberry-entry: accepts requests and commands over HTTP and relays them to
+ * the schedulers.
  */
 #include "daemon.h"
 
--- a/cli/node.c
+++ b/cli/node.c
@@ -1,6 +1,7 @@
 /**
  * @file node.c
- * gooseberry-node: the process of an instance on the users' platform.
+ * gooseberry-node: the process that each instance runs on the users' platform;
+ * it accepts flows, and owns the pool or stands by to take it over.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/cli/sched.c
+++ b/cli/sched.c
@@ -1,6 +1,7 @@
 /**
  * @file sched.c
- * gooseberry-sched: the scheduler.
+ * gooseberry-sched: the scheduler, which owns shards of workers and places
+ * tasks and requests on them.
  */
 #include "daemon.h"
 
