--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# Set-up, build and proofs.  Each target does all that it needs on a fresh
-# machine.
+# Dependencies, builds and tests.  Each target installs and builds what it
+# needs, also on a new machine.
 BUILD ?= build
 JOBS ?= $(shell nproc)
 
