--- a/libgooseberry/gooseberry.h
+++ b/libgooseberry/gooseberry.h
@@ -140,14 +140,17 @@
 	GB_KIND_LOOKUP,	 /**< requests, idempotent by default */
 	GB_KIND_REQUEST, /**< requests, not idempotent by default */
 	GB_KIND_SERVICE, /**< a number of replicas that are kept running */
-	GB_KIND_BATCH,	 /**< jobs whose tasks start one by one */
+	GB_KIND_BATCH,	 /**< jobs of independent tasks */
 	GB_KIND_GANG,	 /**< jobs whose tasks start and restart together */
 	GB_KIND_TEAM,	 /**< quota and weight of the team itself */
 	GB_KINDS
 };
-/** Which tasks of a job are kept apart: none, those of one rack, or those of
- * one worker. */
-enum gb_spread { GB_SPREAD_NONE, GB_SPREAD_RACK, GB_SPREAD_WORKER };
+/** How the tasks of a job are distributed over workers. */
+enum gb_spread {
+	GB_SPREAD_NONE,	 /**< packed tightly */
+	GB_SPREAD_RACK,	 /**< preferably over different racks */
+	GB_SPREAD_WORKER /**< the same, and at most one on each worker */
+};
 
 /** Maximum number of data centres of a cell. */
 #define GB_DCS_MAX 32
@@ -163,7 +166,7 @@
 	bool idempotent;
 	gb_res res;	       /**< need of one task or request */
 	gb_res quota;	       /**< kind team only; 0: no limit */
-	uint32_t weight;       /**< share of the team; kind team only */
+	uint32_t weight;       /**< of the team's share; kind team only */
 	uint32_t replicas;     /**< kind service only */
 	uint32_t max_attempts; /**< of one task */
 	uint32_t queue_limit;  /**< requests that may wait in one shard */
@@ -245,9 +248,10 @@
 	uint64_t seed;
 	uint32_t shards_per_dc;
 	struct gb_dcs dcs;
-	gb_time beat_us;    /**< heartbeat and head poll interval */
-	gb_time suspect_us; /**< silence after which a peer is not live */
-	gb_time fresh_us;   /**< how long a confirmed view may be acted on */
+	gb_time beat_us; /**< heartbeat and head poll interval */
+	gb_time
+	    suspect_us;	  /**< silence after which a peer counts as not live */
+	gb_time fresh_us; /**< how long a confirmed view may be acted on */
 	/** How long members may go on without the table service while a
 	 * majority of them confirms the view. */
 	gb_time outage_us;
@@ -643,15 +647,19 @@
 
 /** Encode a message into a body; the caller frees it. */
 bool gb_xdr_encode(xdrproc_t, const void *, gb_body *);
+/** Decode a body into a zeroed message.  The caller releases the message with
+ * xdr_free if this succeeds. */
 bool gb_xdr_decode(xdrproc_t, const gb_body *, void *);
 /** Decode a row that may lack the last fields of its type, as older programs
- * wrote it.  At most missing_most XDR units may be missing; they read as
- * zero. */
+ * wrote it.  At most missing_most XDR units may be missing; they read as zero
+ * or empty. */
 bool gb_xdr_decode_older(xdrproc_t, const gb_body *row, void *out, size_t,
     unsigned int missing_most);
 /** Deep copy of a message. */
 bool gb_xdr_copy(xdrproc_t, const void *from, void *to, size_t size);
-/* Allocations that abort the process when memory is exhausted */
+
+/* Allocations; they abort the process when memory is exhausted */
+
 char *gb_strdup(const char *);
 void *gb_calloc(size_t, size_t);
 void *gb_realloc(void *, size_t);
@@ -663,6 +671,7 @@
 /** Client for an address; it belongs to the pool. */
 struct gb_rpc_client *gb_rpc_pool_get(struct gb_rpc_pool *, const char *addr);
 void gb_rpc_pool_free(struct gb_rpc_pool *);
+/** Bytes received and sent by all clients. */
 size_t gb_rpc_pool_bytes(const struct gb_rpc_pool *);
 
 /* Platform --------------------------------------------------------------- */
@@ -742,7 +751,8 @@
 int gb_entry_port(const struct gb_entry *);
 /** Apply the settings that may change while running. */
 void gb_entry_reload(struct gb_entry *, const struct gb_entry_settings *);
-/** Start a planned stop; done is called when no request is in flight. */
+/** Start a planned stop.  New connections are accepted for leave_ms; after that
+ * done is called once no request is in flight. */
 void gb_entry_stop(struct gb_entry *, void (*done)(void *), void *);
 
 /* Process ---------------------------------------------------------------- */
--- a/libgooseberry/request/relay.c
+++ b/libgooseberry/request/relay.c
@@ -122,7 +122,8 @@
 	free(handle);
 }
 
-/** Call fire after a delay; the timer holds a reference to the relay. */
+/** Call fire after a delay.  It closes the timer and releases the reference to
+ * the relay that the timer holds. */
 static void
 relay_timer_start(struct relay *relay, uint64_t ms, uv_timer_cb fire)
 {
--- a/libgooseberry/version/member.c
+++ b/libgooseberry/version/member.c
@@ -112,7 +112,8 @@
 	unsigned int all = 1;
 	unsigned int confirming = 1;
 
-	/* Writers wait only for the members of a view to learn of a change. */
+	/* A process outside the view never acts: a writer does not wait for it
+	 * to learn of a change. */
 	if (!core->ever_confirmed || !core->joined)
 		return false;
 	if (now - core->confirmed <= core->cfg.fresh_us)
