--- a/standin/world.c
+++ b/standin/world.c
@@ -1,6 +1,6 @@
 /**
  * @file world.c
- * Model of the users' platform: workers, their runs, the advice service.
+ * Model of the users' platform: workers, their runs and the advice service.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -12,22 +12,23 @@
 
 #include "world_state.h"
 
-/** A worker's clock begins at some other time than the world's. */
+/** Least offset of a worker's clock from the model's clock. */
 #define CLOCK_OFFSET_MS 500000
-/** Reading of the clock of a worker that has started again. */
+/** Clock reading of a worker right after a restart. */
 #define CLOCK_RESTART_MS 40
-/** Time of day at which the world's own clock stands at 0. */
+/** Time of day when the model's clock reads 0. */
 #define WORLD_EPOCH_MS INT64_C(1790000000000)
-/** Members of a gang wait this long for each other. */
+/** How long members of a gang wait for each other. */
 #define GANG_WAIT (3 * GB_SEC)
-/** A checkpoint is made after each of these of work. */
+/** Work between two checkpoints. */
 #define CHECKPOINT_WORK (2 * GB_SEC)
-/** A worker's smaller room is known this much later: it is listed each 0.5 s,
- * and orders are on their way. */
-#define SHRUNK_KNOWN (600 * GB_MSEC)
-/** A task that crashes its worker does so this long after it has begun. */
+/** Time until owners respect a lower capacity: workers are listed every 0.5 s,
+ * and orders may be in flight. */
+#define SHRINK_GRACE (600 * GB_MSEC)
+/** Time from the start of a task until it crashes its worker. */
 #define CRASH_AFTER (10 * GB_MSEC)
-/** A worker that a task crashed is back after this, if nothing else is said. */
+/** Time until a worker that a task crashed is replaced, unless the flow's
+ * specification gives one. */
 #define CRASH_BACK_MS 1300
 struct world *
 world_new(uint64_t seed)
@@ -35,7 +36,7 @@
 	struct world *world = gb_calloc(1, sizeof(*world));
 
 	world->seed = seed;
-	world->shrunk_known = SHRUNK_KNOWN;
+	world->shrink_grace = SHRINK_GRACE;
 	TAILQ_INIT(&world->rows);
 	return world;
 }
@@ -44,22 +45,22 @@
 worker_clear(struct world_worker *worker)
 {
 	struct world_run *run;
-	struct world_end *end;
-	struct world_mark *mark;
-	struct world_mark *next;
+	struct world_ended_run *end;
+	struct world_last_run *last;
+	struct world_last_run *next;
 
 	while ((run = TAILQ_FIRST(&worker->runs)) != NULL) {
 		TAILQ_REMOVE(&worker->runs, run, next);
 		free(run);
 	}
-	while ((end = TAILQ_FIRST(&worker->ends)) != NULL) {
-		TAILQ_REMOVE(&worker->ends, end, next);
+	while ((end = TAILQ_FIRST(&worker->ended_runs)) != NULL) {
+		TAILQ_REMOVE(&worker->ended_runs, end, next);
 		free(end);
 	}
-	HASH_ITER(hh, worker->marks, mark, next)
+	HASH_ITER(hh, worker->last_runs, last, next)
 	{
-		HASH_DEL(worker->marks, mark);
-		free(mark);
+		HASH_DEL(worker->last_runs, last);
+		free(last);
 	}
 }
 
@@ -94,12 +95,12 @@
 
 /* Workers ----------------------------------------------------------------- */
 
-/** A new process: nothing of the one before counts any more. */
+/** Start a new process, without the state of the previous one. */
 static void
-worker_begin(struct world *world, struct world_worker *worker)
+worker_process_start(struct world *world, struct world_worker *worker)
 {
 	worker->incarnation++;
-	worker->born_ms =
+	worker->started_ms =
 	    WORLD_EPOCH_MS + world->clock_step_ms + world->now / GB_MSEC;
 	worker->up = true;
 	worker->back_at = 0;
@@ -110,9 +111,9 @@
 	worker->lease_end_ms = 0;
 }
 
-/** Under an id that was never used. */
+/** Give the worker an id that was never used, and a new clock offset. */
 static void
-worker_name(struct world *world, struct world_worker *worker)
+worker_id_set(struct world *world, struct world_worker *worker)
 {
 	snprintf(worker->id, sizeof(worker->id), "w-%u-%u", worker->number,
 	    worker->incarnation);
@@ -135,9 +136,9 @@
 	snprintf(worker->addr, sizeof(worker->addr), "10.0.%u.%u:80",
 	    worker->number / 250, worker->number % 250 + 1);
 	TAILQ_INIT(&worker->runs);
-	TAILQ_INIT(&worker->ends);
-	worker_name(world, worker);
-	worker_begin(world, worker);
+	TAILQ_INIT(&worker->ended_runs);
+	worker_id_set(world, worker);
+	worker_process_start(world, worker);
 	world->workers = gb_realloc(world->workers,
 	    (world->worker_count + 1) * sizeof(struct world_worker *));
 	world->workers[world->worker_count] = worker;
@@ -180,7 +181,7 @@
 
 	memset(entry, 0, sizeof(*entry));
 	snprintf(entry->id, sizeof(entry->id), "%s", worker->id);
-	entry->incarnation = world->entries_untold ? 0 : worker->born_ms;
+	entry->incarnation = world->entries_omit_start ? 0 : worker->started_ms;
 	snprintf(entry->addr, sizeof(entry->addr), "%s", worker->addr);
 	snprintf(entry->dc, sizeof(entry->dc), "%s", worker->dc);
 	snprintf(entry->service, sizeof(entry->service), "%s", worker->service);
@@ -195,24 +196,25 @@
 worker_lose_runs(struct world *world, struct world_worker *worker)
 {
 	struct world_run *run;
-	const struct world_end *end;
+	const struct world_ended_run *end;
 
-	/* All that runs there, also members of a gang that ends with one. */
+	/* Recorded for all runs first: ending one run of a gang removes the
+	 * other members from the list. */
 	TAILQ_FOREACH(run, &worker->runs, next)
 	{
 		world_oracle_crash(world, worker, run);
 	}
 	while ((run = TAILQ_FIRST(&worker->runs)) != NULL) {
-		struct world_run gone = *run;
+		struct world_run ended = *run;
 
 		world_oracle_end(world, run, true, GB_POOL_LAPSED);
 		TAILQ_REMOVE(&worker->runs, run, next);
 		free(run);
-		if (gone.gang > 0)
-			gang_end(world, gone.flow, gone.step, gone.number,
+		if (ended.gang > 0)
+			gang_end(world, ended.flow, ended.step, ended.number,
 			    GB_POOL_GANG_BROKEN);
 	}
-	TAILQ_FOREACH(end, &worker->ends, next)
+	TAILQ_FOREACH(end, &worker->ended_runs, next)
 	{
 		world_oracle_end_lost(world, end);
 	}
@@ -239,8 +241,8 @@
 	struct world_worker *worker = world->workers[number];
 
 	worker_lose_runs(world, worker);
-	worker_begin(world, worker);
-	worker_name(world, worker);
+	worker_process_start(world, worker);
+	worker_id_set(world, worker);
 }
 
 void
@@ -249,7 +251,7 @@
 	struct world_worker *worker = world->workers[number];
 
 	worker_lose_runs(world, worker);
-	worker_begin(world, worker);
+	worker_process_start(world, worker);
 	worker->offset_ms = CLOCK_RESTART_MS - world->now / GB_MSEC;
 }
 
@@ -264,8 +266,8 @@
 void
 world_incarnations_unknown(struct world *world, bool reports, bool entries)
 {
-	world->reports_untold = reports;
-	world->entries_untold = entries;
+	world->reports_omit_start = reports;
+	world->entries_omit_start = entries;
 }
 
 void
@@ -284,22 +286,22 @@
 	    capacity->cpu > worker->capacity_before.cpu)
 		worker->capacity_before = worker->capacity;
 	if (capacity->cpu < worker->capacity.cpu)
-		worker->shrunk_until = world->now + world->shrunk_known;
+		worker->shrunk_until = world->now + world->shrink_grace;
 	worker->capacity = *capacity;
 }
 
 void
 world_shrunk_known(struct world *world, gb_time after)
 {
-	world->shrunk_known = after;
+	world->shrink_grace = after;
 }
 
 void
 world_worker_sick(
-    struct world *world, unsigned int number, bool failing, bool still)
+    struct world *world, unsigned int number, bool failing, bool stalled)
 {
 	world->workers[number]->failing = failing;
-	world->workers[number]->still = still;
+	world->workers[number]->stalled = stalled;
 }
 
 void
@@ -344,50 +346,50 @@
 	return at == NULL ? fallback : strtoul(at + strlen(name), NULL, 10);
 }
 
-static struct world_mark *
-mark_get(struct world_worker *worker, const char *flow, uint32_t step,
+static struct world_last_run *
+last_run_get(struct world_worker *worker, const char *flow, uint32_t step,
     uint32_t index)
 {
-	struct world_mark *mark;
-	char key[sizeof(mark->key)];
+	struct world_last_run *last;
+	char key[sizeof(last->key)];
 
 	memset(key, 0, sizeof(key));
 	snprintf(key, sizeof(key), "%.40s.%u.%u", flow, step, index);
-	HASH_FIND_STR(worker->marks, key, mark);
-	if (mark != NULL)
-		return mark;
-	mark = gb_calloc(1, sizeof(*mark));
-	memcpy(mark->key, key, sizeof(key));
-	HASH_ADD_STR(worker->marks, key, mark);
-	return mark;
+	HASH_FIND_STR(worker->last_runs, key, last);
+	if (last != NULL)
+		return last;
+	last = gb_calloc(1, sizeof(*last));
+	memcpy(last->key, key, sizeof(key));
+	HASH_ADD_STR(worker->last_runs, key, last);
+	return last;
 }
 
 static void
 run_end(struct world *world, struct world_worker *worker, struct world_run *run,
     enum gb_pool_outcome outcome)
 {
-	struct world_mark *mark =
-	    mark_get(worker, run->flow, run->step, run->index);
-	struct world_end *end = gb_calloc(1, sizeof(*end));
+	struct world_last_run *last =
+	    last_run_get(worker, run->flow, run->step, run->index);
+	struct world_ended_run *end = gb_calloc(1, sizeof(*end));
 
 	world_oracle_end(world, run, false, outcome);
-	end->seen.number = ++worker->ended;
-	end->seen.step = run->step;
-	end->seen.index = run->index;
-	end->seen.run = run->number;
-	end->seen.outcome = outcome;
-	snprintf(end->seen.flow, sizeof(end->seen.flow), "%s", run->flow);
-	snprintf(end->seen.checkpoint, sizeof(end->seen.checkpoint), "%s",
+	end->report.number = ++worker->ended;
+	end->report.step = run->step;
+	end->report.index = run->index;
+	end->report.run = run->number;
+	end->report.outcome = outcome;
+	snprintf(end->report.flow, sizeof(end->report.flow), "%s", run->flow);
+	snprintf(end->report.checkpoint, sizeof(end->report.checkpoint), "%s",
 	    run->checkpoint);
-	TAILQ_INSERT_TAIL(&worker->ends, end, next);
-	if (run->number > mark->run)
-		mark->run = run->number;
+	TAILQ_INSERT_TAIL(&worker->ended_runs, end, next);
+	if (run->number > last->run)
+		last->run = run->number;
 	gb_res_sub(&worker->used, &run->res);
 	TAILQ_REMOVE(&worker->runs, run, next);
 	free(run);
 }
 
-/** Members of a run's gang that are present on workers that are up. */
+/** Count the members of a run's gang that run on any worker. */
 static unsigned int
 gang_members(const struct world *world, const struct world_run *run)
 {
@@ -429,20 +431,20 @@
 	}
 }
 
-/** A run ends before its work is done, and with it its gang. */
+/** End a run, and its gang with it, before its work is done. */
 static void
-run_break(struct world *world, struct world_worker *worker,
+run_abort(struct world *world, struct world_worker *worker,
     struct world_run *run, enum gb_pool_outcome outcome)
 {
-	struct world_run gone = *run;
+	struct world_run ended = *run;
 
 	run_end(world, worker, run, outcome);
-	if (gone.gang > 0)
-		gang_end(world, gone.flow, gone.step, gone.number,
+	if (ended.gang > 0)
+		gang_end(world, ended.flow, ended.step, ended.number,
 		    GB_POOL_GANG_BROKEN);
 }
 
-/** A run takes its worker down with it. */
+/** Crash the worker of a run. */
 static void
 run_crash(struct world *world, struct world_worker *worker,
     const struct world_run *run)
@@ -457,7 +459,8 @@
 	worker->back_at = world->now + (gb_time)back * GB_MSEC;
 }
 
-/** Returns true when the run has ended, so that lists have changed. */
+/** Advance a run.  Returns true if it has ended; lists of runs have changed
+ * then. */
 static bool
 run_tick(struct world *world, struct world_worker *worker,
     struct world_run *run, gb_time passed)
@@ -471,16 +474,16 @@
 		run_crash(world, worker, run);
 		return true;
 	}
-	if (run->gang > 0 && !run->together &&
+	if (run->gang > 0 && !run->gang_complete &&
 	    gang_members(world, run) >= run->gang)
-		run->together = true;
-	if (run->gang > 0 && !run->together) {
+		run->gang_complete = true;
+	if (run->gang > 0 && !run->gang_complete) {
 		if (world->now - run->began < GANG_WAIT)
 			return false;
 		run_end(world, worker, run, GB_POOL_GANG_INCOMPLETE);
 		return true;
 	}
-	if (worker->still)
+	if (worker->stalled)
 		return false;
 	run->worked += (gb_time)((double)passed * worker->speed);
 	if (run->worked / CHECKPOINT_WORK > 0)
@@ -504,7 +507,7 @@
 	if (worker_clock(world, worker) <= worker->lease_end_ms)
 		return;
 	while ((run = TAILQ_FIRST(&worker->runs)) != NULL)
-		run_break(world, worker, run, GB_POOL_LAPSED);
+		run_abort(world, worker, run, GB_POOL_LAPSED);
 }
 
 void
@@ -533,10 +536,11 @@
 
 /* Orders ------------------------------------------------------------------ */
 
-/** What every call checks first; false when it is answered already. */
+/** Make the checks that all calls share: worker id and fencing token.  Returns
+ * false if the call is rejected, with the status set. */
 static bool
 order_accept(struct world *world, struct world_worker *worker,
-    const char *lifetime, uint64_t token, enum gb_pool_order_status *status,
+    const char *worker_id, uint64_t token, enum gb_pool_order_status *status,
     int64_t *clock_ms)
 {
 	*clock_ms = 0;
@@ -544,7 +548,7 @@
 		*status = GB_POOL_ORDER_LOST;
 		return false;
 	}
-	if (strcmp(lifetime, worker->id) != 0) {
+	if (strcmp(worker_id, worker->id) != 0) {
 		*status = GB_POOL_ORDER_WRONG_WORKER;
 		return false;
 	}
@@ -613,8 +617,9 @@
 	return run;
 }
 
-/** Whether a start has the ticket that it needs.  One of an earlier life of the
- * worker is turned away, which is not the sender's fault. */
+/** Whether a start has a valid ticket.  A missing or expired ticket is a
+ * violation; one for an earlier incarnation of the worker is only rejected,
+ * since its sender may not know of the restart. */
 static bool
 ticket_holds(struct world *world, const struct world_worker *worker,
     const struct gb_pool_order *order)
@@ -626,8 +631,8 @@
 	    sscanf(order->ticket, "%" SCNd64 ".%u", &expires, &incarnation) !=
 		2 ||
 	    expires < world->now) {
-		world_fault(
-		    world, &world->faults.ticket, "no ticket", order->id.flow);
+		world_violation(world, &world->violations.ticket, "no ticket",
+		    order->id.flow);
 		return false;
 	}
 	return incarnation == worker->incarnation;
@@ -651,13 +656,13 @@
 		return;
 	}
 	lease_renew(world, worker, order->lease_end_ms);
-	if (order->id.run <=
-	    mark_get(worker, order->id.flow, order->id.step, order->id.index)
-		->run) {
+	if (order->id.run <= last_run_get(worker, order->id.flow,
+				 order->id.step, order->id.index)
+				 ->run) {
 		res->status = GB_POOL_ORDER_STALE;
 		return;
 	}
-	if (world->tickets && !ticket_holds(world, worker, order)) {
+	if (world->tickets_needed && !ticket_holds(world, worker, order)) {
 		res->status = GB_POOL_ORDER_NO_TICKET;
 		return;
 	}
@@ -670,7 +675,7 @@
     struct gb_pool_order_res *res)
 {
 	struct world_worker *worker = worker_at(world, order->addr);
-	struct world_mark *mark;
+	struct world_last_run *last;
 	struct world_run *run;
 
 	if (!order_accept(world, worker, order->worker, order->token,
@@ -679,24 +684,25 @@
 	res->status = GB_POOL_ORDER_DONE;
 	run = worker_run(worker, &order->id);
 	if (run != NULL) {
-		run_break(world, worker, run, GB_POOL_STOPPED);
+		run_abort(world, worker, run, GB_POOL_STOPPED);
 		return;
 	}
-	mark =
-	    mark_get(worker, order->id.flow, order->id.step, order->id.index);
-	if (order->id.run > mark->run)
-		mark->run = order->id.run;
+	last = last_run_get(
+	    worker, order->id.flow, order->id.step, order->id.index);
+	if (order->id.run > last->run)
+		last->run = order->id.run;
 }
 
 static void
-ends_forget(struct world *world, struct world_worker *worker, uint64_t cursor)
+ended_runs_drop(
+    struct world *world, struct world_worker *worker, uint64_t cursor)
 {
-	struct world_end *end;
+	struct world_ended_run *end;
 
-	while ((end = TAILQ_FIRST(&worker->ends)) != NULL &&
-	       end->seen.number <= cursor) {
-		world_oracle_end_noted(world, end);
-		TAILQ_REMOVE(&worker->ends, end, next);
+	while ((end = TAILQ_FIRST(&worker->ended_runs)) != NULL &&
+	       end->report.number <= cursor) {
+		world_oracle_end_acked(world, end);
+		TAILQ_REMOVE(&worker->ended_runs, end, next);
 		free(end);
 	}
 }
@@ -707,7 +713,7 @@
 {
 	struct world_worker *worker = worker_at(world, heartbeat->addr);
 	const struct world_run *run;
-	const struct world_end *end;
+	const struct world_ended_run *end;
 	unsigned int ends = 0;
 
 	memset(report, 0, sizeof(*report));
@@ -715,14 +721,15 @@
 		&report->status, &report->clock_ms))
 		return;
 	report->status = GB_POOL_ORDER_DONE;
-	report->incarnation = world->reports_untold ? 0 : worker->born_ms;
+	report->incarnation =
+	    world->reports_omit_start ? 0 : worker->started_ms;
 	lease_renew(world, worker, heartbeat->lease_end_ms);
-	ends_forget(world, worker, heartbeat->cursor);
+	ended_runs_drop(world, worker, heartbeat->cursor);
 	TAILQ_FOREACH(run, &worker->runs, next)
 	{
 		report->running_count++;
 	}
-	TAILQ_FOREACH(end, &worker->ends, next)
+	TAILQ_FOREACH(end, &worker->ended_runs, next)
 	{
 		ends++;
 	}
@@ -732,22 +739,23 @@
 	report->running_count = 0;
 	TAILQ_FOREACH(run, &worker->runs, next)
 	{
-		struct gb_pool_run_report *seen =
+		struct gb_pool_run_report *run_report =
 		    &report->running[report->running_count++];
 
-		seen->step = run->step;
-		seen->index = run->index;
-		seen->run = run->number;
-		seen->percent = run->work == 0
-				    ? 0
-				    : (uint32_t)(run->worked * 100 / run->work);
-		snprintf(seen->flow, sizeof(seen->flow), "%s", run->flow);
-		snprintf(seen->checkpoint, sizeof(seen->checkpoint), "%s",
-		    run->checkpoint);
-	}
-	TAILQ_FOREACH(end, &worker->ends, next)
+		run_report->step = run->step;
+		run_report->index = run->index;
+		run_report->run = run->number;
+		run_report->percent =
+		    run->work == 0 ? 0
+				   : (uint32_t)(run->worked * 100 / run->work);
+		snprintf(run_report->flow, sizeof(run_report->flow), "%s",
+		    run->flow);
+		snprintf(run_report->checkpoint, sizeof(run_report->checkpoint),
+		    "%s", run->checkpoint);
+	}
+	TAILQ_FOREACH(end, &worker->ended_runs, next)
 	{
-		report->ended[report->ended_count++] = end->seen;
+		report->ended[report->ended_count++] = end->report;
 	}
 }
 
@@ -760,7 +768,7 @@
 
 /* Advice ------------------------------------------------------------------ */
 
-/** Life of the worker with an id, for which a ticket holds. */
+/** Incarnation of the worker with an id, written into tickets; 0: unknown. */
 static unsigned int
 worker_incarnation(const struct world *world, const char *id)
 {
@@ -780,7 +788,7 @@
 	char text[48];
 	u_int i;
 
-	world->tickets = true;
+	world->tickets_needed = true;
 	memset(res, 0, sizeof(*res));
 	res->status = GB_ADVICE_OK;
 	res->valid_us = valid;
--- a/standin/world_oracle.c
+++ b/standin/world_oracle.c
@@ -1,7 +1,7 @@
 /**
  * @file world_oracle.c
- * What the model of the platform has seen of each flow, and what must never
- * happen.
+ * Oracle of the platform model: follows every submitted flow as the workers run
+ * it, and counts violations of the scheduler's guarantees.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,26 +9,27 @@
 
 #include "world_state.h"
 
-/** Workers that may crash under one task before it is started only
- * CRASH_STARTS - 1 times more. */
+/** Workers that a task may crash before its further starts are limited. */
 #define CRASH_WORKERS 3
+/** Start after CRASH_WORKERS crashes that is the first violation. */
 #define CRASH_STARTS 3
 
 const struct world_faults *
 world_faults(const struct world *world)
 {
-	return &world->faults;
+	return &world->violations;
 }
 
 void
-world_fault(struct world *world, unsigned int *count, const char *what,
+world_violation(struct world *world, unsigned int *count, const char *what,
     const char *task)
 {
 	(*count)++;
-	/* A gang that waited alone may have had a fault near it; what must
-	 * never happen goes before it. */
-	if (world->faults.text[0] == '\0' || count != &world->faults.alone)
-		snprintf(world->faults.text, sizeof(world->faults.text),
+	/* An incomplete gang may be due to an injected fault, so any other
+	 * violation replaces it. */
+	if (world->violations.text[0] == '\0' ||
+	    count != &world->violations.alone)
+		snprintf(world->violations.text, sizeof(world->violations.text),
 		    "%s: %s at %lld ms", what, task,
 		    (long long)(world->now / GB_MSEC));
 }
@@ -42,7 +43,7 @@
 
 	if (!gb_xdr_copy(
 		(xdrproc_t)xdr_gb_flow, spec, &flow->spec, sizeof(flow->spec)))
-		abort(); /* the test made it */
+		abort(); /* valid flows can always be copied */
 	flow->max_attempts = max_attempts;
 	for (i = 0; i < flow->spec.steps.steps_len; i++) {
 		flow->first[i] = flow->task_count;
@@ -53,10 +54,10 @@
 	    hh, world->flows, flow->spec.id, strlen(flow->spec.id), flow);
 }
 
-/** Failures of a task; those of a gang's members count together, since one
- * that fails ends them all. */
+/** Count failures of a task.  Those of a gang's members are added up, since one
+ * failure ends all members.  `ever` includes failures whose report was lost. */
 static unsigned int
-failures_of(
+task_failures(
     const struct world_flow *flow, uint32_t step, uint32_t index, bool ever)
 {
 	const gb_step *spec = &flow->spec.steps.steps_val[step];
@@ -71,14 +72,14 @@
 	return failures;
 }
 
-/** Whether a task of the step, or its gang, has failed as often as it may. */
+/** Whether a task of the step, or its gang, has used up its attempts. */
 static bool
 step_failed(const struct world_flow *flow, uint32_t step)
 {
 	uint32_t i;
 
 	for (i = 0; i < flow->spec.steps.steps_val[step].count; i++) {
-		if (failures_of(flow, step, i, true) >= flow->max_attempts)
+		if (task_failures(flow, step, i, true) >= flow->max_attempts)
 			return true;
 	}
 	return false;
@@ -150,9 +151,11 @@
 	return true;
 }
 
-/** Room that has shrunk counts once the owner can know of it. */
+/** Whether a worker uses more than its capacity.  A reduced capacity applies
+ * once the owner can know of it. */
 static bool
-worker_is_over(const struct world *world, const struct world_worker *worker)
+worker_is_overloaded(
+    const struct world *world, const struct world_worker *worker)
 {
 	const gb_res *most =
 	    world->now < worker->shrunk_until &&
@@ -163,8 +166,7 @@
 	return worker->used.cpu > most->cpu || worker->used.mem > most->mem;
 }
 
-/** A task that has crashed as many workers as it may is started again only so
- * many times less one. */
+/** Limit the starts of a task that has crashed CRASH_WORKERS workers. */
 static void
 oracle_crash_budget(
     struct world *world, struct world_task *task, const struct world_run *run)
@@ -172,14 +174,14 @@
 	if (!run->crashes || task->crashes < CRASH_WORKERS)
 		return;
 	if (++task->starts_after >= CRASH_STARTS)
-		world_fault(world, &world->faults.budget,
+		world_violation(world, &world->violations.budget,
 		    "goes on crashing workers", run->flow);
 }
 
-/** Whether more tasks of a step run on a worker than may. */
+/** Whether a worker runs more tasks of a step than the step allows. */
 static bool
-worker_is_crowded(const struct world_worker *worker, const gb_step *step,
-    const struct world_run *run)
+worker_exceeds_step_limit(const struct world_worker *worker,
+    const gb_step *step, const struct world_run *run)
 {
 	const struct world_run *other;
 	uint32_t count = 0;
@@ -203,34 +205,34 @@
 	uint32_t i;
 
 	if (task == NULL) {
-		world_fault(
-		    world, &world->faults.order, "unknown task", run->flow);
+		world_violation(
+		    world, &world->violations.order, "unknown task", run->flow);
 		return;
 	}
 	step = &flow->spec.steps.steps_val[run->step];
 	if ((step->flags & GB_STEP_SPECULATIVE) == 0 &&
 	    (task->running > 0 || task->done))
-		world_fault(
-		    world, &world->faults.twice, "started twice", run->flow);
-	if (failures_of(flow, run->step, run->index, false) >=
+		world_violation(world, &world->violations.twice,
+		    "started twice", run->flow);
+	if (task_failures(flow, run->step, run->index, false) >=
 	    flow->max_attempts)
-		world_fault(
-		    world, &world->faults.budget, "too many tries", run->flow);
+		world_violation(world, &world->violations.budget,
+		    "too many tries", run->flow);
 	oracle_crash_budget(world, task, run);
 	for (i = 0; i < step->after.after_len; i++) {
 		if (!step_done(flow, step->after.after_val[i]))
-			world_fault(world, &world->faults.order, "out of order",
-			    run->flow);
+			world_violation(world, &world->violations.order,
+			    "out of order", run->flow);
 	}
-	if (worker_is_over(world, worker))
-		world_fault(world, &world->faults.limit, "over its capacity",
-		    run->flow);
-	if (worker_is_crowded(worker, step, run))
-		world_fault(world, &world->faults.spread,
+	if (worker_is_overloaded(world, worker))
+		world_violation(world, &world->violations.limit,
+		    "over its capacity", run->flow);
+	if (worker_exceeds_step_limit(worker, step, run))
+		world_violation(world, &world->violations.spread,
 		    "too many of its step on a worker", run->flow);
-	if (!world_org_take(world, flow->spec.org, &step->res))
-		world_fault(
-		    world, &world->faults.quota, "over its quota", run->flow);
+	if (!world_org_use(world, flow->spec.org, &step->res))
+		world_violation(world, &world->violations.quota,
+		    "over its quota", run->flow);
 	task->running++;
 	flow->starts++;
 }
@@ -246,7 +248,7 @@
 	if (task == NULL)
 		return;
 	task->running--;
-	world_org_give(
+	world_org_release(
 	    world, flow->spec.org, &flow->spec.steps.steps_val[run->step].res);
 	if (lost)
 		return;
@@ -259,27 +261,26 @@
 		task->ever_failures++;
 	}
 	if (outcome == GB_POOL_GANG_INCOMPLETE)
-		world_fault(
-		    world, &world->faults.alone, "waited alone", run->flow);
+		world_violation(
+		    world, &world->violations.alone, "waited alone", run->flow);
 }
 
-/** An end that the owner has not taken note of is lost with the worker. */
 void
-world_oracle_end_lost(struct world *world, const struct world_end *end)
+world_oracle_end_lost(struct world *world, const struct world_ended_run *end)
 {
 	struct world_flow *flow;
-	struct world_task *task = world_task_of(
-	    world, end->seen.flow, end->seen.step, end->seen.index, &flow);
+	struct world_task *task = world_task_of(world, end->report.flow,
+	    end->report.step, end->report.index, &flow);
 
 	if (task == NULL)
 		return;
-	if (end->seen.outcome == GB_POOL_DONE && !task->noted)
+	if (end->report.outcome == GB_POOL_DONE && !task->done_acked)
 		task->done = false;
-	if (end->seen.outcome == GB_POOL_FAILED && task->failures > 0)
+	if (end->report.outcome == GB_POOL_FAILED && task->failures > 0)
 		task->failures--;
 }
 
-/** A worker that leaves after a notice has not crashed. */
+/* A draining worker that terminates has not crashed. */
 void
 world_oracle_crash(struct world *world, const struct world_worker *worker,
     const struct world_run *run)
@@ -292,20 +293,20 @@
 		task->crashes++;
 }
 
-/** The owner takes note of an end; one member's stands for its gang. */
 void
-world_oracle_end_noted(struct world *world, const struct world_end *end)
+world_oracle_end_acked(struct world *world, const struct world_ended_run *end)
 {
 	struct world_flow *flow;
-	struct world_task *task = world_task_of(
-	    world, end->seen.flow, end->seen.step, end->seen.index, &flow);
+	struct world_task *task = world_task_of(world, end->report.flow,
+	    end->report.step, end->report.index, &flow);
 	const gb_step *step;
 	uint32_t i;
 
-	if (task == NULL || end->seen.outcome != GB_POOL_DONE)
+	if (task == NULL || end->report.outcome != GB_POOL_DONE)
 		return;
-	task->noted = true;
-	step = &flow->spec.steps.steps_val[end->seen.step];
+	task->done_acked = true;
+	step = &flow->spec.steps.steps_val[end->report.step];
 	for (i = 0; (step->flags & GB_STEP_GANG) != 0 && i < step->count; i++)
-		flow->tasks[flow->first[end->seen.step] + i].noted = true;
+		flow->tasks[flow->first[end->report.step] + i].done_acked =
+		    true;
 }
--- a/standin/world_org.c
+++ b/standin/world_org.c
@@ -1,7 +1,6 @@
 /**
  * @file world_org.c
- * Organisations in the model of the platform: what each has running on all
- * workers, as these see it.
+ * Organisations in the platform model: quota and use of each on all workers.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -22,9 +21,9 @@
 	return org;
 }
 
-/** Whether a bound allows more than another; none is the largest. */
+/** Whether a quota is higher than another; 0 is no limit. */
 static bool
-allows_more(int64_t quota, int64_t other)
+quota_is_higher(int64_t quota, int64_t other)
 {
 	return other != 0 && (quota == 0 || quota > other);
 }
@@ -35,11 +34,11 @@
 {
 	struct world_org *org = org_get(world, name);
 
-	if (allows_more(org->quota.cpu, quota->cpu)) {
-		if (world->now >= org->before_until ||
-		    allows_more(org->quota.cpu, org->before.cpu))
-			org->before = org->quota;
-		org->before_until = world->now + world->quota_known;
+	if (quota_is_higher(org->quota.cpu, quota->cpu)) {
+		if (world->now >= org->quota_before_until ||
+		    quota_is_higher(org->quota.cpu, org->quota_before.cpu))
+			org->quota_before = org->quota;
+		org->quota_before_until = world->now + world->quota_grace;
 	}
 	org->quota = *quota;
 }
@@ -47,7 +46,7 @@
 void
 world_quota_known(struct world *world, gb_time after)
 {
-	world->quota_known = after;
+	world->quota_grace = after;
 }
 
 int64_t
@@ -60,7 +59,7 @@
 }
 
 static bool
-kind_within(int64_t quota, int64_t used)
+amount_within(int64_t quota, int64_t used)
 {
 	return quota == 0 || used <= quota;
 }
@@ -68,13 +67,13 @@
 static bool
 within(const struct gb_pool_amount *quota, const struct gb_pool_amount *used)
 {
-	return kind_within(quota->cpu, used->cpu) &&
-	       kind_within(quota->mem, used->mem) &&
-	       kind_within(quota->accel, used->accel);
+	return amount_within(quota->cpu, used->cpu) &&
+	       amount_within(quota->mem, used->mem) &&
+	       amount_within(quota->accel, used->accel);
 }
 
 bool
-world_org_take(struct world *world, const char *name, const gb_res *res)
+world_org_use(struct world *world, const char *name, const gb_res *res)
 {
 	struct world_org *org = org_get(world, name);
 
@@ -82,12 +81,12 @@
 	org->used.mem += res->mem;
 	org->used.accel += res->accel;
 	return within(&org->quota, &org->used) ||
-	       (world->now < org->before_until &&
-		   within(&org->before, &org->used));
+	       (world->now < org->quota_before_until &&
+		   within(&org->quota_before, &org->used));
 }
 
 void
-world_org_give(struct world *world, const char *name, const gb_res *res)
+world_org_release(struct world *world, const char *name, const gb_res *res)
 {
 	struct world_org *org = org_get(world, name);
 
--- a/standin/world_rows.c
+++ b/standin/world_rows.c
@@ -1,6 +1,6 @@
 /**
  * @file world_rows.c
- * Model of the platform's tables.
+ * Tables of the platform model.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -52,7 +52,7 @@
 {
 	struct world_row *after;
 
-	/* Keys rise in most uses, so that the end is the place to look. */
+	/* Most new keys are the highest, so the search starts at the end. */
 	TAILQ_FOREACH_REVERSE(after, &world->rows, world_rows, next)
 	{
 		if (strcmp(after->key, row->key) <= 0)
@@ -100,7 +100,7 @@
 }
 
 static void
-row_show(struct gb_pool_row *out, const struct world_row *row)
+row_copy(struct gb_pool_row *out, const struct world_row *row)
 {
 	out->table = row->table;
 	out->key = gb_strdup(row->key);
@@ -136,7 +136,7 @@
 		if ((row == NULL ? 0 : row->vers) != txn->conds[i].vers)
 			res->status = GB_STORE_CONFLICT;
 		if (row != NULL)
-			row_show(&res->rows[res->row_count++], row);
+			row_copy(&res->rows[res->row_count++], row);
 	}
 	if (res->status != GB_STORE_OK)
 		return;
@@ -172,7 +172,7 @@
 			res->more = true;
 			break;
 		}
-		row_show(&res->rows[res->row_count++], row);
+		row_copy(&res->rows[res->row_count++], row);
 	}
 }
 
--- a/standin/world_state.h
+++ b/standin/world_state.h
@@ -1,6 +1,6 @@
 /**
  * @file world_state.h
- * State of the model of the platform.
+ * Internal state of the platform model.
  */
 #ifndef STANDIN_WORLD_STATE_H
 #define STANDIN_WORLD_STATE_H
@@ -18,27 +18,28 @@
 	uint32_t index;
 	uint64_t number;
 	gb_res res;
-	uint32_t gang; /**< members, 0: none */
-	bool together; /**< all members were present */
+	uint32_t gang;	    /**< members of its gang, 0: no gang */
+	bool gang_complete; /**< all members have been present at once */
 	bool fails;
-	bool crashes; /**< its worker, soon after it has begun */
+	bool crashes; /**< it crashes its worker soon after the start */
 	gb_time began;
-	gb_time work;
-	gb_time worked;
+	gb_time work;	/**< duration on a worker of speed 1 */
+	gb_time worked; /**< progress, of `work` */
 	char checkpoint[GB_NAME_MAX + 1];
 };
 
 TAILQ_HEAD(world_runs, world_run);
 
-struct world_end {
-	TAILQ_ENTRY(world_end) next;
-	struct gb_pool_run_report seen;
+/** An ended run that the owner has not acknowledged yet. */
+struct world_ended_run {
+	TAILQ_ENTRY(world_ended_run) next;
+	struct gb_pool_run_report report;
 };
 
-TAILQ_HEAD(world_ends, world_end);
+TAILQ_HEAD(world_ended_runs, world_ended_run);
 
-/** Highest run of a task that was stopped or ended on a worker. */
-struct world_mark {
+/** Highest run number of a task that was stopped or ended on a worker. */
+struct world_last_run {
 	UT_hash_handle hh;
 	char key[GB_NAME_MAX + 1];
 	uint64_t run;
@@ -46,68 +47,69 @@
 
 struct world_worker {
 	unsigned int number;
-	unsigned int incarnation; /**< grows with each start of the process */
-	int64_t born_ms;	  /**< time of day of the start */
+	unsigned int incarnation; /**< counts the starts of the process */
+	int64_t started_ms;	  /**< time of day of the start */
 	bool up;
-	gb_time back_at; /**< a crashed one has a new lifetime then, 0: never */
+	gb_time back_at; /**< when a crashed worker is replaced, 0: not */
 	bool draining;
-	bool failing;
-	bool still;
+	bool failing; /**< its tasks fail */
+	bool stalled; /**< its tasks make no progress */
 	char id[GB_NAME_MAX + 1];
 	char addr[GB_NAME_MAX + 1];
 	char service[GB_NAME_MAX + 1];
 	char dc[GB_NAME_MAX + 1];
 	char rack[GB_NAME_MAX + 1];
 	gb_res capacity;
-	gb_res capacity_before; /**< may be used until shrunk_until */
+	gb_res capacity_before; /**< tolerated until shrunk_until */
 	gb_time shrunk_until;
 	gb_res used;
 	double speed;
-	int64_t offset_ms; /**< its clock less the world's */
-	uint64_t token;
+	int64_t offset_ms; /**< its clock less the model's */
+	uint64_t token;	   /**< highest fencing token received */
 	int64_t lease_end_ms;
-	uint64_t ended;
+	uint64_t ended; /**< number of the last ended run */
 	uint64_t acked;
 	struct world_runs runs;
-	struct world_ends ends;
-	struct world_mark *marks;
+	struct world_ended_runs ended_runs;
+	struct world_last_run *last_runs;
 };
 
 struct world_task {
 	int running;
 	bool done;
-	bool ever_done; /**< also when that end was lost with its worker */
-	bool noted;	/**< the owner has taken note of an end that is done */
+	bool ever_done;	 /**< also when the report was lost with the worker */
+	bool done_acked; /**< the owner has acknowledged its success */
 	unsigned int failures;
-	unsigned int ever_failures; /**< also ends lost with their worker */
-	unsigned int crashes;	    /**< workers that crashed under it */
-	unsigned int starts_after;  /**< so many of these */
+	unsigned int ever_failures; /**< also those lost with their worker */
+	unsigned int crashes;	   /**< workers that crashed while running it */
+	unsigned int starts_after; /**< starts after CRASH_WORKERS crashes */
 };
 
 struct world_flow {
 	UT_hash_handle hh;
 	gb_flow spec;
 	unsigned int max_attempts;
-	uint32_t first[GB_STEPS_MAX]; /**< first task of a step */
+	uint32_t first[GB_STEPS_MAX]; /**< index in tasks of a step's first */
 	uint32_t task_count;
 	unsigned int starts;
 	struct world_task *tasks;
 };
 
-/** What an organisation has running. */
+/** Quota and use of an organisation. */
 struct world_org {
 	UT_hash_handle hh;
 	char name[GB_NAME_MAX + 1];
 	struct gb_pool_amount quota;
-	struct gb_pool_amount before; /**< the largest until before_until */
-	gb_time before_until;
+	struct gb_pool_amount
+	    quota_before;	    /**< higher quota, still tolerated */
+	gb_time quota_before_until; /**< until then */
 	struct gb_pool_amount used;
 };
 
 struct world_row {
 	TAILQ_ENTRY(world_row) next;
 	UT_hash_handle hh;
-	char name[GB_KEY_MAX + 1]; /**< part, table and key */
+	char name[GB_KEY_MAX + 1]; /**< partition, table and key */
 	uint32_t partition;
 	enum gb_pool_table table;
 	char *key;
@@ -119,48 +121,54 @@
 
 struct world {
 	gb_time now;
-	bool reports_untold;   /**< reports don't tell when a worker started */
-	bool entries_untold;   /**< nor do entries */
-	int64_t clock_step_ms; /**< the time of day is off by so much */
+	bool reports_omit_start; /**< reports lack the worker's start time */
+	bool entries_omit_start; /**< entries lack the worker's start time */
+	int64_t clock_step_ms;	 /**< added to the time of day */
 	uint64_t seed;
 	struct world_worker **workers;
 	unsigned int worker_count;
 	struct world_flow *flows;
 	struct world_org *orgs;
-	bool tickets;		/**< starts need one */
-	gb_time shrunk_known;	/**< owners know of less room so much later */
-	gb_time quota_known;	/**< and of a lower quota */
+	bool tickets_needed;	/**< starts need a ticket */
+	gb_time shrink_grace;	/**< until owners know of a lower capacity */
+	gb_time quota_grace;	/**< until owners know of a lower quota */
 	struct world_rows rows; /**< in the order of their keys */
 	struct world_row *by_name;
 	uint64_t vers;
-	struct world_faults faults;
+	struct world_faults violations;
 };
 
 void world_rows_free(struct world *);
 
 /* world_org.c */
-/** A run of an organisation begins: whether it is within its quota. */
-bool world_org_take(struct world *, const char *org, const gb_res *);
-void world_org_give(struct world *, const char *org, const gb_res *);
+/** Add a run's resources to its organisation's use.  Returns whether the use is
+ * within the quota. */
+bool world_org_use(struct world *, const char *org, const gb_res *);
+/** Subtract a run's resources from its organisation's use. */
+void world_org_release(struct world *, const char *org, const gb_res *);
 void world_orgs_free(struct world *);
 
 /* world_oracle.c */
-/** Something happened that must not; keeps the first text. */
-void world_fault(
+/** Count a violation and describe it in the text, unless that is set already.
+ * An incomplete gang is replaced in it by any other violation. */
+void world_violation(
     struct world *, unsigned int *count, const char *what, const char *task);
-/** Task of a flow that was submitted, or null. */
+/** Find a task of a submitted flow, null if there is none. */
 struct world_task *world_task_of(struct world *, const char *id, uint32_t step,
     uint32_t index, struct world_flow **);
+/** Check the start of a run. */
 void world_oracle_start(
     struct world *, struct world_worker *, const struct world_run *);
+/** Record the end of a run; `lost` if its worker terminated. */
 void world_oracle_end(
     struct world *, const struct world_run *, bool lost, enum gb_pool_outcome);
-/** A worker goes down under a run. */
+/** Record that a worker terminated while it had a run. */
 void world_oracle_crash(
     struct world *, const struct world_worker *, const struct world_run *);
-/** An end that the owner has not taken note of is lost with the worker. */
-void world_oracle_end_lost(struct world *, const struct world_end *);
-/** The owner takes note of an end; one member's stands for its gang. */
-void world_oracle_end_noted(struct world *, const struct world_end *);
+/** Record that an unacknowledged end was lost with its worker. */
+void world_oracle_end_lost(struct world *, const struct world_ended_run *);
+/** Record that the owner acknowledged an end.  The success of one member of a
+ * gang counts for all members. */
+void world_oracle_end_acked(struct world *, const struct world_ended_run *);
 
 #endif
