--- a/standin/fault.c
+++ b/standin/fault.c
@@ -1,7 +1,7 @@
 /**
  * @file fault.c
- * gooseberry-standin-fault: tells a stand-in to misbehave, or asks for its
- * counts.  Usage: gooseberry-standin-fault IP:PORT JSON
+ * gooseberry-standin-fault: sets faults of a stand-in program and prints its
+ * counters.  Usage: gooseberry-standin-fault IP:PORT JSON
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/standin/standin.c
+++ b/standin/standin.c
@@ -1,6 +1,6 @@
 /**
  * @file standin.c
- * What the stand-in programs share.
+ * Shared code of the stand-in programs.
  */
 #include <stdlib.h>
 
--- a/standin/store.c
+++ b/standin/store.c
@@ -1,7 +1,7 @@
 /**
  * @file store.c
- * gooseberry-standin-store: the platform's table service, object store and
- * list of instances, for tests and the demo.
+ * gooseberry-standin-store: stands in for the platform's table service and list
+ * of instances in tests and the demo.
  */
 #include <argp.h>
 #include <inttypes.h>
@@ -22,10 +22,10 @@
 	gb_instance instances[INSTANCES_MAX];
 	u_int instance_count;
 	const char *listen;
-	int down;    /**< every operation is refused */
-	int hang;    /**< no operation is done or answered */
-	int slow_ms; /**< every answer comes this late */
-	int lose;    /**< answers to this many writes are lost */
+	int down;    /**< refuse every operation */
+	int hang;    /**< neither carry out nor answer operations */
+	int slow_ms; /**< delay of every answer */
+	int lose;    /**< number of writes to apply without an answer */
 	uint64_t reads;
 } store = {.listen = "127.0.0.1:0"};
 
@@ -77,7 +77,7 @@
 }
 
 static gb_instance *
-instance_slot(const char *name)
+instance_get(const char *name)
 {
 	gb_instance *in;
 	u_int i;
@@ -121,7 +121,7 @@
 instance_set(const json_t *object)
 {
 	const char *name = json_string_value(json_object_get(object, "name"));
-	gb_instance *in = name == NULL ? NULL : instance_slot(name);
+	gb_instance *in = name == NULL ? NULL : instance_get(name);
 	int state;
 
 	if (in == NULL)
--- a/standin/store_model.c
+++ b/standin/store_model.c
@@ -1,6 +1,6 @@
 /**
  * @file store_model.c
- * The platform's table service, in memory.
+ * In-memory model of the platform's table service.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,8 +10,8 @@
 struct store_model {
 	gb_row **rows; /**< in key order */
 	size_t count;
-	size_t size;
-	uint64_t vers;
+	size_t size;   /**< allocated rows */
+	uint64_t vers; /**< newest version */
 	uint64_t txns;
 };
 
@@ -39,9 +39,9 @@
 	free(m);
 }
 
-/** Place of the first row whose key is not less. */
+/** Index of the first row whose key is not less than the given one. */
 static size_t
-row_place(const struct store_model *m, const char *key)
+row_index(const struct store_model *m, const char *key)
 {
 	size_t low = 0;
 	size_t high = m->count;
@@ -66,7 +66,7 @@
 static uint64_t
 row_version(const struct store_model *m, const char *key)
 {
-	size_t at = row_place(m, key);
+	size_t at = row_index(m, key);
 
 	return row_at(m, at, key) ? m->rows[at]->vers : 0;
 }
@@ -74,7 +74,7 @@
 static void
 row_remove(struct store_model *m, const char *key)
 {
-	size_t at = row_place(m, key);
+	size_t at = row_index(m, key);
 
 	if (!row_at(m, at, key))
 		return;
@@ -87,7 +87,7 @@
 static void
 row_put(struct store_model *m, const gb_put *put)
 {
-	size_t at = row_place(m, put->key);
+	size_t at = row_index(m, put->key);
 	gb_row *row;
 
 	if (!row_at(m, at, put->key)) {
@@ -141,8 +141,8 @@
     const struct store_model *m, const gb_scan *scan, gb_scan_res *res)
 {
 	size_t prefix = strlen(scan->prefix);
-	size_t at = row_place(m, scan->prefix);
-	size_t after = row_place(m, scan->after);
+	size_t at = row_index(m, scan->prefix);
+	size_t after = row_index(m, scan->after);
 	u_int n = 0;
 
 	memset(res, 0, sizeof(*res));
--- a/standin/worker.c
+++ b/standin/worker.c
@@ -1,7 +1,7 @@
 /**
  * @file worker.c
- * gooseberry-standin-worker: a worker of the platform, for tests and the
- * demo.  It writes what it runs to a ledger that the demo reads.
+ * gooseberry-standin-worker: stands in for a worker of the platform in tests
+ * and the demo.  It logs what it runs in a ledger file that the demo reads.
  */
 #include <argp.h>
 #include <inttypes.h>
@@ -15,6 +15,7 @@
 #include "standin.h"
 #include "worker_model.h"
 
+/** Interval of checks for tasks that end. */
 #define TICK_MS 5
 
 static struct {
@@ -30,7 +31,7 @@
 	const char *rack;
 	const char *pool_name;
 	gb_res capacity;
-	int service_ms;
+	int service_ms; /**< duration of each request */
 	char addr[GB_NAME_MAX + 1];
 } worker = {.listen = "127.0.0.1:0",
     .dc = "dc",
@@ -147,7 +148,7 @@
 		fprintf(stderr, "%s: cannot register\n", worker.name);
 }
 
-/** Appear in the platform's list. */
+/** Add this worker to the store's list of instances. */
 static void
 worker_register(void)
 {
--- a/standin/worker_model.c
+++ b/standin/worker_model.c
@@ -1,6 +1,6 @@
 /**
  * @file worker_model.c
- * A worker of the platform, without its sockets.
+ * Model of a worker of the platform, without I/O.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,7 +12,7 @@
 	gb_res res;
 	gb_held_state state;
 	uint64_t vers;
-	gb_time ends; /**< 0: runs until stopped */
+	gb_time end_at; /**< 0: runs until stopped */
 };
 
 struct model_request {
@@ -24,7 +24,7 @@
 	uint64_t incarnation;
 	gb_res capacity;
 	uint64_t epoch;
-	uint64_t seq;
+	uint64_t seq; /**< of the last sync in this epoch */
 	gb_time lease_until;
 	bool fail_all;
 	struct model_task *tasks;
@@ -63,8 +63,8 @@
 }
 
 static void
-tell(struct worker_model *m, enum worker_event event, const gb_task_id *id,
-    const gb_exec *exec)
+ledger_add(struct worker_model *m, enum worker_event event,
+    const gb_task_id *id, const gb_exec *exec)
 {
 	if (m->ledger != NULL)
 		m->ledger(m->data, event, id, exec);
@@ -91,8 +91,8 @@
 	if (task->state != GB_HELD_RUNNING)
 		return;
 	task->state = state;
-	tell(m, state == GB_HELD_STOPPED ? WORKER_STOP : WORKER_END, &task->id,
-	    NULL);
+	ledger_add(m, state == GB_HELD_STOPPED ? WORKER_STOP : WORKER_END,
+	    &task->id, NULL);
 }
 
 void
@@ -107,7 +107,7 @@
 			task_finish(m, task, GB_HELD_STOPPED);
 		else if (m->fail_all)
 			task_finish(m, task, GB_HELD_FAILED);
-		else if (task->ends != 0 && now >= task->ends)
+		else if (task->end_at != 0 && now >= task->end_at)
 			task_finish(m, task, GB_HELD_OK);
 	}
 }
@@ -153,12 +153,12 @@
 }
 
 size_t
-worker_model_running(const struct worker_model *m, gb_task_id *out, size_t most)
+worker_model_running(const struct worker_model *m, gb_task_id *out, size_t max)
 {
 	size_t n = 0;
 	u_int i;
 
-	for (i = 0; i < m->task_count && n < most; i++) {
+	for (i = 0; i < m->task_count && n < max; i++) {
 		if (m->tasks[i].state == GB_HELD_RUNNING)
 			out[n++] = m->tasks[i].id;
 	}
@@ -185,12 +185,12 @@
 	}
 	task->state = GB_HELD_RUNNING;
 	if (start->run_us > 0)
-		task->ends = now + start->run_us;
-	tell(m, WORKER_START, &task->id, NULL);
+		task->end_at = now + start->run_us;
+	ledger_add(m, WORKER_START, &task->id, NULL);
 }
 
 static void
-task_forget(struct worker_model *m, const gb_task_id *id)
+task_remove(struct worker_model *m, const gb_task_id *id)
 {
 	struct model_task *task = task_find(m, id);
 
@@ -200,7 +200,7 @@
 }
 
 static void
-report(
+sync_res_fill(
     const struct worker_model *m, gb_time now, uint64_t owner, gb_sync_res *res)
 {
 	u_int i;
@@ -242,7 +242,7 @@
 	    (sync->epoch == m->epoch && sync->seq <= m->seq) ||
 	    (sync->incarnation != 0 && sync->incarnation != m->incarnation)) {
 		res->refused = TRUE;
-		report(m, now, sync->owner, res);
+		sync_res_fill(m, now, sync->owner, res);
 		return;
 	}
 	m->epoch = sync->epoch;
@@ -260,9 +260,9 @@
 			task_finish(m, task, GB_HELD_STOPPED);
 	}
 	for (i = 0; i < sync->acks.acks_len; i++)
-		task_forget(m, &sync->acks.acks_val[i]);
+		task_remove(m, &sync->acks.acks_val[i]);
 	worker_model_tick(m, now);
-	report(m, now, sync->owner, res);
+	sync_res_fill(m, now, sync->owner, res);
 }
 
 bool
@@ -279,7 +279,7 @@
 	r = &m->requests[m->request_count++];
 	r->owner = exec->owner;
 	r->rid = exec->rid;
-	tell(m, WORKER_EXEC, NULL, exec);
+	ledger_add(m, WORKER_EXEC, NULL, exec);
 	return true;
 }
 
--- a/standin/worker_model.h
+++ b/standin/worker_model.h
@@ -1,43 +1,48 @@
 /**
  * @file worker_model.h
- * A worker of the platform as tests and the demo need it: it runs tasks under
- * a lease, refuses older epochs, and lists what it holds.
+ * Model of a worker of the platform for tests and the demo: it runs tasks under
+ * a lease, refuses syncs of older epochs, and lists its tasks and requests.
  */
 #ifndef WORKER_MODEL_H
 #define WORKER_MODEL_H
 
 #include "gooseberry.h"
 
-/** One thing that a worker has run, for its ledger. */
+/** Kinds of entries in a worker's ledger. */
 enum worker_event { WORKER_START, WORKER_END, WORKER_STOP, WORKER_EXEC };
 
 struct worker_model;
 
-/** Told of everything the worker begins and ends. */
+/** Called for each task that starts or ends, and each request that starts.  The
+ * task is null for a request, the request is null for a task. */
 typedef void (*worker_ledger)(
     void *, enum worker_event, const gb_task_id *, const gb_exec *);
 
 struct worker_model *worker_model_new(
     uint64_t incarnation, const gb_res *capacity, worker_ledger, void *);
 void worker_model_free(struct worker_model *);
-/** Every task fails at once while this is set. */
+/** Make every task fail immediately while set. */
 void worker_model_fail_all(struct worker_model *, bool);
-/** Carry out a sync; release the result with xdr_free. */
+/** Carry out a sync.  Release the result with xdr_free. */
 void worker_model_sync(
     struct worker_model *, gb_time now, const gb_sync *, gb_sync_res *);
-/** Begin a request; false when it is refused and so was not run. */
+/** Start a request.  Returns false if it is refused, so that it did not run. */
 bool worker_model_exec(struct worker_model *, gb_time now, const gb_exec *);
 void worker_model_exec_end(struct worker_model *, uint64_t owner, uint64_t rid);
-/** End tasks whose time is over, and all when the lease is. */
+/** End tasks whose duration has passed, and all tasks once the lease has
+ * expired. */
 void worker_model_tick(struct worker_model *, gb_time now);
-/** What runs now, and whether it is more than the worker can hold. */
+/** Resources that running tasks and requests use. */
 gb_res worker_model_load(const struct worker_model *);
+/** Whether the load exceeds the worker's capacity. */
 bool worker_model_over(const struct worker_model *);
-/** Whether a task runs here now.  A frozen worker's tasks are frozen with it,
- * and end before anything else when it goes on after its lease. */
+/** Whether a task runs now.  It doesn't once the lease has expired: a paused
+ * worker's tasks are paused with it, and end before anything else when it
+ * resumes after its lease. */
 bool worker_model_runs(
     const struct worker_model *, gb_time now, uint64_t job, uint32_t index);
+/** List at most `max` running tasks; returns their number. */
 size_t worker_model_running(
-    const struct worker_model *, gb_task_id *out, size_t most);
+    const struct worker_model *, gb_task_id *out, size_t max);
 
 #endif
