--- a/standin/emulator.c
+++ b/standin/emulator.c
@@ -1,8 +1,8 @@
 /**
  * @file emulator.c
  * gooseberry-emulator: the users' platform on loopback.  Tables, workers and
- * advice speak what the platform speaks; a control address takes faults in and
- * tells what the workers have seen.
+ * the advice service have the platform's HTTP API.  A control address accepts
+ * faults and reports what the workers have observed.
  */
 #include <argp.h>
 #include <signal.h>
@@ -12,19 +12,19 @@
 
 #include "emulator.h"
 
-#define BODY_MOST (2 * 1024 * 1024)
-/** The list of workers is looked after this often. */
+#define BODY_MAX_BYTES (2 * 1024 * 1024)
+/** Ticks between two updates of the list of workers. */
 #define LIST_EVERY_TICKS 20
 #define RACK_WORKERS 8
-#define WORKER_MEMORY 65536
-/** Room that a shrunk worker has left, in percent. */
+#define WORKER_MEMORY_MB 65536
+/** Capacity left to a worker that has shrunk. */
 #define SHRUNK_PERCENT 25
-/** What a worker says of its room is known to the owner after this: the
- * platform's bound on a calm store, and a heartbeat. */
-#define SHRUNK_KNOWN (4500 * GB_MSEC)
-/** A version is in force at the owner after this, with the store away for some
- * seconds. */
-#define QUOTA_KNOWN (8 * GB_SEC)
+/** Time until the owner knows of a worker's lower capacity: the platform's
+ * bound when no fault affects the store, and one heartbeat. */
+#define SHRINK_GRACE (4500 * GB_MSEC)
+/** Time until a configuration is in force at the owner, with the store
+ * unavailable for some seconds of it. */
+#define QUOTA_GRACE (8 * GB_SEC)
 
 struct emulator emulator = {
     .approved_percent = 60, .ticket_valid = 2 * GB_SEC, .decide_ms = 20};
@@ -166,7 +166,7 @@
 	if (query_number(call, "compact") > 0)
 		emu_store_compact(emu);
 	if (query_number(call, "lapse") > 0)
-		emu_worker_lapse(emu);
+		emu_worker_entries_expire(emu);
 	emu_answer(call, 200, json_object());
 }
 
@@ -178,7 +178,7 @@
 	emu_answer(call, 200, json_object());
 }
 
-/** Move the time of day, by which workers tell when they started. */
+/** Move the time of day, which workers report as their start time. */
 static void
 control_clock(struct emulator *emu, struct http_call *call)
 {
@@ -189,7 +189,7 @@
 	emu_answer(call, 200, json_object());
 }
 
-/** Tell the oracle what organisations may have. */
+/** Set the organisations' quotas of a configuration in the oracle. */
 static void
 control_quotas(struct emulator *emu, const char *text)
 {
@@ -214,13 +214,13 @@
 	emu_answer(call, 200, json_object());
 }
 
-/** Give a worker a share of its room, in percent. */
+/** Set a worker's capacity to a percentage of the full one. */
 static void
 worker_resize(
     struct emulator *emu, const struct emu_worker *worker, unsigned int percent)
 {
 	const gb_res capacity = {.cpu = (int)(options.cpu * percent / 100),
-	    .mem = (int)(WORKER_MEMORY * percent / 100)};
+	    .mem = (int)(WORKER_MEMORY_MB * percent / 100)};
 
 	world_worker_resize(emu->world, worker->number, &capacity);
 }
@@ -241,9 +241,9 @@
 	} else if (strcmp(what, "whole") == 0) {
 		worker_resize(emu, worker, 100);
 	} else if (strcmp(what, "spoiled") == 0) {
-		worker->spoiled = 1 + worker->number % EMU_SPOILED_WAYS;
+		worker->entry_error = 1 + worker->number % EMU_ENTRY_ERRORS;
 	} else if (strcmp(what, "sound") == 0) {
-		worker->spoiled = 0;
+		worker->entry_error = 0;
 	} else {
 		world_worker_sick(emu->world, worker->number,
 		    strcmp(what, "failing") == 0, strcmp(what, "still") == 0);
@@ -303,15 +303,16 @@
 static void
 control_report(struct emulator *emu, struct http_call *call)
 {
-	const struct world_faults *faults = world_faults(emu->world);
+	const struct world_faults *violations = world_faults(emu->world);
 
 	emu_answer(call, 200,
 	    json_pack("{s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:s}", "twice",
-		(int)faults->twice, "limit", (int)faults->limit, "order",
-		(int)faults->order, "budget", (int)faults->budget, "spread",
-		(int)faults->spread, "quota", (int)faults->quota, "alone",
-		(int)faults->alone, "ticket", (int)faults->ticket, "first",
-		faults->text));
+		(int)violations->twice, "limit", (int)violations->limit,
+		"order", (int)violations->order, "budget",
+		(int)violations->budget, "spread", (int)violations->spread,
+		"quota", (int)violations->quota, "alone",
+		(int)violations->alone, "ticket", (int)violations->ticket,
+		"first", violations->text));
 }
 
 static void
@@ -339,7 +340,8 @@
 
 /* Program ----------------------------------------------------------------- */
 
-/** Tasks take workers down, which come back by themselves. */
+/** Update which workers are down.  Workers that a task crashed are replaced by
+ * the model. */
 static void
 workers_poll(struct emulator *emu)
 {
@@ -373,7 +375,7 @@
 workers_listen(struct emulator *emu, struct gb_error *err)
 {
 	const gb_res capacity = {
-	    .cpu = (int)options.cpu, .mem = WORKER_MEMORY, .slots = 0};
+	    .cpu = (int)options.cpu, .mem = WORKER_MEMORY_MB, .slots = 0};
 	char addr[GB_NAME_MAX + 1];
 	unsigned int i;
 
@@ -388,7 +390,7 @@
 		snprintf(addr, sizeof(addr), "127.0.0.1:%u",
 		    options.worker_port + i);
 		emu->workers[i].server = http_server_new(emu->loop, addr,
-		    BODY_MOST, emu_worker_serve, &emu->workers[i], err);
+		    BODY_MAX_BYTES, emu_worker_serve, &emu->workers[i], err);
 		if (emu->workers[i].server == NULL)
 			return false;
 	}
@@ -401,15 +403,15 @@
 	emu->loop = uv_default_loop();
 	emu->began = gb_clock_boot();
 	emu->world = world_new(emu->seed);
-	world_shrunk_known(emu->world, SHRUNK_KNOWN);
-	world_quota_known(emu->world, QUOTA_KNOWN);
+	world_shrunk_known(emu->world, SHRINK_GRACE);
+	world_quota_known(emu->world, QUOTA_GRACE);
 	if (!workers_listen(emu, err))
 		return false;
-	if (http_server_new(emu->loop, options.store, BODY_MOST,
+	if (http_server_new(emu->loop, options.store, BODY_MAX_BYTES,
 		emu_store_serve, emu, err) == NULL ||
-	    http_server_new(emu->loop, options.advice, BODY_MOST,
+	    http_server_new(emu->loop, options.advice, BODY_MAX_BYTES,
 		emu_advice_serve, emu, err) == NULL ||
-	    http_server_new(emu->loop, options.control, BODY_MOST,
+	    http_server_new(emu->loop, options.control, BODY_MAX_BYTES,
 		serve_control, emu, err) == NULL)
 		return false;
 	uv_timer_init(emu->loop, &emu->tick);
--- a/standin/emulator.h
+++ b/standin/emulator.h
@@ -1,7 +1,7 @@
 /**
  * @file emulator.h
- * State of the emulator of the users' platform: the model of world.h behind
- * the HTTP that the platform speaks.
+ * State of the emulator of the users' platform, which serves the model of
+ * world.h with the platform's HTTP API.
  */
 #ifndef STANDIN_EMULATOR_H
 #define STANDIN_EMULATOR_H
@@ -13,36 +13,37 @@
 #include "platform.h"
 #include "world.h"
 
-/** Calls that wait (for an end, or for a change) are looked at this often. */
+/** Interval of the model's ticks, and of checks whether calls that wait for an
+ * ended run or for a change of a table can be answered. */
 #define EMU_TICK_MS 5
 
-/** How the tables answer. */
+/** How the table service answers: normally, with 503, or not at all. */
 enum emu_store_mode { EMU_STORE_SERVES, EMU_STORE_BUSY, EMU_STORE_SILENT };
 
-/** Faults in force. */
+/** Injected faults that are active. */
 struct emu_faults {
 	enum emu_store_mode store;
-	unsigned int store_partitions; /**< parts that are out, as bits */
-	unsigned int store_slow_ms;    /**< added to each answer */
-	unsigned int store_lost;  /**< percent of writes: done, no answer */
-	unsigned int store_late;  /**< percent of writes: done 1 to 6 s later */
-	unsigned int orders_lost; /**< percent of orders: done, no answer */
-	unsigned int orders_late; /**< percent: done 2 to 6 s later */
+	unsigned int store_partitions; /**< bit set of unavailable partitions */
+	unsigned int store_slow_ms;    /**< delay of each answer */
+	unsigned int store_lost; /**< percent of writes applied, not answered */
+	unsigned int store_late; /**< percent of writes applied 1 to 6 s late */
+	unsigned int orders_lost; /**< percent of orders done, not answered */
+	unsigned int orders_late; /**< percent of orders done 2 to 6 s late */
 };
 
-/** Ways in which an entry of another writer is no good. */
-#define EMU_SPOILED_WAYS 5
+/** Number of ways in which an entry in the list of workers can be invalid. */
+#define EMU_ENTRY_ERRORS 5
 
-/** A worker as the platform sees it. */
+/** A worker on the platform's side. */
 struct emu_worker {
 	unsigned int number;
 	struct http_server *server;
 	bool down;
 	gb_time down_at;
-	/** Its entry is written by somebody else: which way it is no good. */
-	unsigned int spoiled;
+	/** Error in its entry, 1 to EMU_ENTRY_ERRORS, 0: the entry is valid. */
+	unsigned int entry_error;
 	char listed[GB_NAME_MAX + 1]; /**< id under which it is listed */
-	char *entry;		      /**< as it is listed, null: it is not */
+	char *entry;		      /**< listed entry, null: not listed */
 };
 
 struct emulator {
@@ -53,47 +54,55 @@
 	struct world *world;
 	struct emu_worker *workers;
 	unsigned int worker_count;
-	unsigned int approved_percent;
-	gb_time ticket_valid;
-	unsigned int decide_ms;
+	unsigned int approved_percent; /**< workers that may run a step */
+	gb_time ticket_valid;	       /**< validity of a ticket */
+	unsigned int decide_ms;	       /**< delay of an advice answer */
 	unsigned int listed_port; /**< port of the first worker in the list */
 	char service[GB_NAME_MAX + 1];
 	struct emu_faults faults;
 };
 
-/** Time of the model. */
+/** Time of the model in microseconds since the emulator started. */
 gb_time emu_now(const struct emulator *);
-/** Whether something happens that happens in this share of cases. */
+/** Draw whether something happens that has this probability in percent. */
 bool emu_chance(struct emulator *, unsigned int percent);
-/** Answer a call, which takes the message over; after some time. */
+/** Answer a call.  Takes ownership of the message. */
 void emu_answer(struct http_call *, unsigned int status, json_t *);
+/** Answer a call after a delay in milliseconds.  Takes ownership of the
+ * message. */
 void emu_answer_later(struct emulator *, struct http_call *,
     unsigned int status, json_t *, unsigned int ms);
-/** Run a function later. */
+/** Call a function after a delay in milliseconds. */
 void emu_later(
     struct emulator *, unsigned int ms, void (*run)(void *), void *data);
-/** Value of a field of the query, decoded; empty when it is not there. */
+/** Get the value of a field of the query; empty if the field is missing. */
 void emu_query(
     const struct http_call *, const char *name, char *out, size_t size);
 
 /* emulator_store.c */
 void emu_store_serve(void *, struct http_call *);
-/** Write a row of a table that the system may only read; without a value it is
- * removed. */
+/** Write a row of a table that the scheduler only reads.  A null value removes
+ * the row. */
 void emu_store_put(
     struct emulator *, const char *table, const char *key, const char *value);
-/** Forget what was changed before now. */
+/** Drop the history of changes: calls that follow a table from before now are
+ * answered with 410. */
 void emu_store_compact(struct emulator *);
-/** Answer calls that wait for changes. */
+/** Answer calls that follow a table and have changes, or have waited long
+ * enough. */
 void emu_store_tick(struct emulator *);
 
 /* emulator_worker.c */
 void emu_worker_serve(void *, struct http_call *);
+/** Answer heartbeats that wait and have something to report, or have waited
+ * long enough. */
 void emu_worker_tick(struct emulator *);
-/** Keep the list of workers up to date. */
+/** Update the list of workers, unless the store is faulty. */
 void emu_worker_list(struct emulator *);
-/** All entries lapse; those that live are listed again. */
-void emu_worker_lapse(struct emulator *);
+/** Remove all entries from the list.  The next update lists workers that are up
+ * again. */
+void emu_worker_entries_expire(struct emulator *);
+/** Serve the advice service. */
 void emu_advice_serve(void *, struct http_call *);
 
 extern struct emulator emulator;
--- a/standin/emulator_store.c
+++ b/standin/emulator_store.c
@@ -1,8 +1,9 @@
 /**
  * @file emulator_store.c
- * Tables of the emulated platform over HTTP.  Rows that the system writes are
- * kept by the model; those that it may only read (the list of workers, the
- * operator's configuration) stand here, with what a follower needs.
+ * Tables of the emulated platform over HTTP.  The model keeps the rows that the
+ * scheduler writes.  This file keeps the rows that it only reads (the list of
+ * workers, the operator's configuration), and serves calls that wait for
+ * changes of them.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,20 +11,22 @@
 
 #include "emulator.h"
 
-/** A follower is answered without news after this at the latest. */
-#define FEED_WAIT_MOST_MS 30000
-/** Late writes come this much later. */
-#define LATE_LEAST_MS 1000
-#define LATE_SPREAD_MS 5000
+/** Longest wait of a call for changes. */
+#define FEED_WAIT_MAX_MS 30000
+/** Delay of late writes: at least this, plus a random part below the range. */
+#define LATE_MIN_MS 1000
+#define LATE_RANGE_MS 5000
 
-struct given_row {
-	TAILQ_ENTRY(given_row) next;
+/** A row that the scheduler only reads. */
+struct platform_row {
+	TAILQ_ENTRY(platform_row) next;
 	char table[GB_NAME_MAX + 1];
 	char key[GB_NAME_MAX + 1];
-	char *value; /**< in its wire form, null once it is removed */
+	char *value; /**< as encoded in messages, null: the row is removed */
 	uint64_t vers;
 };
 
+/** A call that waits for changes of a table. */
 struct follower {
 	TAILQ_ENTRY(follower) next;
 	struct http_call *call;
@@ -32,25 +35,26 @@
 	gb_time deadline;
 };
 
-TAILQ_HEAD(given_rows, given_row);
+TAILQ_HEAD(platform_row_list, platform_row);
 TAILQ_HEAD(follower_list, follower);
 
-static struct given_rows given = TAILQ_HEAD_INITIALIZER(given);
+static struct platform_row_list platform_rows =
+    TAILQ_HEAD_INITIALIZER(platform_rows);
 static struct follower_list followers = TAILQ_HEAD_INITIALIZER(followers);
-/** History before this version is gone. */
-static uint64_t history_from;
+/** Oldest version whose later changes are still available. */
+static uint64_t history_start;
 
-/* Rows that the system reads ---------------------------------------------- */
+/* Rows that the scheduler only reads -------------------------------------- */
 
 void
 emu_store_put(
     struct emulator *emu, const char *table, const char *key, const char *value)
 {
-	struct given_row *row;
+	struct platform_row *row;
 	gb_body body;
 	json_t *text;
 
-	TAILQ_FOREACH(row, &given, next)
+	TAILQ_FOREACH(row, &platform_rows, next)
 	{
 		if (strcmp(row->table, table) == 0 &&
 		    strcmp(row->key, key) == 0)
@@ -61,10 +65,10 @@
 		snprintf(row->table, sizeof(row->table), "%s", table);
 		snprintf(row->key, sizeof(row->key), "%s", key);
 	} else {
-		TAILQ_REMOVE(&given, row, next);
+		TAILQ_REMOVE(&platform_rows, row, next);
 	}
-	/* The list stays in the order of versions. */
-	TAILQ_INSERT_TAIL(&given, row, next);
+	/* Keeps the list in the order of versions. */
+	TAILQ_INSERT_TAIL(&platform_rows, row, next);
 	row->vers = world_vers_next(emu->world);
 	free(row->value);
 	row->value = NULL;
@@ -80,11 +84,11 @@
 void
 emu_store_compact(struct emulator *emu)
 {
-	history_from = world_vers(emu->world);
+	history_start = world_vers(emu->world);
 }
 
 static json_t *
-given_json(const struct given_row *row)
+platform_row_json(const struct platform_row *row)
 {
 	json_t *json = json_pack("{s:s, s:s, s:s, s:I}", "Table", row->table,
 	    "part", "", "Key", row->key, "Ver", (json_int_t)row->vers);
@@ -96,18 +100,18 @@
 	return json;
 }
 
-/** Rows that changed after a version; with `present`, those that are there. */
+/** Rows that changed after a version, without removed ones if `present`. */
 static json_t *
-given_since(const char *table, uint64_t after, bool present)
+platform_rows_since(const char *table, uint64_t after, bool present)
 {
 	json_t *rows = json_array();
-	const struct given_row *row;
+	const struct platform_row *row;
 
-	TAILQ_FOREACH(row, &given, next)
+	TAILQ_FOREACH(row, &platform_rows, next)
 	{
 		if (strcmp(row->table, table) == 0 && row->vers > after &&
 		    (!present || row->value != NULL))
-			json_array_append_new(rows, given_json(row));
+			json_array_append_new(rows, platform_row_json(row));
 	}
 	return rows;
 }
@@ -124,7 +128,7 @@
 	return message;
 }
 
-/* Following --------------------------------------------------------------- */
+/* Calls that wait for changes --------------------------------------------- */
 
 static void
 serve_feed(struct emulator *emu, struct http_call *call)
@@ -134,7 +138,7 @@
 	long wait;
 
 	emu_query(call, "After", text, sizeof(text));
-	if (strtoull(text, NULL, 10) < history_from) {
+	if (strtoull(text, NULL, 10) < history_start) {
 		emu_answer(call, 410, json_object());
 		return;
 	}
@@ -144,8 +148,8 @@
 	emu_query(call, "Table", follower->table, sizeof(follower->table));
 	emu_query(call, "WaitMs", text, sizeof(text));
 	wait = strtol(text, NULL, 10);
-	if (wait > FEED_WAIT_MOST_MS)
-		wait = FEED_WAIT_MOST_MS;
+	if (wait > FEED_WAIT_MAX_MS)
+		wait = FEED_WAIT_MAX_MS;
 	follower->deadline = emu_now(emu) + wait * GB_MSEC;
 	TAILQ_INSERT_TAIL(&followers, follower, next);
 }
@@ -160,7 +164,7 @@
 		json_t *rows = NULL;
 
 		if (emu->faults.store != EMU_STORE_SILENT)
-			rows = given_since(
+			rows = platform_rows_since(
 			    follower->table, follower->after, false);
 		if (rows != NULL && (json_array_size(rows) > 0 ||
 					follower->deadline <= emu_now(emu))) {
@@ -175,7 +179,7 @@
 	}
 }
 
-/* Rows of the system ------------------------------------------------------ */
+/* Rows that the scheduler writes ------------------------------------------ */
 
 static json_t *
 row_json(const struct gb_pool_row *row, const char *partition)
@@ -217,7 +221,8 @@
 	read.table = plat_table_number(table);
 	if (read.table == GB_POOL_TABLES) {
 		emu_answer_later(emu, call, 200,
-		    rows_message(emu, given_since(table, 0, true), false),
+		    rows_message(
+			emu, platform_rows_since(table, 0, true), false),
 		    emu->faults.store_slow_ms);
 		return;
 	}
@@ -241,7 +246,8 @@
 	world_read_free(&res);
 }
 
-/** Rows of a part of a transaction; freed with txn_rows_free. */
+/** Decode one list of rows of a transaction and the partition that they name.
+ * Release them with txn_rows_free. */
 static struct gb_pool_row *
 txn_rows(const json_t *list, bool remove, size_t *count, uint32_t *partition)
 {
@@ -275,7 +281,7 @@
 	free(rows);
 }
 
-/** Carry a transaction out; returns the status and the answer. */
+/** Carry out a transaction.  Returns the HTTP status and the answer. */
 static unsigned int
 txn_apply(struct emulator *emu, const json_t *root, json_t **message)
 {
@@ -322,7 +328,7 @@
 	json_decref(root);
 }
 
-/** The part that a transaction is about: all its rows stand in it. */
+/** Partition of a transaction: all its rows are in the same one. */
 static uint32_t
 txn_partition(const json_t *root)
 {
@@ -351,10 +357,11 @@
 		return;
 	}
 	if (emu_chance(emu, emu->faults.store_late)) {
-		/* No answer; the call stays open until its sender gives up. */
+		/* The call isn't answered; it stays open until its sender
+		 * times out. */
 		emu_later(emu,
-		    LATE_LEAST_MS + (unsigned int)(gb_random_next(&emu->seed) %
-						   LATE_SPREAD_MS),
+		    LATE_MIN_MS + (unsigned int)(gb_random_next(&emu->seed) %
+						 LATE_RANGE_MS),
 		    txn_late, root);
 		return;
 	}
--- a/standin/emulator_worker.c
+++ b/standin/emulator_worker.c
@@ -1,7 +1,8 @@
 /**
  * @file emulator_worker.c
- * Workers of the emulated platform over HTTP: their orders, their entries in
- * the list, and the service that says which of them may run a step.
+ * Workers of the emulated platform over HTTP: orders and heartbeats, their
+ * entries in the list of workers, and the advice service, which approves
+ * workers for a step.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,23 +10,24 @@
 
 #include "emulator.h"
 
-/** An entry is removed after three heartbeats of silence, half a second each
- * here, so that short runs see it. */
+/** Time from the end of a worker's process to the removal of its entry: three
+ * intervals of half a second, short enough for short test runs. */
 #define ENTRY_SILENCE (1500 * GB_MSEC)
-/** Late orders are carried out this much later. */
-#define LATE_LEAST_MS 2000
-#define LATE_SPREAD_MS 4000
-#define WAIT_MOST_MS 2000
+/** Delay of late orders: at least this, plus a random part below the range. */
+#define LATE_MIN_MS 2000
+#define LATE_RANGE_MS 4000
+/** Longest wait of a heartbeat. */
+#define WAIT_MAX_MS 2000
 
-/** A hold that waits for an end. */
+/** A heartbeat that waits for an ended run. */
 struct waiting_heartbeat {
 	TAILQ_ENTRY(waiting_heartbeat) next;
 	struct emu_worker *worker;
 	struct http_call *call;
-	char lifetime[GB_NAME_MAX + 1];
+	char worker_id[GB_NAME_MAX + 1];
 	struct gb_pool_heartbeat heartbeat;
 	gb_time deadline;
-	unsigned int process; /**< that has taken it in */
+	unsigned int process; /**< the worker's process that received it */
 };
 
 TAILQ_HEAD(heartbeat_list, waiting_heartbeat);
@@ -34,7 +36,7 @@
 
 /* Orders ------------------------------------------------------------------ */
 
-/** Status of an answer; 0 says that the worker does not answer. */
+/** HTTP status of an answer; 0: the worker doesn't answer. */
 static unsigned int
 order_status(enum gb_pool_order_status status)
 {
@@ -67,12 +69,12 @@
 	emu_answer(call, status, message);
 }
 
-/** An order with the message that its texts stand in. */
+/** An order, and the message that its strings point into. */
 struct emu_order {
 	struct gb_pool_order order;
-	struct gb_pool_run_report seen;
+	struct gb_pool_run_report report;
 	json_t *root;
-	char lifetime[GB_NAME_MAX + 1];
+	char worker_id[GB_NAME_MAX + 1];
 	char addr[GB_NAME_MAX + 1];
 	bool start;
 };
@@ -97,19 +99,19 @@
 
 	in->root = json_loadb(call->body, call->body_len, 0, NULL);
 	in->start = start;
-	http_call_header(call, "x-gooseberrycart-target-instance", in->lifetime,
-	    sizeof(in->lifetime));
+	http_call_header(call, "x-gooseberrycart-target-instance",
+	    in->worker_id, sizeof(in->worker_id));
 	worker_addr(worker->number, in->addr, sizeof(in->addr));
-	if (!plat_task_parse(plat_json_string(in->root, "Task"), &in->seen)) {
+	if (!plat_task_parse(plat_json_string(in->root, "Task"), &in->report)) {
 		json_decref(in->root);
 		free(in);
 		return NULL;
 	}
-	in->order.worker = in->lifetime;
+	in->order.worker = in->worker_id;
 	in->order.addr = in->addr;
-	in->order.id.flow = in->seen.flow;
-	in->order.id.step = in->seen.step;
-	in->order.id.index = in->seen.index;
+	in->order.id.flow = in->report.flow;
+	in->order.id.step = in->report.step;
+	in->order.id.index = in->report.index;
 	in->order.id.run = (uint64_t)plat_json_int(in->root, "Run");
 	in->order.token = (uint64_t)plat_json_int(in->root, "FencingToken");
 	in->order.spec = plat_json_string(in->root, "Spec");
@@ -158,8 +160,8 @@
 	}
 	if (emu_chance(emu, emu->faults.orders_late)) {
 		emu_later(emu,
-		    LATE_LEAST_MS + (unsigned int)(gb_random_next(&emu->seed) %
-						   LATE_SPREAD_MS),
+		    LATE_MIN_MS + (unsigned int)(gb_random_next(&emu->seed) %
+						 LATE_RANGE_MS),
 		    order_late, in);
 		return;
 	}
@@ -169,13 +171,13 @@
 		order_answer(call, &res);
 }
 
-/* Holds ------------------------------------------------------------------- */
+/* Heartbeats -------------------------------------------------------------- */
 
 static void
-seen_name(const struct gb_pool_run_report *seen, char *out, size_t size)
+run_name(const struct gb_pool_run_report *run, char *out, size_t size)
 {
 	const struct gb_pool_run_id id = {
-	    seen->flow, seen->step, seen->index, seen->run};
+	    run->flow, run->step, run->index, run->run};
 
 	plat_task_name(&id, out, size);
 }
@@ -196,23 +198,23 @@
 	running = json_array();
 	ended = json_array();
 	for (i = 0; i < report->running_count; i++) {
-		const struct gb_pool_run_report *seen = &report->running[i];
+		const struct gb_pool_run_report *run = &report->running[i];
 		char name[GB_NAME_MAX + 1];
 
-		seen_name(seen, name, sizeof(name));
+		run_name(run, name, sizeof(name));
 		json_array_append_new(running,
-		    json_pack("[s, I, s, i, i]", name, (json_int_t)seen->run,
-			seen->checkpoint, (int)seen->percent, 0));
+		    json_pack("[s, I, s, i, i]", name, (json_int_t)run->run,
+			run->checkpoint, (int)run->percent, 0));
 	}
 	for (i = 0; i < report->ended_count; i++) {
-		const struct gb_pool_run_report *seen = &report->ended[i];
+		const struct gb_pool_run_report *run = &report->ended[i];
 		char name[GB_NAME_MAX + 1];
 
-		seen_name(seen, name, sizeof(name));
+		run_name(run, name, sizeof(name));
 		json_array_append_new(ended,
-		    json_pack("[I, s, I, s, s]", (json_int_t)seen->number, name,
-			(json_int_t)seen->run, plat_outcome_name(seen->outcome),
-			seen->checkpoint));
+		    json_pack("[I, s, I, s, s]", (json_int_t)run->number, name,
+			(json_int_t)run->run, plat_outcome_name(run->outcome),
+			run->checkpoint));
 	}
 	emu_answer(call, 200,
 	    json_pack("{s:I, s:I, s:o, s:o}", "ClockMs",
@@ -221,7 +223,8 @@
 		ended));
 }
 
-/** Answer a hold if there is something to tell or nothing to wait for. */
+/** Answer a heartbeat if there is something to report or its wait is over.
+ * Returns whether it is finished. */
 static bool
 heartbeat_try(struct emulator *emu, struct waiting_heartbeat *wait)
 {
@@ -230,14 +233,14 @@
 	bool answer;
 
 	worker_addr(wait->worker->number, addr, sizeof(addr));
-	wait->heartbeat.worker = wait->lifetime;
+	wait->heartbeat.worker = wait->worker_id;
 	wait->heartbeat.addr = addr;
-	/* The process that took it in has gone, and its connections with it:
-	 * nobody answers. */
+	/* The process that received it has terminated, and its connections with
+	 * it, so the heartbeat isn't answered. */
 	if (wait->process != world_worker_process(emu->world, addr))
 		return true;
 	world_heartbeat(emu->world, &wait->heartbeat, &report);
-	/* These counted when the call came. */
+	/* Lease and cursor are applied only once, when the call arrives. */
 	wait->heartbeat.lease_end_ms = 0;
 	wait->heartbeat.cursor = 0;
 	answer = report.status != GB_POOL_ORDER_DONE ||
@@ -249,7 +252,7 @@
 }
 
 static void
-serve_hold(
+serve_heartbeat(
     struct emulator *emu, struct emu_worker *worker, struct http_call *call)
 {
 	json_t *root = json_loadb(call->body, call->body_len, 0, NULL);
@@ -260,12 +263,12 @@
 	wait->worker = worker;
 	wait->call = call;
 	http_call_header(call, "x-gooseberrycart-target-instance",
-	    wait->lifetime, sizeof(wait->lifetime));
+	    wait->worker_id, sizeof(wait->worker_id));
 	wait->heartbeat.token = (uint64_t)plat_json_int(root, "FencingToken");
 	wait->heartbeat.cursor = (uint64_t)plat_json_int(root, "AckCursor");
 	wait->heartbeat.lease_end_ms = plat_json_int(root, "DeadlineMs");
 	wait->deadline =
-	    emu_now(emu) + (ms < WAIT_MOST_MS ? ms : WAIT_MOST_MS) * GB_MSEC;
+	    emu_now(emu) + (ms < WAIT_MAX_MS ? ms : WAIT_MAX_MS) * GB_MSEC;
 	json_decref(root);
 	worker_addr(worker->number, addr, sizeof(addr));
 	wait->process = world_worker_process(emu->world, addr);
@@ -303,18 +306,18 @@
 	else if (strcmp(call->path, "/gooseberrycart/run-stop") == 0)
 		serve_order(&emulator, worker, call, false);
 	else if (strcmp(call->path, "/gooseberrycart/hold") == 0)
-		serve_hold(&emulator, worker, call);
+		serve_heartbeat(&emulator, worker, call);
 	else
 		emu_answer(call, 404, json_object());
 }
 
 /* List -------------------------------------------------------------------- */
 
-/** Make an entry one that names no worker to use. */
+/** Put an error into an entry, so that it names no usable worker. */
 static void
-entry_spoil(json_t *entry, unsigned int way)
+entry_make_invalid(json_t *entry, unsigned int error)
 {
-	switch (way) {
+	switch (error) {
 	case 1:
 		json_object_del(entry, "State");
 		break;
@@ -334,8 +337,7 @@
 }
 
 static char *
-entry_text(
-    const struct emulator *emu, unsigned int number, unsigned int spoiled)
+entry_text(const struct emulator *emu, unsigned int number, unsigned int error)
 {
 	struct gb_pool_entry entry;
 	char addr[GB_NAME_MAX + 1];
@@ -352,8 +354,8 @@
 	    1, "born", (json_int_t)entry.incarnation, "Labels", entry.label[0],
 	    "Capacity", "Cpu", entry.capacity.cpu, "MemMb", entry.capacity.mem,
 	    "Gpus", entry.capacity.accel);
-	if (spoiled > 0)
-		entry_spoil(json, spoiled);
+	if (error > 0)
+		entry_make_invalid(json, error);
 	return plat_json_text(json, &len);
 }
 
@@ -380,7 +382,7 @@
 	}
 	if (worker->entry != NULL && strcmp(worker->listed, entry.id) != 0)
 		entry_remove(emu, worker);
-	text = entry_text(emu, worker->number, worker->spoiled);
+	text = entry_text(emu, worker->number, worker->entry_error);
 	if (worker->entry != NULL && strcmp(worker->entry, text) == 0) {
 		free(text);
 		return;
@@ -403,7 +405,7 @@
 }
 
 void
-emu_worker_lapse(struct emulator *emu)
+emu_worker_entries_expire(struct emulator *emu)
 {
 	unsigned int i;
 
