--- a/soak/caller.c
+++ b/soak/caller.c
@@ -1,7 +1,7 @@
 /**
  * @file caller.c
- * Callers: they submit jobs, come back after refusals and after silence, ask
- * for states, cancel some, and compare every answer with what was promised.
+ * Callers: they submit jobs, retry after refusals and timeouts, ask for states,
+ * cancel some jobs, and check every answer against the guarantees.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -13,54 +13,56 @@
 
 #define CALL_TIMEOUT (3 * GB_SEC)
 #define CONTROL_TIMEOUT (5 * GB_SEC)
-#define TRIES_MOST 4
+#define TRIES_MAX 4
 #define RETRY_PAUSE (600 * GB_MSEC)
-#define ASK_PAUSE (800 * GB_MSEC)
-/** A cancelled task is gone after this: a cancel is carried out within 3 s, a
- * stop takes 0.2 s. */
-#define CANCEL_BOUND (4 * GB_SEC)
-/** One job in so many runs for longer than that, and is cancelled. */
+#define POLL_PAUSE (800 * GB_MSEC)
+/** Time after a cancel when all tasks of the job have ended: a cancel is
+ * carried out within 3 s, a stop takes 0.2 s. */
+#define CANCEL_DELAY_MAX (4 * GB_SEC)
+/** One of this many "import" jobs has tasks longer than CANCEL_DELAY_MAX and is
+ * cancelled. */
 #define LONG_JOBS 15
 #define LONG_MS 9000
-/** One job in so many crashes the workers that start its first task, which are
- * back after 0.3 s and more. */
+/** One of this many jobs crashes the workers that start its first task. */
 #define CRASH_JOBS 25
-#define CRASH_BACK_SPREAD_MS 6000
-/** An answer that is cut off sooner than this after its request may have been
- * cut before it was read. */
+/** Time until such a worker is up again: at least this, plus a random part
+ * below the range. */
+#define CRASH_BACK_MIN_MS 300
+#define CRASH_BACK_RANGE_MS 6000
+/** A connection that is cut off sooner than this after the request was sent may
+ * have been cut before the node read the request. */
 #define CUT_SLACK (200 * GB_MSEC)
-/** Jobs that must all be done when everything is calm again. */
+/** Jobs submitted after all faults, which must all finish. */
 #define FINAL_JOBS 5
 
 enum job_phase {
-	JOB_TELLING, /**< the emulator is told what will be submitted */
+	JOB_REGISTERING, /**< the emulator's oracle is told of the job */
 	JOB_SUBMITTING,
-	JOB_OPEN,    /**< taken in */
-	JOB_REFUSED, /**< every try was refused: it must never run */
-	JOB_UNSURE,  /**< no try was answered with yes, one not at all */
-	JOB_OVER
+	JOB_ACCEPTED,
+	JOB_REFUSED,   /**< every try was refused: it must never run */
+	JOB_UNCERTAIN, /**< no try was accepted, some had no clear answer */
+	JOB_FINISHED
 };
 
 struct job {
 	TAILQ_ENTRY(job) next;
 	char id[17];
-	unsigned int org; /**< its organisation, by number */
+	unsigned int org; /**< number of its organisation */
 	const char *queue;
 	char *body;
 	size_t body_len;
 	enum job_phase phase;
 	unsigned int tries;
-	bool out; /**< a call is out */
-	bool unanswered;
-	bool cancel; /**< its caller wants it cancelled */
-	gb_time cancelled;
-	bool
-	    gone_asked; /**< whether its tasks have been asked for after that */
-	bool last;	/**< of the jobs that must succeed */
-	gb_time at;	/**< next step */
-	gb_time sent;
-	struct soak_node *node; /**< that the call went to */
-	gb_time incarnation;
+	bool in_flight;		/**< a call is in flight */
+	bool unanswered;	/**< a try may have been accepted */
+	bool cancel;		/**< its caller will cancel it */
+	gb_time cancelled;	/**< when a cancel was confirmed, 0: not */
+	bool stop_asked;	/**< the emulator was asked if it still runs */
+	bool final;		/**< one of the FINAL_JOBS */
+	gb_time at;		/**< when the next call is due */
+	gb_time sent;		/**< when the last call was sent */
+	struct soak_node *node; /**< node of that call */
+	gb_time incarnation;	/**< start time of that node's process */
 	char state[16];
 };
 
@@ -68,7 +70,7 @@
 
 static struct job_list jobs = TAILQ_HEAD_INITIALIZER(jobs);
 static struct {
-	unsigned int sent, accepted, refused, unsure, succeeded, failed;
+	unsigned int sent, accepted, refused, uncertain, succeeded, failed;
 	unsigned int cancelled, last;
 } counts;
 
@@ -82,10 +84,10 @@
 }
 
 static void
-job_shape(struct job *job)
+job_define(struct job *job)
 {
 	unsigned int kind = soak_random(10);
-	bool longer = !job->last && soak_random(LONG_JOBS) == 0;
+	bool longer = !job->final && soak_random(LONG_JOBS) == 0;
 	json_t *steps = json_array();
 	json_t *s;
 	char spec[64];
@@ -122,13 +124,13 @@
 	    soak_random(8) == 0 ? 1 + soak_random(5) : 0);
 	if (fault_crashes() && soak_random(CRASH_JOBS) == 0)
 		snprintf(spec, sizeof(spec), "ms=%u crash=0 back=%u", ms,
-		    300 + soak_random(CRASH_BACK_SPREAD_MS));
+		    CRASH_BACK_MIN_MS + soak_random(CRASH_BACK_RANGE_MS));
 	job->body = plat_json_text(
 	    json_pack("{s:s, s:o}", "Spec", spec, "Steps", steps),
 	    &job->body_len);
 }
 
-/** Callers reach any node that runs, also one that is stopping. */
+/** Pick a node that runs, including one that is stopping. */
 static struct soak_node *
 node_pick(void)
 {
@@ -145,7 +147,7 @@
 	return &soak.nodes[from];
 }
 
-/** A planned stop must not cut an answer off. */
+/** Check that a node that stops as planned did not cut off an answer. */
 static void
 cut_check(const struct job *job, const struct plat_http_res *res)
 {
@@ -156,8 +158,8 @@
 		return;
 	if (took > CUT_SLACK && took < CALL_TIMEOUT &&
 	    job->sent - soak.unplanned > 3 * GB_SEC)
-		soak_broken("n%u cut %s off while stopping", job->node->number,
-		    job->id);
+		soak_violation("n%u cut %s off while stopping",
+		    job->node->number, job->id);
 }
 
 static void
@@ -171,7 +173,7 @@
 	job->node = node_pick();
 	job->incarnation = job->node->started;
 	job->sent = soak_now();
-	job->out = true;
+	job->in_flight = true;
 	snprintf(header, sizeof(header),
 	    "X-Gooseberrycart-Timeout-Ms: 3000\r\n%s", operator_key(job->org));
 	plat_http_call(soak.http, GB_TRAFFIC_CALLER, job->node->front, method,
@@ -186,45 +188,46 @@
 {
 	struct job *job = data;
 
-	job->out = false;
+	job->in_flight = false;
 	cut_check(job, res);
 	job->tries++;
 	if (res->status >= 200 && res->status < 300) {
 		counts.accepted++;
-		job->phase = JOB_OPEN;
+		job->phase = JOB_ACCEPTED;
 		job->cancel =
-		    !job->last &&
+		    !job->final &&
 		    (job->cancel || soak_random(100) < soak.cancel_percent);
 		job->at = soak_now() + 300 * GB_MSEC;
 		return;
 	}
 	if (res->status == 404)
-		soak_broken("the queue of %s is not known", job->id);
+		soak_violation("the queue of %s is not known", job->id);
 	if (res->status == 401)
 		operator_key_refused(job->node, job->sent);
-	/* Where nothing was sent, nobody can have taken it in. */
+	/* Unless the request was sent, no node can have accepted it. */
 	if (res->status != 429 && res->status != 503 && res->status != 401 &&
 	    (res->status != 0 || res->sent))
 		job->unanswered = true;
-	if (job->tries < TRIES_MOST) {
+	if (job->tries < TRIES_MAX) {
 		job->at = soak_now() + RETRY_PAUSE;
 		return;
 	}
-	job->phase = job->unanswered ? JOB_UNSURE : JOB_REFUSED;
+	job->phase = job->unanswered ? JOB_UNCERTAIN : JOB_REFUSED;
 	if (job->unanswered)
-		counts.unsure++;
+		counts.uncertain++;
 	else
 		counts.refused++;
-	if (job->last)
-		soak_broken("%s was not taken in when all was calm", job->id);
+	if (job->final)
+		soak_violation(
+		    "%s was not taken in when all was calm", job->id);
 }
 
 static void
-told(void *data, const struct plat_http_res *res)
+registered(void *data, const struct plat_http_res *res)
 {
 	struct job *job = data;
 
-	job->out = false;
+	job->in_flight = false;
 	if (res->status != 200) {
 		fprintf(stderr, "soak: the emulator does not answer: %u %.*s\n",
 		    res->status, (int)res->body_len, res->body);
@@ -235,7 +238,7 @@
 }
 
 static void
-job_new(bool last)
+job_new(bool final)
 {
 	struct job *job = gb_calloc(1, sizeof(*job));
 	char path[64];
@@ -243,14 +246,14 @@
 	snprintf(job->id, sizeof(job->id), "%08x%08x", ++counts.sent,
 	    soak_random(1U << 31));
 	job->org = counts.sent;
-	job->last = last;
-	job_shape(job);
+	job->final = final;
+	job_define(job);
 	TAILQ_INSERT_TAIL(&jobs, job, next);
 	snprintf(path, sizeof(path), "/flow/%s?attempts=4&org=%s", job->id,
 	    operator_org(job->org));
-	job->out = true;
+	job->in_flight = true;
 	plat_http_call(soak.http, GB_TRAFFIC_CALLER, soak.control, "POST", path,
-	    "", job->body, job->body_len, CONTROL_TIMEOUT, told, job);
+	    "", job->body, job->body_len, CONTROL_TIMEOUT, registered, job);
 }
 
 /* States ------------------------------------------------------------------ */
@@ -263,42 +266,42 @@
 
 	if (strcmp(job->state, "succeeded") == 0 &&
 	    !plat_json_bool(root, "done"))
-		soak_broken("%s is shown as done and is not", job->id);
+		soak_violation("%s is shown as done and is not", job->id);
 	if (strcmp(job->state, "failed") == 0 &&
 	    !plat_json_bool(root, "failed"))
-		soak_broken("%s is shown as failed without cause", job->id);
+		soak_violation("%s is shown as failed without cause", job->id);
 	json_decref(root);
 }
 
 static void
-job_over(struct job *job)
+job_finish(struct job *job)
 {
 	char path[64];
 
-	job->phase = JOB_OVER;
+	job->phase = JOB_FINISHED;
 	if (strcmp(job->state, "succeeded") == 0)
 		counts.succeeded++;
 	else if (strcmp(job->state, "failed") == 0)
 		counts.failed++;
 	if (strcmp(job->state, "cancelled") == 0 && job->cancelled == 0 &&
 	    !job->cancel)
-		soak_broken("%s was cancelled by nobody", job->id);
+		soak_violation("%s was cancelled by nobody", job->id);
 	snprintf(path, sizeof(path), "/flow/%s", job->id);
 	plat_http_call(soak.http, GB_TRAFFIC_CALLER, soak.control, "GET", path,
 	    "", NULL, 0, CONTROL_TIMEOUT, state_checked, job);
 }
 
 static void
-asked(void *data, const struct plat_http_res *res)
+state_received(void *data, const struct plat_http_res *res)
 {
 	struct job *job = data;
 	json_t *root;
 
-	job->out = false;
-	job->at = soak_now() + ASK_PAUSE;
+	job->in_flight = false;
+	job->at = soak_now() + POLL_PAUSE;
 	cut_check(job, res);
 	if (res->status == 410)
-		soak_broken("%s was taken in and is not known", job->id);
+		soak_violation("%s was taken in and is not known", job->id);
 	if (res->status != 200)
 		return;
 	root = json_loadb(res->body, res->body_len, 0, NULL);
@@ -307,7 +310,7 @@
 	json_decref(root);
 	if (strcmp(job->state, "queued") != 0 &&
 	    strcmp(job->state, "running") != 0)
-		job_over(job);
+		job_finish(job);
 }
 
 static void
@@ -315,58 +318,58 @@
 {
 	struct job *job = data;
 
-	job->out = false;
-	job->at = soak_now() + ASK_PAUSE;
+	job->in_flight = false;
+	job->at = soak_now() + POLL_PAUSE;
 	cut_check(job, res);
 	if (res->status == 410)
-		soak_broken("%s was taken in and is not known", job->id);
+		soak_violation("%s was taken in and is not known", job->id);
 	if (res->status != 200)
 		return;
 	job->cancelled = soak_now();
-	job->phase = JOB_OVER;
+	job->phase = JOB_FINISHED;
 	counts.cancelled++;
 }
 
 static void
-gone_checked(void *data, const struct plat_http_res *res)
+stop_checked(void *data, const struct plat_http_res *res)
 {
 	const struct job *job = data;
 	json_t *root = json_loadb(res->body, res->body_len, 0, NULL);
 
-	/* The bound holds where nothing unplanned happened meanwhile. */
+	/* The bound holds only if no unplanned fault was active. */
 	if (plat_json_int(root, "running") > 0 &&
-	    soak.unplanned < job->cancelled - CANCEL_BOUND)
-		soak_broken("%s was cancelled and runs on", job->id);
+	    soak.unplanned < job->cancelled - CANCEL_DELAY_MAX)
+		soak_violation("%s was cancelled and runs on", job->id);
 	json_decref(root);
 }
 
-/** Ask what the workers have seen whether a cancelled job still runs. */
+/** Ask the emulator whether a cancelled job still runs. */
 static void
-job_gone(struct job *job)
+job_stop_ask(struct job *job)
 {
 	char path[64];
 
-	if (job->cancelled == 0 || job->gone_asked ||
-	    soak_now() - job->cancelled < CANCEL_BOUND)
+	if (job->cancelled == 0 || job->stop_asked ||
+	    soak_now() - job->cancelled < CANCEL_DELAY_MAX)
 		return;
-	job->gone_asked = true;
+	job->stop_asked = true;
 	snprintf(path, sizeof(path), "/flow/%s", job->id);
 	plat_http_call(soak.http, GB_TRAFFIC_CALLER, soak.control, "GET", path,
-	    "", NULL, 0, CONTROL_TIMEOUT, gone_checked, job);
+	    "", NULL, 0, CONTROL_TIMEOUT, stop_checked, job);
 }
 
 static void
 job_step(struct job *job)
 {
-	job_gone(job);
-	if (job->out || job->at > soak_now())
+	job_stop_ask(job);
+	if (job->in_flight || job->at > soak_now())
 		return;
 	if (job->phase == JOB_SUBMITTING)
 		job_call(job, "POST", submitted);
-	else if (job->phase == JOB_OPEN && job->cancel)
+	else if (job->phase == JOB_ACCEPTED && job->cancel)
 		job_call(job, "DELETE", cancelled);
-	else if (job->phase == JOB_OPEN)
-		job_call(job, "GET", asked);
+	else if (job->phase == JOB_ACCEPTED)
+		job_call(job, "GET", state_received);
 }
 
 void
@@ -401,10 +404,10 @@
 
 	TAILQ_FOREACH(job, &jobs, next)
 	{
-		if (job->phase <= JOB_OPEN)
+		if (job->phase <= JOB_ACCEPTED)
 			return false;
 		if (job->cancelled > 0 &&
-		    soak_now() - job->cancelled < CANCEL_BOUND)
+		    soak_now() - job->cancelled < CANCEL_DELAY_MAX)
 			return false;
 	}
 	return true;
@@ -422,17 +425,17 @@
 	json_t *root = json_loadb(res->body, res->body_len, 0, NULL);
 
 	if (res->status != 200)
-		soak_broken("the emulator does not know %s", job->id);
+		soak_violation("the emulator does not know %s", job->id);
 	if (job->phase == JOB_REFUSED && plat_json_int(root, "starts") > 0)
-		soak_broken("%s was refused and ran", job->id);
+		soak_violation("%s was refused and ran", job->id);
 	if (job->cancelled > 0 && plat_json_int(root, "running") > 0)
-		soak_broken("%s was cancelled and runs on", job->id);
-	if (plat_json_bool(root, "crashes") && job->phase == JOB_OVER &&
+		soak_violation("%s was cancelled and runs on", job->id);
+	if (plat_json_bool(root, "crashes") && job->phase == JOB_FINISHED &&
 	    strcmp(job->state, "succeeded") == 0)
-		soak_broken("%s crashes its workers and is done", job->id);
-	if (job->last && !plat_json_bool(root, "done") &&
+		soak_violation("%s crashes its workers and is done", job->id);
+	if (job->final && !plat_json_bool(root, "done") &&
 	    strcmp(job->state, "failed") != 0)
-		soak_broken("%s was not done when all was calm", job->id);
+		soak_violation("%s was not done when all was calm", job->id);
 	json_decref(root);
 	if (--audits_in_flight == 0)
 		audit_done();
@@ -441,21 +444,22 @@
 static void
 reported(void *data, const struct plat_http_res *res)
 {
-	static const char *const promises[] = {
+	static const char *const guarantees[] = {
 	    "twice", "limit", "order", "budget", "spread", "quota"};
 	json_t *root = json_loadb(res->body, res->body_len, 0, NULL);
 	size_t i;
 
 	(void)data;
 	if (root == NULL)
-		soak_broken("the emulator does not report");
-	for (i = 0; i < sizeof(promises) / sizeof(promises[0]); i++) {
-		if (plat_json_int(root, promises[i]) > 0)
-			soak_broken("workers saw %s: %" PRId64 ", %s",
-			    promises[i], plat_json_int(root, promises[i]),
+		soak_violation("the emulator does not report");
+	for (i = 0; i < sizeof(guarantees) / sizeof(guarantees[0]); i++) {
+		if (plat_json_int(root, guarantees[i]) > 0)
+			soak_violation("workers saw %s: %" PRId64 ", %s",
+			    guarantees[i], plat_json_int(root, guarantees[i]),
 			    plat_json_string(root, "first"));
 	}
-	/* Not promised: orders that come late bring tickets that are over. */
+	/* No violations: faults may leave a gang incomplete, and late orders
+	 * have expired tickets. */
 	printf("workers: alone=%" PRId64 " ticket=%" PRId64 "\n",
 	    plat_json_int(root, "alone"), plat_json_int(root, "ticket"));
 	json_decref(root);
@@ -473,8 +477,8 @@
 	audits_in_flight = 1;
 	TAILQ_FOREACH(job, &jobs, next)
 	{
-		if (job->phase <= JOB_OPEN)
-			soak_broken(
+		if (job->phase <= JOB_ACCEPTED)
+			soak_violation(
 			    "%s is still open: %s", job->id, job->state);
 		audits_in_flight++;
 		snprintf(path, sizeof(path), "/flow/%s", job->id);
@@ -490,6 +494,6 @@
 {
 	printf("jobs: sent=%u accepted=%u refused=%u unsure=%u succeeded=%u "
 	       "failed=%u cancelled=%u\n",
-	    counts.sent, counts.accepted, counts.refused, counts.unsure,
+	    counts.sent, counts.accepted, counts.refused, counts.uncertain,
 	    counts.succeeded, counts.failed, counts.cancelled);
 }
--- a/soak/clock_shift.c
+++ b/soak/clock_shift.c
@@ -1,7 +1,8 @@
 /**
  * @file clock_shift.c
- * The time of day of gooseberry-node-shifted, which the soak runs: the linker
- * puts this in place of gb_clock_wall.  SIGUSR1 moves it ahead, SIGUSR2 back.
+ * Time of day of gooseberry-node-shifted, the node that the soak runs.  The
+ * linker replaces gb_clock_wall by the function here.  SIGUSR1 moves the time
+ * ahead, SIGUSR2 back.
  */
 #include <signal.h>
 
@@ -10,6 +11,7 @@
 #define SHIFT_AHEAD (3 * GB_SEC)
 #define SHIFT_BACK (7 * GB_SEC)
 
+/** Number of shifts in each direction. */
 static volatile sig_atomic_t ahead;
 static volatile sig_atomic_t back;
 
@@ -25,7 +27,8 @@
 		back++;
 }
 
-/** Signals are taken before the program begins. */
+/** Install the handlers before main, so that an early signal doesn't end the
+ * process. */
 __attribute__((constructor)) static void
 shift_install(void)
 {
--- a/soak/fault.c
+++ b/soak/fault.c
@@ -1,7 +1,7 @@
 /**
  * @file fault.c
- * Faults of a run, drawn from its seed: each begins at some time, lasts a
- * while, and may overlap with others and with itself elsewhere.
+ * Faults of a run, enabled from its seed.  Each has a begin and a duration;
+ * faults may overlap, also those of one kind on different nodes or workers.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -10,30 +10,33 @@
 
 #include "fault.h"
 
-#define FAULTS_MOST 4096
-/** No faults before this time, so that the first owner is there. */
+#define FAULTS_MAX 4096
+/** Begin of the first fault, when the pool has its first owner. */
 #define FAULT_FIRST (2 * GB_SEC)
-/** Pause between the beginnings of two faults, at the least and more. */
-#define FAULT_GAP_MS 150
-#define FAULT_GAP_SPREAD_MS 1200
-/** And this much more if they are all of a few kinds. */
-#define ONLY_GAP_SPREAD_MS 6000
-/** How long a fault lasts, at the least and more. */
-#define FAULT_LENGTH_MS 300
-#define FAULT_LENGTH_SPREAD_MS 3500
+/** Time between the begins of two faults: at least this, plus a random part
+ * below the range. */
+#define FAULT_GAP_MIN_MS 150
+#define FAULT_GAP_RANGE_MS 1200
+/** Range of a further random part with --only. */
+#define ONLY_GAP_RANGE_MS 6000
+/** Duration of a fault: at least this, plus a random part below the range. */
+#define FAULT_DURATION_MIN_MS 300
+#define FAULT_DURATION_RANGE_MS 3500
+/** Delay of data by a proxy. */
 #define DELAY_MS 400
-/** The time of day of workers jumps by some of these. */
+/** The time of day of workers jumps by up to four of these, either way. */
 #define WORKER_CLOCK_STEP_MS 2500
-/** How long cuts between nodes and pauses again and again last. */
-#define CUT_LEAST_MS 5000
-#define CUT_MOST_MS 40000
-#define PAUSES_LEAST_MS 10000
-#define PAUSES_MOST_MS 30000
-/** A storm hits at this time first, then again and again; the last third of
- * the run is quiet. */
+/** Duration of cuts between nodes. */
+#define CUT_MIN_MS 5000
+#define CUT_MAX_MS 40000
+/** Duration of faults that pause nodes repeatedly. */
+#define PAUSES_MIN_MS 10000
+#define PAUSES_MAX_MS 30000
+/** Time of the first fault with --storm, the interval of faults, and their
+ * duration.  The last third of the run has no faults. */
 #define STORM_FIRST (4 * GB_SEC)
-#define STORM_EVERY (8 * GB_SEC)
-#define STORM_LASTS (6 * GB_SEC)
+#define STORM_INTERVAL (8 * GB_SEC)
+#define STORM_DURATION (6 * GB_SEC)
 #define STORM_KINDS "peers_silence,members_split,all_paused,all_starved"
 
 static struct soak_node *
@@ -66,13 +69,13 @@
 }
 
 static void
-freeze_begin(struct fault *fault)
+pause_begin(struct fault *fault)
 {
 	node_signal(node_of(fault), SIGSTOP);
 }
 
 static void
-freeze_end(struct fault *fault)
+pause_end(struct fault *fault)
 {
 	node_signal(node_of(fault), SIGCONT);
 }
@@ -97,7 +100,7 @@
 static void
 pauses_begin(struct fault *fault)
 {
-	(void)fault; /* all is done by the steps */
+	(void)fault; /* the step function does all the work */
 }
 
 /* Connections ------------------------------------------------------------- */
@@ -132,7 +135,8 @@
 	return soak.worker_proxies[fault->worker];
 }
 
-/** Five ways in which the connections behind a proxy go wrong. */
+/** Functions that begin and end the five kinds of faults of a proxy's
+ * connections. */
 #define LINK_FAULTS(what)                                                   \
 	static void what##_delay(struct fault *fault)                       \
 	{                                                                   \
@@ -183,10 +187,10 @@
 STORE_FAULT(lost, "lost=30")
 STORE_FAULT(late, "late=30")
 STORE_FAULT(compact, "compact=1")
-/* Parts as bits: the first two, and three of five. */
-STORE_FAULT(two_parts, "parts=3")
-STORE_FAULT(most_parts, "parts=22")
-STORE_FAULT(well, "")
+/* The unavailable partitions are a bit set: the first two, three of five. */
+STORE_FAULT(two_partitions, "parts=3")
+STORE_FAULT(most_partitions, "parts=22")
+STORE_FAULT(normal, "")
 
 static void
 orders_lost(struct fault *fault)
@@ -203,7 +207,7 @@
 }
 
 static void
-orders_well(struct fault *fault)
+orders_normal(struct fault *fault)
 {
 	(void)fault;
 	soak_control("/orders?");
@@ -215,16 +219,16 @@
 		soak_control("/worker/%u/" what, fault->worker); \
 	}
 
-WORKER_FAULT(host_crash, "crash")
-WORKER_FAULT(host_reborn, "reborn")
-WORKER_FAULT(host_failing, "failing")
-WORKER_FAULT(host_still, "still")
-WORKER_FAULT(host_well, "well")
-WORKER_FAULT(host_drain, "drain")
-WORKER_FAULT(entry_spoiled, "spoiled")
-WORKER_FAULT(entry_sound, "sound")
-WORKER_FAULT(host_shrunk, "shrunk")
-WORKER_FAULT(host_whole, "whole")
+WORKER_FAULT(worker_crash, "crash")
+WORKER_FAULT(worker_replace, "reborn")
+WORKER_FAULT(worker_fail, "failing")
+WORKER_FAULT(worker_stall, "still")
+WORKER_FAULT(worker_normal, "well")
+WORKER_FAULT(worker_drain, "drain")
+WORKER_FAULT(entry_invalid, "spoiled")
+WORKER_FAULT(entry_valid, "sound")
+WORKER_FAULT(worker_shrink, "shrunk")
+WORKER_FAULT(worker_restore, "whole")
 
 static void
 rack_crash(struct fault *fault)
@@ -237,7 +241,7 @@
 }
 
 static void
-rack_reborn(struct fault *fault)
+rack_replace(struct fault *fault)
 {
 	unsigned int i;
 
@@ -246,19 +250,19 @@
 		soak_control("/worker/%u/reborn", i);
 }
 
-/** The worker starts again under its id; its connections went with the process
- * before. */
+/** Restart a worker under its id, and reset its connections as the end of its
+ * process does. */
 static void
-host_restart_one(unsigned int worker)
+worker_restart_one(unsigned int worker)
 {
 	proxy_reset(soak.worker_proxies[worker]);
 	soak_control("/worker/%u/restart", worker);
 }
 
 static void
-host_restart(struct fault *fault)
+worker_restart(struct fault *fault)
 {
-	host_restart_one(fault->worker);
+	worker_restart_one(fault->worker);
 }
 
 static void
@@ -268,11 +272,11 @@
 
 	for (i = fault->worker / 8 * 8;
 	     i < fault->worker / 8 * 8 + 8 && i < soak.worker_count; i++)
-		host_restart_one(i);
+		worker_restart_one(i);
 }
 
 static void
-host_clock_begin(struct fault *fault)
+worker_clock_begin(struct fault *fault)
 {
 	soak_control("/clock?step_ms=%d",
 	    ((int)(fault->random % 9) - 4) * WORKER_CLOCK_STEP_MS);
@@ -315,37 +319,42 @@
 	soak.rate /= 3;
 }
 
-/** Kinds of which nobody must notice more than a refusal. */
-#define PLANNED(word, first, last)                                             \
-	{                                                                      \
-		word, true, first, last, NULL, SCOPE_NOBODY, HARM_NONE, false, \
-		    0, 0                                                       \
+/** Planned work, which callers may notice by refusals only. */
+#define PLANNED(name, begin, end)                                            \
+	{                                                                    \
+		name, true, begin, end, NULL, SCOPE_NONE, CAUSE_NONE, false, \
+		    0, 0                                                     \
 	}
-#define KIND_HARM(word, first, last, who, does)                        \
-	{                                                              \
-		word, false, first, last, NULL, who, does, false, 0, 0 \
+/** A kind that is a cause for takeovers from the nodes of its scope. */
+#define KIND_CAUSE(name, begin, end, scope, cause)                       \
+	{                                                                \
+		name, false, begin, end, NULL, scope, cause, false, 0, 0 \
 	}
-#define KIND(word, first, last) \
-	KIND_HARM(word, first, last, SCOPE_NOBODY, HARM_NONE)
-#define LINK_KINDS(what, who, does)                                        \
-	KIND_HARM(#what "_delay", what##_delay, what##_pass, who, does),   \
-	    KIND_HARM(#what "_cut", what##_cut, what##_pass, who, does),   \
-	    KIND_HARM(                                                     \
-		#what "_one_way", what##_one_way, what##_pass, who, does), \
-	    KIND_HARM(#what "_reset", what##_reset, NULL, who, does),      \
-	    KIND_HARM(#what "_silence", what##_silence, NULL, who, does)
-/** Cuts between nodes, and pauses. */
-#define CUT(word, first, whole)                                             \
-	{                                                                   \
-		word, false, first, cut_end, NULL, SCOPE_NOBODY, HARM_NONE, \
-		    whole, CUT_LEAST_MS, CUT_MOST_MS                        \
-	}
-#define PAUSES(word, each, whole)                                          \
+/** A kind that is no cause for takeovers. */
+#define KIND(name, begin, end) \
+	KIND_CAUSE(name, begin, end, SCOPE_NONE, CAUSE_NONE)
+/** The five kinds of faults of a proxy's connections. */
+#define LINK_KINDS(what, scope, cause)                                        \
+	KIND_CAUSE(#what "_delay", what##_delay, what##_pass, scope, cause),  \
+	    KIND_CAUSE(#what "_cut", what##_cut, what##_pass, scope, cause),  \
+	    KIND_CAUSE(                                                       \
+		#what "_one_way", what##_one_way, what##_pass, scope, cause), \
+	    KIND_CAUSE(#what "_reset", what##_reset, NULL, scope, cause),     \
+	    KIND_CAUSE(#what "_silence", what##_silence, NULL, scope, cause)
+/** A kind of cuts between nodes. */
+#define CUT(name, begin, all_nodes)                                        \
 	{                                                                  \
-		word, false, pauses_begin, pauses_end, each, SCOPE_NOBODY, \
-		    HARM_NONE, whole, PAUSES_LEAST_MS, PAUSES_MOST_MS      \
+		name, false, begin, cut_end, NULL, SCOPE_NONE, CAUSE_NONE, \
+		    all_nodes, CUT_MIN_MS, CUT_MAX_MS                      \
+	}
+/** A kind of repeated pauses of nodes. */
+#define PAUSES(name, step, all_nodes)                                    \
+	{                                                                \
+		name, false, pauses_begin, pauses_end, step, SCOPE_NONE, \
+		    CAUSE_NONE, all_nodes, PAUSES_MIN_MS, PAUSES_MAX_MS  \
 	}
 
+/* New kinds go last, so that --kinds N draws the same ones as before. */
 static const struct fault_kind kinds[] = {
     PLANNED("node_term", term_begin, NULL),
     PLANNED("node_hup", hup_begin, NULL), PLANNED("config", config_begin, NULL),
@@ -354,35 +363,40 @@
     PLANNED("clock_step", clock_begin, NULL),
     KIND("node_kill", kill_begin, NULL),
     KIND("node_kill_all", kill_all_begin, NULL),
-    KIND("node_freeze", freeze_begin, freeze_end),
-    LINK_KINDS(front, SCOPE_NOBODY, HARM_NONE),
-    LINK_KINDS(peer, SCOPE_NODE, HARM_LASTING),
-    LINK_KINDS(store, SCOPE_NODE, HARM_DOWN),
-    LINK_KINDS(advice, SCOPE_NOBODY, HARM_NONE),
-    LINK_KINDS(worker, SCOPE_NOBODY, HARM_NONE),
-    KIND_HARM("tables_busy", tables_busy, tables_well, SCOPE_ALL, HARM_DOWN),
-    KIND_HARM(
-	"tables_silent", tables_silent, tables_well, SCOPE_ALL, HARM_DOWN),
-    KIND_HARM("tables_lapse", tables_lapse, tables_well, SCOPE_ALL, HARM_DOWN),
-    KIND_HARM("tables_slow", tables_slow, tables_well, SCOPE_ALL, HARM_DOWN),
-    KIND_HARM("tables_lost", tables_lost, tables_well, SCOPE_ALL, HARM_DOWN),
-    KIND_HARM("tables_late", tables_late, tables_well, SCOPE_ALL, HARM_DOWN),
-    KIND_HARM("tables_compact", tables_compact, NULL, SCOPE_ALL, HARM_DOWN),
-    KIND("orders_lost", orders_lost, orders_well),
-    KIND("orders_late", orders_late, orders_well),
-    KIND("worker_crash", host_crash, host_reborn),
-    KIND("worker_rack", rack_crash, rack_reborn),
-    KIND("worker_failing", host_failing, host_well),
-    KIND("worker_still", host_still, host_well),
-    KIND("worker_drain", host_drain, host_reborn),
-    KIND_HARM("tables_two_parts", tables_two_parts, tables_well, SCOPE_ALL,
-	HARM_DOWN),
-    KIND_HARM("tables_most_parts", tables_most_parts, tables_well, SCOPE_ALL,
-	HARM_DOWN),
-    KIND("entry_spoiled", entry_spoiled, entry_sound),
-    KIND("worker_shrunk", host_shrunk, host_whole),
+    KIND("node_freeze", pause_begin, pause_end),
+    LINK_KINDS(front, SCOPE_NONE, CAUSE_NONE),
+    LINK_KINDS(peer, SCOPE_NODE, CAUSE_LASTING),
+    LINK_KINDS(store, SCOPE_NODE, CAUSE_DOWN),
+    LINK_KINDS(advice, SCOPE_NONE, CAUSE_NONE),
+    LINK_KINDS(worker, SCOPE_NONE, CAUSE_NONE),
+    KIND_CAUSE(
+	"tables_busy", tables_busy, tables_normal, SCOPE_ALL, CAUSE_DOWN),
+    KIND_CAUSE(
+	"tables_silent", tables_silent, tables_normal, SCOPE_ALL, CAUSE_DOWN),
+    KIND_CAUSE(
+	"tables_lapse", tables_lapse, tables_normal, SCOPE_ALL, CAUSE_DOWN),
+    KIND_CAUSE(
+	"tables_slow", tables_slow, tables_normal, SCOPE_ALL, CAUSE_DOWN),
+    KIND_CAUSE(
+	"tables_lost", tables_lost, tables_normal, SCOPE_ALL, CAUSE_DOWN),
+    KIND_CAUSE(
+	"tables_late", tables_late, tables_normal, SCOPE_ALL, CAUSE_DOWN),
+    KIND_CAUSE("tables_compact", tables_compact, NULL, SCOPE_ALL, CAUSE_DOWN),
+    KIND("orders_lost", orders_lost, orders_normal),
+    KIND("orders_late", orders_late, orders_normal),
+    KIND("worker_crash", worker_crash, worker_replace),
+    KIND("worker_rack", rack_crash, rack_replace),
+    KIND("worker_failing", worker_fail, worker_normal),
+    KIND("worker_still", worker_stall, worker_normal),
+    KIND("worker_drain", worker_drain, worker_replace),
+    KIND_CAUSE("tables_two_parts", tables_two_partitions, tables_normal,
+	SCOPE_ALL, CAUSE_DOWN),
+    KIND_CAUSE("tables_most_parts", tables_most_partitions, tables_normal,
+	SCOPE_ALL, CAUSE_DOWN),
+    KIND("entry_spoiled", entry_invalid, entry_valid),
+    KIND("worker_shrunk", worker_shrink, worker_restore),
     {"peers_silence", false, peers_silence_begin, NULL, NULL, SCOPE_ALL,
-	HARM_LASTING, true, 0, 0},
+	CAUSE_LASTING, true, 0, 0},
     CUT("member_cut", member_cut_begin, false),
     CUT("member_deaf", member_deaf_begin, false),
     CUT("member_mute", member_mute_begin, false),
@@ -394,18 +408,19 @@
     PAUSES("all_paused", all_paused_step, true),
     PAUSES("node_starved", node_starved_step, false),
     PAUSES("all_starved", all_starved_step, true),
-    KIND("worker_restart", host_crash, host_restart),
+    KIND("worker_restart", worker_crash, worker_restart),
     KIND("rack_restart", rack_crash, rack_restart),
-    KIND("worker_clock", host_clock_begin, NULL)};
+    KIND("worker_clock", worker_clock_begin, NULL)};
 
 #define KIND_COUNT (sizeof(kinds) / sizeof(kinds[0]))
-/** Kinds of the seeds from before workers shrank and tasks crashed them. */
+/** With --kinds up to this number no worker shrinks and no job crashes its
+ * workers. */
 #define KINDS_BEFORE_CRASHES 51
-/** And from before cuts between nodes and pauses again and again. */
+/** Number of the kinds that precede cuts between nodes and repeated pauses. */
 #define KINDS_BEFORE_LASTING 52
-/** And from before workers started again under their ids. */
+/** Number of the kinds that precede restarts of workers under their ids. */
 #define KINDS_BEFORE_RESTARTS 64
-/** One worker in so many is shrunk when all else is calm. */
+/** One of this many workers has a lower capacity after all faults. */
 #define SHRUNK_WORKERS 3
 
 bool
@@ -415,26 +430,26 @@
 	       (soak.kinds == 0 || soak.kinds > KINDS_BEFORE_CRASHES);
 }
 
-static struct fault faults[FAULTS_MOST];
+static struct fault faults[FAULTS_MAX];
 static unsigned int fault_count;
 static unsigned int kind_counts[KIND_COUNT];
 
 _Static_assert(KIND_COUNT > KINDS_BEFORE_LASTING, "new kinds stand last");
 _Static_assert(KIND_COUNT > KINDS_BEFORE_RESTARTS, "new kinds stand last");
 
-/** Kinds that are drawn from. */
-static const struct fault_kind *drawn[KIND_COUNT];
-static unsigned int drawn_count;
+/** Kinds that faults are drawn from. */
+static const struct fault_kind *enabled[KIND_COUNT];
+static unsigned int enabled_count;
 
 static void
-drawn_add(const char *name)
+enabled_add(const char *name)
 {
 	size_t i;
 
 	for (i = 0; i < KIND_COUNT; i++) {
 		if (strcmp(kinds[i].name, name) == 0 &&
-		    drawn_count < KIND_COUNT) {
-			drawn[drawn_count++] = &kinds[i];
+		    enabled_count < KIND_COUNT) {
+			enabled[enabled_count++] = &kinds[i];
 			return;
 		}
 	}
@@ -443,64 +458,67 @@
 }
 
 static void
-drawn_set(void)
+enabled_set(void)
 {
-	char words[1024];
+	char names[1024];
 	char *rest;
 	char *name;
 	unsigned int i;
 
 	if (soak.only != NULL || soak.storm) {
-		snprintf(words, sizeof(words), "%s",
+		snprintf(names, sizeof(names), "%s",
 		    soak.only != NULL ? soak.only : STORM_KINDS);
-		for (name = strtok_r(words, ",", &rest); name != NULL;
+		for (name = strtok_r(names, ",", &rest); name != NULL;
 		     name = strtok_r(NULL, ",", &rest))
-			drawn_add(name);
+			enabled_add(name);
 		return;
 	}
-	drawn_count =
+	enabled_count =
 	    soak.kinds > 0 && soak.kinds < KIND_COUNT ? soak.kinds : KIND_COUNT;
-	for (i = 0; i < drawn_count; i++)
-		drawn[i] = &kinds[i];
+	for (i = 0; i < enabled_count; i++)
+		enabled[i] = &kinds[i];
 }
 
-/** A length that was drawn for most kinds, as one for this kind. */
+/** Scale a duration from the range of most kinds to the range of this kind. */
 static gb_time
-length_of(const struct fault_kind *kind, unsigned int ms)
+kind_duration(const struct fault_kind *kind, unsigned int ms)
 {
-	if (kind->most_ms > 0)
-		ms = kind->least_ms + (ms - FAULT_LENGTH_MS) *
-					  (kind->most_ms - kind->least_ms) /
-					  FAULT_LENGTH_SPREAD_MS;
+	if (kind->max_ms > 0)
+		ms = kind->min_ms + (ms - FAULT_DURATION_MIN_MS) *
+					(kind->max_ms - kind->min_ms) /
+					FAULT_DURATION_RANGE_MS;
 	return ms * GB_MSEC;
 }
 
+/** Draw a fault that begins at a time.  Returns the begin of the next one. */
 static gb_time
 fault_draw(gb_time at)
 {
 	struct fault *fault = &faults[fault_count++];
-	unsigned int length =
-	    FAULT_LENGTH_MS + soak_random(FAULT_LENGTH_SPREAD_MS);
+	unsigned int ms =
+	    FAULT_DURATION_MIN_MS + soak_random(FAULT_DURATION_RANGE_MS);
 	gb_time next;
 
 	do {
-		fault->kind = drawn[soak_random(drawn_count)];
+		fault->kind = enabled[soak_random(enabled_count)];
 	} while (soak.planned_only && !fault->kind->planned);
 	fault->at = at;
-	fault->until = at + length_of(fault->kind, length);
+	fault->until = at + kind_duration(fault->kind, ms);
 	fault->node = soak_random(soak.node_count);
 	fault->worker = soak_random(soak.worker_count);
 	fault->random = soak.seed + fault_count;
-	next = at + (FAULT_GAP_MS + soak_random(FAULT_GAP_SPREAD_MS)) * GB_MSEC;
-	/* Alone, a fault meets the end of the one before it, or a calm. */
-	if (soak.only != NULL && fault->kind->most_ms > 0)
+	next =
+	    at + (FAULT_GAP_MIN_MS + soak_random(FAULT_GAP_RANGE_MS)) * GB_MSEC;
+	/* With --only, a fault begins near the end of the previous one, or
+	 * after a time without faults. */
+	if (soak.only != NULL && fault->kind->max_ms > 0)
 		next += (fault->until - at) * (50 + soak_random(100)) / 100;
 	else if (soak.only != NULL)
-		next += soak_random(ONLY_GAP_SPREAD_MS) * GB_MSEC;
+		next += soak_random(ONLY_GAP_RANGE_MS) * GB_MSEC;
 	return next;
 }
 
-/** One kind after the other hits all nodes. */
+/** Plan faults of all nodes at once, of one kind after the other. */
 static void
 storm_plan(void)
 {
@@ -509,21 +527,21 @@
 	unsigned int i;
 
 	for (round = 0; at < soak.seconds * GB_SEC * 2 / 3; round++) {
-		const struct fault_kind *kind = drawn[round % drawn_count];
+		const struct fault_kind *kind = enabled[round % enabled_count];
 
-		for (i = 0; i < (kind->together ? 1 : soak.node_count) &&
-			    fault_count < FAULTS_MOST;
+		for (i = 0; i < (kind->all_nodes ? 1 : soak.node_count) &&
+			    fault_count < FAULTS_MAX;
 		     i++) {
 			struct fault *fault = &faults[fault_count++];
 
 			fault->kind = kind;
 			fault->at = at;
 			fault->until =
-			    at + (kind->most_ms > 0 ? STORM_LASTS : GB_SEC);
+			    at + (kind->max_ms > 0 ? STORM_DURATION : GB_SEC);
 			fault->node = i;
 			fault->random = soak.seed + fault_count;
 		}
-		at += STORM_EVERY;
+		at += STORM_INTERVAL;
 	}
 }
 
@@ -532,19 +550,19 @@
 {
 	gb_time at = FAULT_FIRST;
 
-	drawn_set();
+	enabled_set();
 	if (soak.storm) {
 		storm_plan();
 		return;
 	}
-	while (at < soak.seconds * GB_SEC && fault_count < FAULTS_MOST)
+	while (at < soak.seconds * GB_SEC && fault_count < FAULTS_MAX)
 		at = fault_draw(at);
 }
 
 static void
 fault_begin(struct fault *fault)
 {
-	fault->state = FAULT_ON;
+	fault->state = FAULT_ACTIVE;
 	kind_counts[fault->kind - kinds]++;
 	printf("%6lld ms %s node %u worker %u for %lld ms\n",
 	    (long long)(soak_now() / GB_MSEC), fault->kind->name, fault->node,
@@ -555,23 +573,23 @@
 static void
 fault_end(struct fault *fault)
 {
-	fault->state = FAULT_OVER;
+	fault->state = FAULT_ENDED;
 	if (fault->kind->end != NULL)
 		fault->kind->end(fault);
 }
 
-/** Tell what harm a fault does now. */
+/** Record that an active fault is a cause for takeovers now. */
 static void
-fault_suffer(const struct fault *fault)
+fault_cause_add(const struct fault *fault)
 {
 	const struct fault_kind *kind = fault->kind;
 	unsigned int i;
 
-	takeover_trouble();
+	takeover_fault_add();
 	if (kind->scope == SCOPE_NODE)
-		takeover_harm(fault->node, kind->harm);
+		takeover_cause_add(fault->node, kind->cause);
 	for (i = 0; kind->scope == SCOPE_ALL && i < soak.node_count; i++)
-		takeover_harm(i, kind->harm);
+		takeover_cause_add(i, kind->cause);
 }
 
 void
@@ -582,30 +600,30 @@
 	for (i = 0; i < fault_count; i++) {
 		struct fault *fault = &faults[i];
 
-		if (fault->state == FAULT_AHEAD && fault->at <= soak_now())
+		if (fault->state == FAULT_PENDING && fault->at <= soak_now())
 			fault_begin(fault);
-		if (fault->state == FAULT_ON && fault->until <= soak_now())
+		if (fault->state == FAULT_ACTIVE && fault->until <= soak_now())
 			fault_end(fault);
-		if (fault->state != FAULT_ON)
+		if (fault->state != FAULT_ACTIVE)
 			continue;
 		if (fault->kind->step != NULL)
 			fault->kind->step(fault);
-		fault_suffer(fault);
-		node_of(fault)->harmed = soak_now();
+		fault_cause_add(fault);
+		node_of(fault)->fault_at = soak_now();
 		if (!fault->kind->planned)
 			soak.unplanned = soak_now();
 	}
 }
 
 void
-fault_heal(void)
+fault_end_all(void)
 {
 	unsigned int i;
 
 	for (i = 0; i < fault_count; i++) {
-		if (faults[i].state == FAULT_ON)
+		if (faults[i].state == FAULT_ACTIVE)
 			fault_end(&faults[i]);
-		faults[i].state = FAULT_OVER;
+		faults[i].state = FAULT_ENDED;
 	}
 	for (i = 0; fault_crashes() && i < soak.worker_count;
 	     i += SHRUNK_WORKERS)
--- a/soak/lasting.c
+++ b/soak/lasting.c
@@ -1,45 +1,48 @@
 /**
  * @file lasting.c
- * Faults that go on for long: cuts between nodes, while the store and the
- * workers stay in reach, and nodes that stand still again and again.
+ * Faults that last long: cuts between nodes, while the store and the workers
+ * stay reachable, and nodes that are paused repeatedly.
  */
 #include <signal.h>
 #include <stdlib.h>
 
 #include "fault.h"
 
-/** A pause, and the time from the beginning of one to that of the next. */
-#define PAUSE_LEAST_MS 700
-#define PAUSE_MOST_MS 2000
-#define PAUSE_EVERY_LEAST_MS 2000
-#define PAUSE_EVERY_MOST_MS 4000
-/** A starved node runs for the one and stands still for the other, by turns. */
-#define STARVED_RUNS_MS 30
-#define STARVED_LEAST_MS 300
-#define STARVED_MOST_MS 900
-
-struct fault_beat {
-	gb_time next;
-	gb_time resume; /**< when it was to be resumed, 0: it runs */
+/** Duration of a pause. */
+#define PAUSE_MIN_MS 700
+#define PAUSE_MAX_MS 2000
+/** Time from the beginning of a pause to that of the next. */
+#define PAUSE_INTERVAL_MIN_MS 2000
+#define PAUSE_INTERVAL_MAX_MS 4000
+/** Time for which a starved node runs between two pauses. */
+#define STARVED_RUN_MS 30
+/** Duration of a starved node's pause. */
+#define STARVED_MIN_MS 300
+#define STARVED_MAX_MS 900
+
+/** State of a node's pauses in one fault. */
+struct fault_pause {
+	gb_time next;	/**< when to pause or resume next */
+	gb_time resume; /**< when to resume the node, 0: it runs */
 };
 
-/** A time between two bounds, drawn by the fault itself. */
+/** Draw a duration between two bounds from the fault's own random numbers. */
 static gb_time
-fault_draw(struct fault *fault, unsigned int least_ms, unsigned int most_ms)
+duration_draw(struct fault *fault, unsigned int min_ms, unsigned int max_ms)
 {
 	uint64_t drawn = gb_random_next(&fault->random);
 
-	return (gb_time)(least_ms + drawn % (most_ms - least_ms)) * GB_MSEC;
+	return (gb_time)(min_ms + drawn % (max_ms - min_ms)) * GB_MSEC;
 }
 
 /* Cuts -------------------------------------------------------------------- */
 
-/** Whether a fault loses what one node sends to another. */
+/** Whether a fault cuts off the data from one node to another. */
 typedef bool (*cut_covers)(
     const struct fault *, unsigned int from, unsigned int to);
 
 static bool
-covers_both(const struct fault *fault, unsigned int from, unsigned int to)
+covers_node(const struct fault *fault, unsigned int from, unsigned int to)
 {
 	return from == fault->node || to == fault->node;
 }
@@ -81,6 +84,7 @@
 	return in_first_group(fault, from) != in_first_group(fault, to);
 }
 
+/** Call a function for each pair of nodes that a fault cuts. */
 static void
 cut_each(const struct fault *fault, cut_covers covers,
     void (*apply)(unsigned int from, unsigned int to))
@@ -96,8 +100,9 @@
 	}
 }
 
+/** Find the function for the pairs of nodes that a fault cuts. */
 static cut_covers
-cut_of(const struct fault *fault)
+cut_covers_of(const struct fault *fault)
 {
 	if (fault->kind->begin == member_deaf_begin)
 		return covers_in;
@@ -107,50 +112,50 @@
 		return covers_pair;
 	if (fault->kind->begin == members_split_begin)
 		return covers_groups;
-	return covers_both;
+	return covers_node;
 }
 
 void
 member_cut_begin(struct fault *fault)
 {
-	cut_each(fault, covers_both, reach_lose);
+	cut_each(fault, covers_node, reach_cut);
 }
 
 void
 member_deaf_begin(struct fault *fault)
 {
-	cut_each(fault, covers_in, reach_lose);
+	cut_each(fault, covers_in, reach_cut);
 }
 
 void
 member_mute_begin(struct fault *fault)
 {
-	cut_each(fault, covers_out, reach_lose);
+	cut_each(fault, covers_out, reach_cut);
 }
 
 void
 owner_cut_begin(struct fault *fault)
 {
 	fault->node = takeover_owner();
-	cut_each(fault, covers_both, reach_lose);
+	cut_each(fault, covers_node, reach_cut);
 }
 
 void
 pair_cut_begin(struct fault *fault)
 {
-	cut_each(fault, covers_pair, reach_lose);
+	cut_each(fault, covers_pair, reach_cut);
 }
 
 void
 members_split_begin(struct fault *fault)
 {
-	cut_each(fault, covers_groups, reach_lose);
+	cut_each(fault, covers_groups, reach_cut);
 }
 
 void
 cut_end(struct fault *fault)
 {
-	cut_each(fault, cut_of(fault), reach_restore);
+	cut_each(fault, cut_covers_of(fault), reach_restore);
 }
 
 void
@@ -165,51 +170,53 @@
 
 /* Pauses ------------------------------------------------------------------ */
 
-static struct fault_beat *
-beat_of(struct fault *fault, unsigned int node)
+static struct fault_pause *
+pause_of(struct fault *fault, unsigned int node)
 {
-	if (fault->beats == NULL)
-		fault->beats =
-		    gb_calloc(soak.node_count, sizeof(*fault->beats));
-	return &fault->beats[node];
+	if (fault->pauses == NULL)
+		fault->pauses =
+		    gb_calloc(soak.node_count, sizeof(*fault->pauses));
+	return &fault->pauses[node];
 }
 
 static void
 node_resume(struct fault *fault, unsigned int node)
 {
-	beat_of(fault, node)->resume = 0;
+	pause_of(fault, node)->resume = 0;
 	node_signal(&soak.nodes[node], SIGCONT);
 }
 
+/** Resume the nodes whose pauses are due to end. */
 static void
 resume_due(struct fault *fault)
 {
 	unsigned int i;
 
 	for (i = 0; i < soak.node_count; i++) {
-		gb_time resume = beat_of(fault, i)->resume;
+		gb_time resume = pause_of(fault, i)->resume;
 
 		if (resume > 0 && resume <= soak_now())
 			node_resume(fault, i);
 	}
 }
 
-/** Pause a node if it is time for the next pause. */
+/** Pause a node if the next pause is due.  The schedule is common to all nodes
+ * of the fault and kept in the entry of node 0. */
 static void
 pause_step(struct fault *fault, unsigned int node)
 {
-	struct fault_beat *turn = beat_of(fault, 0);
+	struct fault_pause *schedule = pause_of(fault, 0);
 	gb_time now = soak_now();
 	gb_time length;
 
 	resume_due(fault);
-	if (turn->next > now)
+	if (schedule->next > now)
 		return;
-	turn->next =
-	    now + fault_draw(fault, PAUSE_EVERY_LEAST_MS, PAUSE_EVERY_MOST_MS);
-	length = fault_draw(fault, PAUSE_LEAST_MS, PAUSE_MOST_MS);
-	beat_of(fault, node)->resume = now + length;
-	fault->turns++;
+	schedule->next = now + duration_draw(fault, PAUSE_INTERVAL_MIN_MS,
+				   PAUSE_INTERVAL_MAX_MS);
+	length = duration_draw(fault, PAUSE_MIN_MS, PAUSE_MAX_MS);
+	pause_of(fault, node)->resume = now + length;
+	fault->pause_count++;
 	node_signal(&soak.nodes[node], SIGSTOP);
 }
 
@@ -228,31 +235,33 @@
 void
 all_paused_step(struct fault *fault)
 {
-	pause_step(fault, (fault->node + fault->turns) % soak.node_count);
+	pause_step(fault, (fault->node + fault->pause_count) % soak.node_count);
 }
 
+/** Pause a node, or resume it for a short time, if that is due. */
 static void
-starve(struct fault *fault, unsigned int node)
+starve_step(struct fault *fault, unsigned int node)
 {
-	struct fault_beat *beat = beat_of(fault, node);
+	struct fault_pause *pause = pause_of(fault, node);
 	gb_time now = soak_now();
 
-	if (beat->next > now)
+	if (pause->next > now)
 		return;
-	if (beat->resume > 0) {
+	if (pause->resume > 0) {
 		node_resume(fault, node);
-		beat->next = now + STARVED_RUNS_MS * GB_MSEC;
+		pause->next = now + STARVED_RUN_MS * GB_MSEC;
 		return;
 	}
-	beat->next = now + fault_draw(fault, STARVED_LEAST_MS, STARVED_MOST_MS);
-	beat->resume = beat->next;
+	pause->next =
+	    now + duration_draw(fault, STARVED_MIN_MS, STARVED_MAX_MS);
+	pause->resume = pause->next;
 	node_signal(&soak.nodes[node], SIGSTOP);
 }
 
 void
 node_starved_step(struct fault *fault)
 {
-	starve(fault, fault->node);
+	starve_step(fault, fault->node);
 }
 
 void
@@ -261,7 +270,7 @@
 	unsigned int i;
 
 	for (i = 0; i < soak.node_count; i++)
-		starve(fault, i);
+		starve_step(fault, i);
 }
 
 void
@@ -270,9 +279,9 @@
 	unsigned int i;
 
 	for (i = 0; i < soak.node_count; i++) {
-		if (beat_of(fault, i)->resume > 0)
+		if (pause_of(fault, i)->resume > 0)
 			node_resume(fault, i);
 	}
-	free(fault->beats);
-	fault->beats = NULL;
+	free(fault->pauses);
+	fault->pauses = NULL;
 }
--- a/soak/member_source.c
+++ b/soak/member_source.c
@@ -1,8 +1,9 @@
 /**
  * @file member_source.c
- * Where the connections of gooseberry-node-shifted come from: the linker puts
- * this in place of uv_tcp_connect, which leaves from the address in
- * SOAK_SOURCE, so that the proxies of the soak know who calls.
+ * Source address of connections of gooseberry-node-shifted, the node that the
+ * soak runs.  The linker replaces uv_tcp_connect by the function here, which
+ * connects from the address in SOAK_SOURCE, so that the soak's proxies know
+ * which node has connected.
  */
 #include <stdlib.h>
 #include <uv.h>
--- a/soak/node.c
+++ b/soak/node.c
@@ -1,6 +1,6 @@
 /**
  * @file node.c
- * Nodes of a run: their settings, their proxies, their lives.
+ * Nodes of a run: their settings, their proxies and their processes.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -8,7 +8,8 @@
 
 #include "soak.h"
 
-/** First ports of each kind, counted from the first port of the run. */
+/** Offsets of the nodes' ports from the first port of the run; the number of
+ * the node is added. */
 enum port_kind {
 	PORT_FRONT = 100,
 	PORT_READY = 200,
@@ -20,8 +21,8 @@
 	PORT_ADVICE_PROXY = 800
 };
 
-/** Graceful stops are given this long before they are killed. */
-#define NODE_GRACE (6 * GB_SEC)
+/** Timeout of a graceful stop, after which the node is killed. */
+#define STOP_TIMEOUT (6 * GB_SEC)
 
 static unsigned int
 port(const struct soak_node *node, enum port_kind kind)
@@ -60,7 +61,7 @@
 	    soak.loop, port(node, PORT_FRONT_PROXY), port(node, PORT_FRONT));
 	node->peer_proxy = proxy_new(
 	    soak.loop, port(node, PORT_PEER_PROXY), port(node, PORT_PEER));
-	proxy_member(node->peer_proxy, node->number);
+	proxy_set_node(node->peer_proxy, node->number);
 	node->store_proxy =
 	    proxy_new(soak.loop, port(node, PORT_STORE_PROXY), soak.port);
 	node->advice_proxy =
@@ -93,21 +94,21 @@
 	node->started = soak_now();
 	node->restart_at = 0;
 	node->stopping = 0;
-	node->frozen = false;
+	node->paused = false;
 	node->config_seen = 0;
 }
 
-/** Tell what others may rightly take for the end of a node. */
+/** Record a state of a node that rightly causes others to take over from it. */
 static void
-node_suffers(const struct soak_node *node)
+node_cause_add(const struct soak_node *node)
 {
 	if (node->pid == 0 || node->stopping > 0 || node->restart_at > 0)
-		takeover_harm(node->number, HARM_DOWN);
-	else if (node->frozen)
-		takeover_harm(node->number, HARM_LASTING);
+		takeover_cause_add(node->number, CAUSE_DOWN);
+	else if (node->paused)
+		takeover_cause_add(node->number, CAUSE_LASTING);
 	else
 		return;
-	takeover_trouble();
+	takeover_fault_add();
 }
 
 void
@@ -116,13 +117,13 @@
 	if (node->pid <= 0)
 		return;
 	if (signum == SIGSTOP)
-		node->frozen = true;
+		node->paused = true;
 	if (signum == SIGCONT)
-		node->frozen = false;
+		node->paused = false;
 	if (signum == SIGTERM && node->stopping == 0)
 		node->stopping = soak_now();
-	/* What comes of it may come before the next tick. */
-	node_suffers(node);
+	/* A takeover may follow before the next tick records the cause. */
+	node_cause_add(node);
 	kill(node->pid, signum);
 }
 
@@ -134,13 +135,13 @@
 	for (i = 0; i < soak.node_count; i++) {
 		struct soak_node *node = &soak.nodes[i];
 
-		node_suffers(node);
+		node_cause_add(node);
 		if (node->pid > 0 && node->stopping > 0 &&
-		    soak_now() - node->stopping > NODE_GRACE)
+		    soak_now() - node->stopping > STOP_TIMEOUT)
 			node_signal(node, SIGKILL);
 		if (node->pid > 0 && process_ended(node->pid)) {
 			if (node->stopping == 0 && node->restart_at == 0)
-				soak_broken("n%u ended by itself", i);
+				soak_violation("n%u ended by itself", i);
 			node->pid = 0;
 			if (node->restart_at == 0)
 				node->restart_at = soak_now() + 300 * GB_MSEC;
--- a/soak/operator.c
+++ b/soak/operator.c
@@ -1,7 +1,7 @@
 /**
  * @file operator.c
- * The operator: changes the configuration, and compares what nodes answer with
- * what was changed.
+ * The operator: changes the configuration, and checks by probes that the nodes
+ * apply each version.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,37 +9,37 @@
 
 #include "soak.h"
 
-/** A change is in force everywhere after this, on nodes that no fault has hit
- * for as long as it takes to be in touch again. */
-#define CONFIG_BOUND (2 * GB_SEC)
-#define CONTACT (3 * GB_SEC)
-#define PROBE_EVERY (250 * GB_MSEC)
+/** Longest time until a change is in force on nodes without recent faults. */
+#define CONFIG_DELAY_MAX (2 * GB_SEC)
+/** Time after a fault for which a node may still be reconnecting. */
+#define RECOVERY_TIME (3 * GB_SEC)
+#define PROBE_INTERVAL (250 * GB_MSEC)
 #define PROBE_TIMEOUT (2 * GB_SEC)
 
-/** What the second organisation may have running, in versions by turns: its
- * largest job asks for 18,000. */
+/** CPU quotas of the second organisation in thousandths of a core, in even and
+ * in odd versions.  Its largest job needs 18,000. */
 #define QUOTA_LOW 20000
 #define QUOTA_HIGH 40000
-/** Submissions a second of each that are not beyond its share. */
+/** Weight of each organisation: submissions per second within its share. */
 #define ORG_WEIGHT 4
 #define ORGS 2
-#define KEY_HEADER 64
-/** No version has this number. */
-#define KEY_OF_NOBODY 1000000
+#define KEY_HEADER_MAX 64
+/** A version that doesn't exist, for an unknown key. */
+#define VERSION_UNKNOWN 1000000
 
 static const char *const org_names[ORGS] = {"north", "south"};
 static unsigned int version;
 static gb_time changed_at;
 
 enum probe_kind {
-	PROBE_NEW,	   /**< a route that has come */
-	PROBE_GONE,	   /**< a route that has been removed */
-	PROBE_KEY_GONE,	   /**< a key that has been taken away */
-	PROBE_KEY_UNKNOWN, /**< a key that no version held */
+	PROBE_ROUTE_NEW,     /**< a route that was added */
+	PROBE_ROUTE_REMOVED, /**< a route that was removed */
+	PROBE_KEY_REMOVED,   /**< a key that was removed */
+	PROBE_KEY_UNKNOWN,   /**< a key that no version has */
 	PROBES
 };
 
-/** A question about one version, put to one life of a node. */
+/** A request that checks one version on one incarnation of a node. */
 struct probe {
 	struct soak_node *node;
 	gb_time incarnation;
@@ -48,24 +48,26 @@
 	enum probe_kind kind;
 };
 
-/** A key, as a header.  Keys of an organisation are numbered by the versions
- * that brought them. */
+/** Write the header with an organisation's key.  Keys are numbered by the
+ * version that added them. */
 static void
-key_header(char out[KEY_HEADER], unsigned int org, unsigned int of)
+key_header(char out[KEY_HEADER_MAX], unsigned int org, unsigned int of_version)
 {
-	snprintf(out, KEY_HEADER, "Api-Key: %s-key-%u\r\n", org_names[org], of);
+	snprintf(out, KEY_HEADER_MAX, "Api-Key: %s-key-%u\r\n", org_names[org],
+	    of_version);
 }
 
-/** Each version brings a key and takes the last but one away. */
+/** List an organisation's keys in the current version: the key that it adds,
+ * and the one that the previous version added. */
 static json_t *
-keys_of(unsigned int org)
+keys_json(unsigned int org)
 {
 	json_t *keys = json_array();
-	unsigned int of;
+	unsigned int of_version;
 
-	for (of = version - 1; of <= version; of++)
-		json_array_append_new(
-		    keys, json_sprintf("%s-key-%u", org_names[org], of));
+	for (of_version = version - 1; of_version <= version; of_version++)
+		json_array_append_new(keys,
+		    json_sprintf("%s-key-%u", org_names[org], of_version));
 	return keys;
 }
 
@@ -78,7 +80,7 @@
 const char *
 operator_key(unsigned int number)
 {
-	static char header[KEY_HEADER];
+	static char header[KEY_HEADER_MAX];
 
 	key_header(header, number % ORGS, version - 1);
 	return header;
@@ -117,34 +119,35 @@
 		      "s:o, s:i, s:{s:i}}]}",
 		"Version", (int)version, "Routes", routes, "Services", "Name",
 		"pool", "EnforcesCapacity", 0, "Tenants", "Name", org_names[0],
-		"ApiKeys", keys_of(0), "Weight", ORG_WEIGHT, "Name",
-		org_names[1], "ApiKeys", keys_of(1), "Weight", ORG_WEIGHT,
+		"ApiKeys", keys_json(0), "Weight", ORG_WEIGHT, "Name",
+		org_names[1], "ApiKeys", keys_json(1), "Weight", ORG_WEIGHT,
 		"MaxCount", "Cpu", version % 2 == 0 ? QUOTA_LOW : QUOTA_HIGH),
 	    &len);
 	changed_at = soak_now();
 	plat_http_call(soak.http, GB_TRAFFIC_CALLER, soak.control, "POST",
-	    "/config", "", text, len, PROBE_TIMEOUT, soak_ignore, NULL);
+	    "/config", "", text, len, PROBE_TIMEOUT, soak_answer_ignore, NULL);
 	free(text);
 }
 
+/** Whether a node runs and no recent fault or start excuses wrong answers. */
 static bool
-node_calm(const struct soak_node *node)
+node_is_calm(const struct soak_node *node)
 {
-	return node->pid > 0 && !node->frozen && node->stopping == 0 &&
-	       soak_now() - node->started > CONTACT &&
-	       soak_now() - node->harmed > CONTACT &&
-	       soak_now() - soak.unplanned > CONTACT;
+	return node->pid > 0 && !node->paused && node->stopping == 0 &&
+	       soak_now() - node->started > RECOVERY_TIME &&
+	       soak_now() - node->fault_at > RECOVERY_TIME &&
+	       soak_now() - soak.unplanned > RECOVERY_TIME;
 }
 
 void
 operator_key_refused(const struct soak_node *node, gb_time sent)
 {
-	if (node_calm(node) && sent - changed_at > CONFIG_BOUND)
-		soak_broken(
+	if (node_is_calm(node) && sent - changed_at > CONFIG_DELAY_MAX)
+		soak_violation(
 		    "n%u turns a key away that is in force", node->number);
 }
 
-/** What an answer says about the node's configuration; 503 says nothing. */
+/** Check an answer against the configuration.  A 503 gives no evidence. */
 static void
 probe_check(const struct probe *probe, unsigned int status)
 {
@@ -152,21 +155,22 @@
 
 	if (probe->kind == PROBE_KEY_UNKNOWN) {
 		if (status == 200)
-			soak_broken(
+			soak_violation(
 			    "n%u serves a key that nobody has", node->number);
 		return;
 	}
-	if (probe->kind == PROBE_KEY_GONE) {
-		if (status == 200 && node_calm(node))
-			soak_broken("n%u serves the key of version %u",
+	if (probe->kind == PROBE_KEY_REMOVED) {
+		if (status == 200 && node_is_calm(node))
+			soak_violation("n%u serves the key of version %u",
 			    node->number, probe->version);
 		return;
 	}
 	if (status == 401)
 		operator_key_refused(node, probe->sent);
-	if (probe->kind == PROBE_GONE) {
-		if (status == 200 && node_calm(node))
-			soak_broken("n%u still knows the route of version %u",
+	if (probe->kind == PROBE_ROUTE_REMOVED) {
+		if (status == 200 && node_is_calm(node))
+			soak_violation(
+			    "n%u still knows the route of version %u",
 			    node->number, probe->version);
 		return;
 	}
@@ -177,15 +181,16 @@
 	if (status != 404 || probe->version != version)
 		return;
 	if (node->config_seen >= probe->version)
-		soak_broken("n%u went back from version %u", node->number,
+		soak_violation("n%u went back from version %u", node->number,
 		    probe->version);
-	else if (node_calm(node) && probe->sent - changed_at > CONFIG_BOUND)
-		soak_broken("n%u does not know version %u", node->number,
+	else if (node_is_calm(node) &&
+		 probe->sent - changed_at > CONFIG_DELAY_MAX)
+		soak_violation("n%u does not know version %u", node->number,
 		    probe->version);
 }
 
 static void
-probed(void *data, const struct plat_http_res *res)
+probe_answered(void *data, const struct plat_http_res *res)
 {
 	struct probe *probe = data;
 
@@ -195,26 +200,27 @@
 }
 
 static void
-probe_send(struct soak_node *node, unsigned int of, enum probe_kind kind)
+probe_send(
+    struct soak_node *node, unsigned int of_version, enum probe_kind kind)
 {
 	struct probe *probe = gb_calloc(1, sizeof(*probe));
-	char key[KEY_HEADER];
+	char key[KEY_HEADER_MAX];
 	char path[64];
 
 	probe->node = node;
 	probe->incarnation = node->started;
 	probe->sent = soak_now();
-	probe->version = of;
+	probe->version = of_version;
 	probe->kind = kind;
-	if (kind == PROBE_KEY_GONE || kind == PROBE_KEY_UNKNOWN) {
+	if (kind == PROBE_KEY_REMOVED || kind == PROBE_KEY_UNKNOWN) {
 		snprintf(path, sizeof(path), "/lookup/");
-		key_header(key, 0, of);
+		key_header(key, 0, of_version);
 	} else {
-		snprintf(path, sizeof(path), "/probe-%u/", of);
+		snprintf(path, sizeof(path), "/probe-%u/", of_version);
 		key_header(key, 0, version - 1);
 	}
 	plat_http_call(soak.http, GB_TRAFFIC_CALLER, node->direct, "GET", path,
-	    key, NULL, 0, PROBE_TIMEOUT, probed, probe);
+	    key, NULL, 0, PROBE_TIMEOUT, probe_answered, probe);
 }
 
 void
@@ -225,17 +231,17 @@
 
 	if (next > soak_now() || version == 0)
 		return;
-	next = soak_now() + PROBE_EVERY;
+	next = soak_now() + PROBE_INTERVAL;
 	for (i = 0; i < soak.node_count; i++) {
 		struct soak_node *node = &soak.nodes[i];
 
 		if (node->pid == 0 || node->stopping > 0)
 			continue;
-		probe_send(node, version, PROBE_NEW);
-		probe_send(node, KEY_OF_NOBODY, PROBE_KEY_UNKNOWN);
-		if (version > 1 && soak_now() - changed_at > CONFIG_BOUND) {
-			probe_send(node, version - 1, PROBE_GONE);
-			probe_send(node, version - 2, PROBE_KEY_GONE);
+		probe_send(node, version, PROBE_ROUTE_NEW);
+		probe_send(node, VERSION_UNKNOWN, PROBE_KEY_UNKNOWN);
+		if (version > 1 && soak_now() - changed_at > CONFIG_DELAY_MAX) {
+			probe_send(node, version - 1, PROBE_ROUTE_REMOVED);
+			probe_send(node, version - 2, PROBE_KEY_REMOVED);
 		}
 	}
 }
--- a/soak/process.c
+++ b/soak/process.c
@@ -1,6 +1,6 @@
 /**
  * @file process.c
- * Processes that the soak starts, and ends by their ids.
+ * Child processes of the soak.
  */
 #include <fcntl.h>
 #include <signal.h>
@@ -21,7 +21,7 @@
 
 	if (pid != 0)
 		return pid;
-	/* Nothing that the soak started outlives it, also when it is killed. */
+	/* Ends the child with the soak, also if the soak is killed. */
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 	if (getppid() != parent)
 		_exit(EXIT_FAILURE);
--- a/soak/proxy.c
+++ b/soak/proxy.c
@@ -1,6 +1,6 @@
 /**
  * @file proxy.c
- * Loopback proxies that delay, hold up, reset or silence connections.
+ * Loopback proxies that delay, hold back, reset or silence connections.
  */
 #include <arpa/inet.h>
 #include <stdlib.h>
@@ -9,14 +9,17 @@
 
 #include "soak.h"
 
-#define PROXY_READ 65536
-/** Nodes connect from addresses of their own, see member_source.c. */
+#define READ_MAX_BYTES 65536
+/** Source address of the first node, 127.0.1.1.  Each node connects from an
+ * address of its own, see member_source.c. */
 #define SOURCE_FIRST 0x7f000101
-#define SOURCE_UNKNOWN SOAK_NODES_MOST
+/** Number that stands for a client that is no node. */
+#define SOURCE_UNKNOWN SOAK_NODES_MAX
 
+/** Data to be forwarded. */
 struct chunk {
 	STAILQ_ENTRY(chunk) next;
-	gb_time due;
+	gb_time due; /**< not forwarded before */
 	uv_write_t write;
 	uv_buf_t buf;
 };
@@ -27,26 +30,28 @@
 
 LIST_HEAD(link_list, link);
 
-/** One direction of a connection. */
-struct pipe_way {
+/** One direction of a proxied connection. */
+struct direction {
 	struct link *link;
-	uv_tcp_t from; /**< side that is read */
+	uv_tcp_t from; /**< socket that is read */
 	struct chunk_list chunks;
-	bool ended; /**< its sender has closed */
+	bool ended; /**< the sender has closed the connection */
 };
 
+/** A proxied connection: one from the client and one to the server. */
 struct link {
 	LIST_ENTRY(link) next;
 	struct proxy *proxy;
-	struct pipe_way to;   /**< from the client to the server */
-	struct pipe_way back; /**< from the server to the client */
-	unsigned int client;  /**< node that connected, or SOURCE_UNKNOWN */
+	struct direction to_server; /**< from the client to the server */
+	struct direction to_client; /**< from the server to the client */
+	unsigned int client; /**< node that connected, or SOURCE_UNKNOWN */
 	uv_connect_t connect;
 	bool connected;
-	bool unmade; /**< made in a cut, which holds up its handshake */
-	bool silent;
+	bool handshake_cut; /**< opened during a cut, which holds back its
+				 handshake */
+	bool silent;	    /**< nothing is forwarded any more */
 	bool closing;
-	unsigned int handles; /**< that are not closed yet */
+	unsigned int handles; /**< sockets that are not closed yet */
 };
 
 struct proxy {
@@ -55,8 +60,8 @@
 	struct sockaddr_in target;
 	enum proxy_mode mode;
 	unsigned int delay_ms;
-	bool member;	   /**< whether it stands before a node */
-	unsigned int node; /**< that node */
+	bool has_node;	   /**< its server is a node */
+	unsigned int node; /**< number of that node */
 	struct link_list links;
 };
 
@@ -67,7 +72,7 @@
 static void
 on_closed(uv_handle_t *handle)
 {
-	struct link *link = ((struct pipe_way *)handle->data)->link;
+	struct link *link = ((struct direction *)handle->data)->link;
 
 	if (--link->handles == 0)
 		free(link);
@@ -81,12 +86,12 @@
 }
 
 static void
-way_drop(struct pipe_way *way)
+chunks_drop(struct direction *dir)
 {
 	struct chunk *chunk;
 
-	while ((chunk = STAILQ_FIRST(&way->chunks)) != NULL) {
-		STAILQ_REMOVE_HEAD(&way->chunks, next);
+	while ((chunk = STAILQ_FIRST(&dir->chunks)) != NULL) {
+		STAILQ_REMOVE_HEAD(&dir->chunks, next);
 		chunk_free(chunk);
 	}
 }
@@ -98,15 +103,16 @@
 		return;
 	link->closing = true;
 	LIST_REMOVE(link, next);
-	way_drop(&link->to);
-	way_drop(&link->back);
-	if (reset && uv_tcp_close_reset(&link->to.from, on_closed) == 0 &&
-	    uv_tcp_close_reset(&link->back.from, on_closed) == 0)
+	chunks_drop(&link->to_server);
+	chunks_drop(&link->to_client);
+	if (reset &&
+	    uv_tcp_close_reset(&link->to_server.from, on_closed) == 0 &&
+	    uv_tcp_close_reset(&link->to_client.from, on_closed) == 0)
 		return;
-	if (!uv_is_closing((uv_handle_t *)&link->to.from))
-		uv_close((uv_handle_t *)&link->to.from, on_closed);
-	if (!uv_is_closing((uv_handle_t *)&link->back.from))
-		uv_close((uv_handle_t *)&link->back.from, on_closed);
+	if (!uv_is_closing((uv_handle_t *)&link->to_server.from))
+		uv_close((uv_handle_t *)&link->to_server.from, on_closed);
+	if (!uv_is_closing((uv_handle_t *)&link->to_client.from))
+		uv_close((uv_handle_t *)&link->to_client.from, on_closed);
 }
 
 static void
@@ -116,58 +122,62 @@
 	chunk_free(write->data);
 }
 
-/** Whether the nodes at its ends are cut from each other in any direction. */
+/** Whether a cut between the nodes at its ends affects any direction. */
 static bool
-link_cut(const struct link *link)
+link_is_cut(const struct link *link)
 {
 	unsigned int node = link->proxy->node;
 
-	return link->proxy->member && link->client != SOURCE_UNKNOWN &&
-	       (reach_lost(link->client, node) ||
-		   reach_lost(node, link->client));
+	return link->proxy->has_node && link->client != SOURCE_UNKNOWN &&
+	       (reach_is_cut(link->client, node) ||
+		   reach_is_cut(node, link->client));
 }
 
-/** Whether a cut holds up this direction; a handshake needs both. */
+/** Whether a cut between nodes holds back this direction.  A handshake needs
+ * both directions, so a link that is opened during a cut has neither until the
+ * cut ends. */
 static bool
-way_lost(const struct pipe_way *way)
+direction_is_cut(const struct direction *dir)
 {
-	struct link *link = way->link;
+	struct link *link = dir->link;
 	unsigned int node = link->proxy->node;
 
-	if (!link_cut(link)) {
-		link->unmade = false;
+	if (!link_is_cut(link)) {
+		link->handshake_cut = false;
 		return false;
 	}
-	return link->unmade ||
-	       (way == &link->to ? reach_lost(link->client, node)
-				 : reach_lost(node, link->client));
+	return link->handshake_cut ||
+	       (dir == &link->to_server ? reach_is_cut(link->client, node)
+					: reach_is_cut(node, link->client));
 }
 
+/** Whether data in this direction is held back for any reason. */
 static bool
-way_held(const struct pipe_way *way)
+direction_is_held(const struct direction *dir)
 {
-	const struct link *link = way->link;
+	const struct link *link = dir->link;
 	enum proxy_mode mode = link->proxy->mode;
-	bool to = way == &link->to;
+	bool to = dir == &link->to_server;
 
-	return link->silent || !link->connected || way_lost(way) ||
+	return link->silent || !link->connected || direction_is_cut(dir) ||
 	       mode == PROXY_CUT || (to && mode == PROXY_CUT_TO) ||
 	       (!to && mode == PROXY_CUT_FROM);
 }
 
-/** Pass on what is due; returns false when the link was closed. */
+/** Forward the data that is due.  Returns false if the link was closed. */
 static bool
-way_flush(struct pipe_way *way)
+direction_flush(struct direction *dir)
 {
-	struct link *link = way->link;
-	struct pipe_way *other = way == &link->to ? &link->back : &link->to;
+	struct link *link = dir->link;
+	struct direction *other =
+	    dir == &link->to_server ? &link->to_client : &link->to_server;
 	struct chunk *chunk;
 
-	if (way_held(way))
+	if (direction_is_held(dir))
 		return true;
-	while ((chunk = STAILQ_FIRST(&way->chunks)) != NULL &&
+	while ((chunk = STAILQ_FIRST(&dir->chunks)) != NULL &&
 	       chunk->due <= soak_now()) {
-		STAILQ_REMOVE_HEAD(&way->chunks, next);
+		STAILQ_REMOVE_HEAD(&dir->chunks, next);
 		chunk->write.data = chunk;
 		if (uv_write(&chunk->write, (uv_stream_t *)&other->from,
 			&chunk->buf, 1, on_written) != 0) {
@@ -176,7 +186,7 @@
 			return false;
 		}
 	}
-	if (way->ended && STAILQ_EMPTY(&way->chunks)) {
+	if (dir->ended && STAILQ_EMPTY(&dir->chunks)) {
 		link_close(link, false);
 		return false;
 	}
@@ -188,26 +198,26 @@
 {
 	(void)handle;
 	(void)size;
-	*buf = uv_buf_init(gb_calloc(1, PROXY_READ), PROXY_READ);
+	*buf = uv_buf_init(gb_calloc(1, READ_MAX_BYTES), READ_MAX_BYTES);
 }
 
 static void
 on_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
 {
-	struct pipe_way *way = stream->data;
-	struct proxy *proxy = way->link->proxy;
+	struct direction *dir = stream->data;
+	struct proxy *proxy = dir->link->proxy;
 	struct chunk *chunk;
 
 	if (len <= 0) {
 		free(buf->base);
 		if (len == 0)
 			return;
-		way->ended = true;
+		dir->ended = true;
 		uv_read_stop(stream);
-		if (way->link->unmade && link_cut(way->link))
-			link_close(way->link, true);
+		if (dir->link->handshake_cut && link_is_cut(dir->link))
+			link_close(dir->link, true);
 		else
-			way_flush(way);
+			direction_flush(dir);
 		return;
 	}
 	chunk = gb_calloc(1, sizeof(*chunk));
@@ -215,8 +225,8 @@
 	chunk->due = soak_now();
 	if (proxy->mode == PROXY_DELAY)
 		chunk->due += proxy->delay_ms * GB_MSEC;
-	STAILQ_INSERT_TAIL(&way->chunks, chunk, next);
-	way_flush(way);
+	STAILQ_INSERT_TAIL(&dir->chunks, chunk, next);
+	direction_flush(dir);
 }
 
 static void
@@ -231,24 +241,24 @@
 		return;
 	}
 	link->connected = true;
-	uv_read_start((uv_stream_t *)&link->back.from, on_alloc, on_read);
-	way_flush(&link->to);
+	uv_read_start((uv_stream_t *)&link->to_client.from, on_alloc, on_read);
+	direction_flush(&link->to_server);
 }
 
 static void
-way_init(struct pipe_way *way, struct link *link, uv_loop_t *loop)
+direction_init(struct direction *dir, struct link *link, uv_loop_t *loop)
 {
-	way->link = link;
-	STAILQ_INIT(&way->chunks);
-	uv_tcp_init(loop, &way->from);
-	uv_tcp_nodelay(&way->from, 1);
-	way->from.data = way;
+	dir->link = link;
+	STAILQ_INIT(&dir->chunks);
+	uv_tcp_init(loop, &dir->from);
+	uv_tcp_nodelay(&dir->from, 1);
+	dir->from.data = dir;
 	link->handles++;
 }
 
-/** Which node a connection comes from, by its address. */
+/** Find the node that a connection comes from, by its source address. */
 static unsigned int
-client_of(const uv_tcp_t *tcp)
+client_node(const uv_tcp_t *tcp)
 {
 	struct sockaddr_in sin;
 	int len = sizeof(sin);
@@ -257,7 +267,7 @@
 	if (uv_tcp_getpeername(tcp, (struct sockaddr *)&sin, &len) != 0)
 		return SOURCE_UNKNOWN;
 	number = ntohl(sin.sin_addr.s_addr) - SOURCE_FIRST;
-	return number < SOAK_NODES_MOST ? number : SOURCE_UNKNOWN;
+	return number < SOAK_NODES_MAX ? number : SOURCE_UNKNOWN;
 }
 
 static void
@@ -270,19 +280,19 @@
 		return;
 	link = gb_calloc(1, sizeof(*link));
 	link->proxy = proxy;
-	way_init(&link->to, link, listener->loop);
-	way_init(&link->back, link, listener->loop);
+	direction_init(&link->to_server, link, listener->loop);
+	direction_init(&link->to_client, link, listener->loop);
 	LIST_INSERT_HEAD(&proxy->links, link, next);
 	link->connect.data = link;
-	if (uv_accept(listener, (uv_stream_t *)&link->to.from) != 0 ||
-	    uv_tcp_connect(&link->connect, &link->back.from,
+	if (uv_accept(listener, (uv_stream_t *)&link->to_server.from) != 0 ||
+	    uv_tcp_connect(&link->connect, &link->to_client.from,
 		(const struct sockaddr *)&proxy->target, on_connected) != 0) {
 		link_close(link, true);
 		return;
 	}
-	link->client = client_of(&link->to.from);
-	link->unmade = link_cut(link);
-	uv_read_start((uv_stream_t *)&link->to.from, on_alloc, on_read);
+	link->client = client_node(&link->to_server.from);
+	link->handshake_cut = link_is_cut(link);
+	uv_read_start((uv_stream_t *)&link->to_server.from, on_alloc, on_read);
 }
 
 struct proxy *
@@ -313,9 +323,9 @@
 }
 
 void
-proxy_member(struct proxy *proxy, unsigned int node)
+proxy_set_node(struct proxy *proxy, unsigned int node)
 {
-	proxy->member = true;
+	proxy->has_node = true;
 	proxy->node = node;
 }
 
@@ -351,8 +361,8 @@
 		for (link = LIST_FIRST(&proxy->links); link != NULL;
 		     link = next) {
 			next = LIST_NEXT(link, next);
-			if (way_flush(&link->to))
-				way_flush(&link->back);
+			if (direction_flush(&link->to_server))
+				direction_flush(&link->to_client);
 		}
 	}
 }
--- a/soak/reach.c
+++ b/soak/reach.c
@@ -1,38 +1,39 @@
 /**
  * @file reach.c
- * Which nodes are cut from which others; overlapping cuts are counted.
+ * Cuts between nodes: which node's data doesn't reach which other node.
  */
 #include "soak.h"
 
-static unsigned int lost[SOAK_NODES_MOST][SOAK_NODES_MOST];
+/** Number of active cuts, by the node that sends and the one that receives. */
+static unsigned int cuts[SOAK_NODES_MAX][SOAK_NODES_MAX];
 
 void
-reach_lose(unsigned int from, unsigned int to)
+reach_cut(unsigned int from, unsigned int to)
 {
 	if (from != to)
-		lost[from][to]++;
+		cuts[from][to]++;
 }
 
 void
 reach_restore(unsigned int from, unsigned int to)
 {
-	if (from != to && lost[from][to] > 0)
-		lost[from][to]--;
+	if (from != to && cuts[from][to] > 0)
+		cuts[from][to]--;
 }
 
 bool
-reach_lost(unsigned int from, unsigned int to)
+reach_is_cut(unsigned int from, unsigned int to)
 {
-	return lost[from][to] > 0;
+	return cuts[from][to] > 0;
 }
 
 bool
-reach_cut(unsigned int node)
+reach_is_isolated(unsigned int node)
 {
-	unsigned int away = 0;
+	unsigned int cut_off = 0;
 	unsigned int i;
 
 	for (i = 0; i < soak.node_count; i++)
-		away += lost[node][i] > 0 || lost[i][node] > 0;
-	return away > 0 && 2 * away >= soak.node_count - 1;
+		cut_off += cuts[node][i] > 0 || cuts[i][node] > 0;
+	return cut_off > 0 && 2 * cut_off >= soak.node_count - 1;
 }
--- a/soak/regress.sh
+++ b/soak/regress.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# Play every seed of seeds.txt that once failed.
+# Runs the soak with every seed of seeds.txt, all of which once failed.
 cd "$(dirname "$0")/.." || exit 1
 BUILD=${BUILD:-build}
 failed=0
-played=0
+runs=0
 while read -r seed rest; do
 	case $seed in '#'* | '') continue ;; esac
-	# The options stand before the bar, the cause behind it.
+	# A line has the seed, options, a bar, and the cause of the failure.
 	# shellcheck disable=SC2086
 	if "$BUILD/gooseberry-soak" --build "$BUILD" --seed "$seed" ${rest%%|*} \
 	    >/tmp/soak-regress-$seed.txt 2>&1; then
@@ -15,7 +15,7 @@
 		failed=$((failed + 1))
 		echo "seed $seed failed again: /tmp/soak-regress-$seed.txt"
 	fi
-	played=$((played + 1))
+	runs=$((runs + 1))
 done <soak/seeds.txt
-echo "soak: $played seeds played again, $failed failed"
+echo "soak: $runs seeds played again, $failed failed"
 [ "$failed" -eq 0 ]
--- a/soak/run.sh
+++ b/soak/run.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Many seeds of the soak, some at a time.
+# Runs the soak with each seed of a range, PARALLEL seeds at a time.
 #   soak/run.sh FROM TO [options of gooseberry-soak]
-# Logs of seeds that broke a promise are kept; the others are removed.
+# Keeps the logs of seeds that violated a guarantee and removes the others.
 cd "$(dirname "$0")/.." || exit 1
 BUILD=${BUILD:-build}
 PARALLEL=${PARALLEL:-4}
@@ -11,13 +11,14 @@
 OUT=$(mktemp -d)
 trap 'rm -rf "$OUT"' EXIT
 
-lane() { # lane number, options: each lane has ports of its own
-	lane=$1
+# Runs every PARALLEL-th seed, on ports of its own.
+run_seeds() { # number of the series, options
+	series=$1
 	shift
-	seed=$((from + lane))
+	seed=$((from + series))
 	while [ "$seed" -le "$to" ]; do
 		"$BUILD/gooseberry-soak" --build "$BUILD" --seed "$seed" \
-		    --port $((21000 + lane * 2500)) "$@" >"$OUT/$seed" 2>&1
+		    --port $((21000 + series * 2500)) "$@" >"$OUT/$seed" 2>&1
 		status=$?
 		tail -1 "$OUT/$seed"
 		if [ $status -eq 0 ]; then
@@ -33,7 +34,7 @@
 
 i=0
 while [ $i -lt "$PARALLEL" ]; do
-	lane $i "$@" &
+	run_seeds $i "$@" &
 	i=$((i + 1))
 done
 wait
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -1,7 +1,8 @@
 /**
  * @file soak.c
- * gooseberry-soak: starts the emulator and the nodes, plays callers, an
- * operator and faults from a seed, and tells which promises were broken.
+ * gooseberry-soak: starts the emulator and the nodes, acts as callers and
+ * operator, injects faults drawn from a seed, and prints which guarantees were
+ * violated.
  */
 #include <argp.h>
 #include <signal.h>
@@ -18,13 +19,16 @@
 #define PORT_CONTROL 2
 #define PORT_WORKER 1000
 #define PORT_WORKER_PROXY 1500
-/** After the last fault: calm, then the last jobs, for long enough to see
- * whether the pool goes on changing hands, then the audit. */
-#define CALM (5 * GB_SEC)
-#define WATCHED (4 * GB_SEC)
-/** Ticks that are later than this: the machine gave no time to anybody. */
-#define STALL (400 * GB_MSEC)
-#define SETTLE (30 * GB_SEC)
+/** Time without faults before the final jobs. */
+#define CALM_TIME (5 * GB_SEC)
+/** Least time from the final jobs to the audit, enough to see whether the pool
+ * is still taken over without a cause. */
+#define FINAL_MIN (4 * GB_SEC)
+/** Gap between two ticks from which the whole machine is taken to be stalled.
+ */
+#define STALL_GAP (400 * GB_MSEC)
+/** Timeout for all jobs to settle before the audit. */
+#define SETTLE_TIMEOUT (30 * GB_SEC)
 
 struct soak soak = {.seed = 1,
     .seconds = 20,
@@ -35,7 +39,7 @@
     .cancel_percent = 5,
     .build = "build"};
 
-enum soak_phase { PHASE_FAULTS, PHASE_CALM, PHASE_LAST, PHASE_AUDIT };
+enum soak_phase { PHASE_FAULTS, PHASE_CALM, PHASE_FINAL, PHASE_AUDIT };
 
 static enum soak_phase phase;
 static gb_time phase_since;
@@ -54,11 +58,11 @@
 }
 
 void
-soak_broken(const char *fmt, ...)
+soak_violation(const char *fmt, ...)
 {
 	va_list ap;
 
-	soak.broken++;
+	soak.violations++;
 	printf("%6lld ms BROKEN: ", (long long)(soak_now() / GB_MSEC));
 	va_start(ap, fmt);
 	vprintf(fmt, ap);
@@ -67,7 +71,7 @@
 }
 
 void
-soak_ignore(void *data, const struct plat_http_res *res)
+soak_answer_ignore(void *data, const struct plat_http_res *res)
 {
 	(void)data;
 	(void)res;
@@ -83,10 +87,10 @@
 	vsnprintf(path, sizeof(path), fmt, ap);
 	va_end(ap);
 	plat_http_call(soak.http, GB_TRAFFIC_CALLER, soak.control, "POST", path,
-	    "", NULL, 0, 5 * GB_SEC, soak_ignore, NULL);
+	    "", NULL, 0, 5 * GB_SEC, soak_answer_ignore, NULL);
 }
 
-/* Course ------------------------------------------------------------------ */
+/* Phases ------------------------------------------------------------------ */
 
 static void
 phase_set(enum soak_phase next)
@@ -109,19 +113,19 @@
 static void
 finish(void)
 {
-	unsigned int takeovers = takeover_judge();
+	unsigned int takeovers = takeover_check();
 
 	fault_report();
 	caller_report();
 	printf("soak: seed=%llu nodes=%u workers=%u seconds=%u broken=%u "
 	       "takeovers=%u logs=%s\n",
 	    (unsigned long long)soak.seed, soak.node_count, soak.worker_count,
-	    soak.seconds, soak.broken, takeovers, soak.dir);
-	soak_end(soak.broken == 0 ? EXIT_SUCCESS : EXIT_FAILURE);
+	    soak.seconds, soak.violations, takeovers, soak.dir);
+	soak_end(soak.violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE);
 }
 
 static void
-course(void)
+phase_tick(void)
 {
 	gb_time age = soak_now() - phase_since;
 
@@ -130,17 +134,18 @@
 		fault_tick();
 		if (age < soak.seconds * GB_SEC)
 			return;
-		fault_heal();
+		fault_end_all();
 		phase_set(PHASE_CALM);
 		break;
 	case PHASE_CALM:
-		if (age < CALM)
+		if (age < CALM_TIME)
 			return;
 		caller_final();
-		phase_set(PHASE_LAST);
+		phase_set(PHASE_FINAL);
 		break;
-	case PHASE_LAST:
-		if (age < SETTLE && (age < WATCHED || !caller_settled()))
+	case PHASE_FINAL:
+		if (age < SETTLE_TIMEOUT &&
+		    (age < FINAL_MIN || !caller_settled()))
 			return;
 		phase_set(PHASE_AUDIT);
 		caller_audit(finish);
@@ -150,7 +155,8 @@
 	}
 }
 
-/** A machine that stands still is no fault of the pool. */
+/** If the whole machine has stalled, record it as a cause for takeovers, since
+ * the scheduler is not at fault for those. */
 static void
 stall_check(void)
 {
@@ -158,13 +164,13 @@
 	gb_time now = soak_now();
 	unsigned int i;
 
-	if (last > 0 && now - last > STALL) {
-		printf("%6lld ms the machine stood still for %lld ms\n",
+	if (last > 0 && now - last > STALL_GAP) {
+		printf("%6lld ms the machine stalled for %lld ms\n",
 		    (long long)(now / GB_MSEC),
 		    (long long)((now - last) / GB_MSEC));
 		for (i = 0; i < soak.node_count; i++)
-			takeover_harm(i, HARM_DOWN);
-		takeover_trouble();
+			takeover_cause_add(i, CAUSE_DOWN);
+		takeover_fault_add();
 	}
 	last = now;
 }
@@ -179,7 +185,7 @@
 	takeover_tick();
 	operator_tick();
 	caller_tick(phase == PHASE_FAULTS);
-	course();
+	phase_tick();
 }
 
 /* Start ------------------------------------------------------------------- */
@@ -189,24 +195,24 @@
 {
 	char program[512];
 	char log[512];
-	char words[7][64];
-	char *argv[] = {program, words[0], words[1], words[2], words[3],
-	    words[4], words[5], words[6], NULL};
+	char args[7][64];
+	char *argv[] = {program, args[0], args[1], args[2], args[3], args[4],
+	    args[5], args[6], NULL};
 
 	snprintf(
 	    program, sizeof(program), "%s/gooseberry-emulator", soak.build);
 	snprintf(log, sizeof(log), "%s/emulator.log", soak.dir);
-	snprintf(words[0], sizeof(words[0]), "--store=127.0.0.1:%u", soak.port);
+	snprintf(args[0], sizeof(args[0]), "--store=127.0.0.1:%u", soak.port);
 	snprintf(
-	    words[1], sizeof(words[1]), "--advice=127.0.0.1:%u", soak.port + 1);
-	snprintf(words[2], sizeof(words[2]), "--control=127.0.0.1:%u",
+	    args[1], sizeof(args[1]), "--advice=127.0.0.1:%u", soak.port + 1);
+	snprintf(args[2], sizeof(args[2]), "--control=127.0.0.1:%u",
 	    soak.port + PORT_CONTROL);
-	snprintf(words[3], sizeof(words[3]), "--workers=%u", soak.worker_count);
-	snprintf(words[4], sizeof(words[4]), "--worker-port=%u",
+	snprintf(args[3], sizeof(args[3]), "--workers=%u", soak.worker_count);
+	snprintf(args[4], sizeof(args[4]), "--worker-port=%u",
 	    soak.port + PORT_WORKER);
-	snprintf(words[5], sizeof(words[5]), "--listed-port=%u",
+	snprintf(args[5], sizeof(args[5]), "--listed-port=%u",
 	    soak.port + PORT_WORKER_PROXY);
-	snprintf(words[6], sizeof(words[6]), "--seed=%llu",
+	snprintf(args[6], sizeof(args[6]), "--seed=%llu",
 	    (unsigned long long)soak.seed);
 	soak.emulator = process_start(argv, log);
 	snprintf(soak.control, sizeof(soak.control), "127.0.0.1:%u",
@@ -252,14 +258,13 @@
 };
 
 static unsigned int
-number(const char *arg, unsigned int least, unsigned int most)
+number_parse(const char *arg, unsigned int min, unsigned int max)
 {
 	unsigned long n = strtoul(arg, NULL, 10);
 
-	if (n >= least && n <= most)
+	if (n >= min && n <= max)
 		return (unsigned int)n;
-	fprintf(
-	    stderr, "soak: %s is not between %u and %u\n", arg, least, most);
+	fprintf(stderr, "soak: %s is not between %u and %u\n", arg, min, max);
 	exit(EXIT_FAILURE);
 }
 
@@ -272,25 +277,25 @@
 		soak.seed = strtoull(arg, NULL, 10);
 		return 0;
 	case 't':
-		soak.seconds = number(arg, 1, 3600);
+		soak.seconds = number_parse(arg, 1, 3600);
 		return 0;
 	case 'n':
-		soak.node_count = number(arg, 1, SOAK_NODES_MOST);
+		soak.node_count = number_parse(arg, 1, SOAK_NODES_MAX);
 		return 0;
 	case 'w':
-		soak.worker_count = number(arg, 1, 500);
+		soak.worker_count = number_parse(arg, 1, 500);
 		return 0;
 	case 'r':
-		soak.rate = number(arg, 1, 1000);
+		soak.rate = number_parse(arg, 1, 1000);
 		return 0;
 	case 'p':
-		soak.port = number(arg, 1024, 63000);
+		soak.port = number_parse(arg, 1024, 63000);
 		return 0;
 	case 'b':
 		soak.build = arg;
 		return 0;
 	case 'k':
-		soak.kinds = number(arg, 1, 1000);
+		soak.kinds = number_parse(arg, 1, 1000);
 		return 0;
 	case 'o':
 		soak.only = arg;
@@ -324,9 +329,9 @@
 	soak.loop = uv_default_loop();
 	soak.http = plat_http_new(soak.loop, NULL);
 	soak.began = gb_clock_boot();
-	soak.unplanned = -CALM;
+	soak.unplanned = -CALM_TIME;
 	fault_plan();
-	takeover_trouble(); /* the first owner is still to come */
+	takeover_fault_add(); /* there is no first owner yet */
 	processes_start();
 	usleep(300 * 1000); /* the emulator listens by then */
 	operator_change();
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -1,7 +1,8 @@
 /**
  * @file soak.h
- * Randomized soak: the real programs as processes on loopback, faults from
- * outside them, and the promises checked from what callers and workers see.
+ * Randomized soak test: runs the real programs as processes on loopback,
+ * injects faults from outside, and checks the scheduler's guarantees by what
+ * callers and workers observe.
  */
 #ifndef SOAK_SOAK_H
 #define SOAK_SOAK_H
@@ -12,60 +13,67 @@
 
 /* Proxy ------------------------------------------------------------------- */
 
-/** What a proxy does with the bytes of its connections. */
+/** What a proxy does with the data of its connections. */
 enum proxy_mode {
-	PROXY_PASS,
-	PROXY_DELAY,
-	PROXY_CUT_TO,	/**< what goes to the server is held up */
-	PROXY_CUT_FROM, /**< what comes from the server is held up */
-	PROXY_CUT
+	PROXY_PASS,	/**< forward it at once */
+	PROXY_DELAY,	/**< forward it after a delay */
+	PROXY_CUT_TO,	/**< hold back data to the server */
+	PROXY_CUT_FROM, /**< hold back data from the server */
+	PROXY_CUT	/**< hold back data in both directions */
 };
 
 struct proxy;
 
+/** Create a proxy that listens on a loopback port and connects to another. */
 struct proxy *proxy_new(uv_loop_t *, unsigned int port, unsigned int target);
+/** Set the mode.  The delay in milliseconds applies to PROXY_DELAY. */
 void proxy_set(struct proxy *, enum proxy_mode, unsigned int delay_ms);
 /** Reset all open connections. */
 void proxy_reset(struct proxy *);
-/** Open connections go silent for good; new ones work. */
+/** Stop forwarding on open connections for good; new ones work. */
 void proxy_silence(struct proxy *);
-/** This proxy stands before what a node offers to others, and may be cut from
- * each of them. */
-void proxy_member(struct proxy *, unsigned int node);
-/** Pass on what is due, of all proxies; called with each tick. */
+/** Declare that the proxy's server is a node.  Connections from other nodes
+ * then follow the cuts between nodes, see reach.c. */
+void proxy_set_node(struct proxy *, unsigned int node);
+/** Forward due data of all proxies; call it at each tick. */
 void proxy_tick(void);
 
 /* Processes --------------------------------------------------------------- */
 
-/** Start a program whose output goes to a file; it ends with this process. */
+/** Start a program whose output goes to a file.  It is killed when this process
+ * ends. */
 pid_t process_start(char *const argv[], const char *log);
-/** Whether a child has ended. */
+/** Whether a child process has ended; collects its status. */
 bool process_ended(pid_t);
 
 /* reach.c */
 
-#define SOAK_NODES_MOST 100
+#define SOAK_NODES_MAX 100
 
-/** What one node sends to another is lost; overlapping losses are counted. */
-void reach_lose(unsigned int from, unsigned int to);
+/** Cut off the data from one node to another.  Cuts are counted, so that they
+ * may overlap. */
+void reach_cut(unsigned int from, unsigned int to);
+/** Undo one cut. */
 void reach_restore(unsigned int from, unsigned int to);
-bool reach_lost(unsigned int from, unsigned int to);
-/** Whether a node is cut from at least half of the others, in any way. */
-bool reach_cut(unsigned int node);
+/** Whether the data from one node to another is cut off. */
+bool reach_is_cut(unsigned int from, unsigned int to);
+/** Whether a node is cut off from at least half of the others, in at least one
+ * direction. */
+bool reach_is_isolated(unsigned int node);
 
 /* State of a run ---------------------------------------------------------- */
 
 struct soak_node {
 	unsigned int number;
-	pid_t pid; /**< 0: it does not run */
-	gb_time started;
-	gb_time restart_at; /**< 0: not planned */
-	gb_time stopping;   /**< when it was asked to stop, 0: it was not */
-	bool frozen;
-	gb_time harmed; /**< end of the last fault that hit it */
-	unsigned int
-	    config_seen; /**< newest version it acted on in this life */
-	char front[GB_NAME_MAX + 1]; /**< through the proxy */
+	pid_t pid;	    /**< 0: not running */
+	gb_time started;    /**< start time, identifies the process */
+	gb_time restart_at; /**< 0: none planned */
+	gb_time stopping;   /**< when it was asked to stop, 0: not asked */
+	bool paused;	    /**< by SIGSTOP */
+	gb_time fault_at;   /**< when a fault last affected it */
+	unsigned int config_seen; /**< newest version this process applied */
+	/** HTTP address for callers, through the proxy and without it. */
+	char front[GB_NAME_MAX + 1];
 	char direct[GB_NAME_MAX + 1];
 	struct proxy *front_proxy;
 	struct proxy *peer_proxy;
@@ -80,98 +88,109 @@
 	unsigned int seconds;
 	unsigned int node_count;
 	unsigned int worker_count;
-	unsigned int rate;  /**< jobs a second */
+	unsigned int rate;  /**< jobs per second */
 	unsigned int port;  /**< first of the ports used */
-	unsigned int kinds; /**< first kinds of faults that are drawn, 0: all */
-	bool planned_only;
-	char *only;	   /**< names of the kinds that are drawn, or null */
-	bool storm;	   /**< scripted: all nodes together, again and again */
-	const char *build; /**< folder of the programs */
-	char dir[256];	   /**< of settings and logs */
-	char control[GB_NAME_MAX + 1];
+	unsigned int kinds; /**< draw only so many kinds of faults, 0: all */
+	bool planned_only;  /**< draw only planned work */
+	char *only;	    /**< names of the kinds to draw, or null */
+	bool storm;	    /**< faults of all nodes at once, repeatedly */
+	const char *build;  /**< directory of the programs */
+	char dir[256];	    /**< directory of settings and logs */
+	char control[GB_NAME_MAX + 1]; /**< the emulator's control address */
 	pid_t emulator;
 	struct soak_node *nodes;
 	struct proxy **worker_proxies;
 	gb_time began;
 	unsigned int faults_active;
-	gb_time unplanned; /**< end of the last unplanned fault */
-	unsigned int broken;
-	unsigned int cancel_percent;
+	gb_time unplanned; /**< when an unplanned fault was last active */
+	unsigned int violations;
+	unsigned int cancel_percent; /**< jobs that their callers cancel */
 };
 
 extern struct soak soak;
 
+/** Time in microseconds since the soak began. */
 gb_time soak_now(void);
-/** A number below a bound, from the seed. */
+/** Draw a number below a bound, from the seed. */
 unsigned int soak_random(unsigned int below);
-/** End every process of the run, then this one. */
+/** Kill every process of the run, then exit. */
 void soak_end(int status) __attribute__((noreturn));
-/** A promise was broken. */
-void soak_broken(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
-/** Tell the emulator something; nobody waits for the answer. */
+/** Count and print a violation of a guarantee. */
+void soak_violation(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
+/** Post to a path of the emulator's control address, ignoring the answer. */
 void soak_control(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 
-/** An answer that nobody waits for. */
-void soak_ignore(void *, const struct plat_http_res *);
+/** Callback for an answer that is ignored. */
+void soak_answer_ignore(void *, const struct plat_http_res *);
 
 /* node.c */
 void node_start(struct soak_node *);
+/** Send a signal to a node, if it runs. */
 void node_signal(struct soak_node *, int signum);
-/** Notice processes that have ended, start those that are due. */
+/** Detect processes that have ended, and start those that are due. */
 void node_tick(void);
 
 /* fault.c */
 /** Draw the faults of the run from the seed. */
 void fault_plan(void);
+/** Begin and end faults that are due. */
 void fault_tick(void);
-/** Whether jobs crash their workers in this run. */
+/** Whether some jobs crash their workers in this run. */
 bool fault_crashes(void);
-/** End every fault; some workers have less room from then on. */
-void fault_heal(void);
-/** Counts of the faults that were injected, one line. */
+/** End all faults, and reduce the capacity of some workers for the rest of the
+ * run. */
+void fault_end_all(void);
+/** Print counts of the injected faults, in one line. */
 void fault_report(void);
 
 /* takeover.c */
 
-/** What may make others take the pool over from a node. */
-enum harm {
-	HARM_NONE,
-	HARM_LASTING, /**< others can't hear it well, or it stood still */
-	HARM_DOWN,    /**< it was stopped or killed, or lost the store */
-	HARM_KINDS
+/** Why others may take over the pool from a node, by increasing severity. */
+enum soak_cause {
+	CAUSE_NONE,
+	CAUSE_LASTING, /**< messages with others are cut, or it is paused */
+	CAUSE_DOWN,    /**< it was stopped or killed, or lost the store */
+	CAUSE_COUNT
 };
 
-/** A node suffers harm now. */
-void takeover_harm(unsigned int node, enum harm);
-/** Something is wrong somewhere now. */
-void takeover_trouble(void);
-/** Number of the node that has claimed the pool last. */
+/** Record that a node has a cause for a takeover now. */
+void takeover_cause_add(unsigned int node, enum soak_cause);
+/** Record that a fault is active anywhere now. */
+void takeover_fault_add(void);
+/** Number of the node that claimed the pool last. */
 unsigned int takeover_owner(void);
+/** Read new claims from the nodes' logs, and record which nodes are isolated.
+ */
 void takeover_tick(void);
-/** Judge all takeovers of the run; returns their number. */
-unsigned int takeover_judge(void);
+/** Check that all takeovers of the run had a cause.  Returns their number. */
+unsigned int takeover_check(void);
 
 /* operator.c */
 /** Write the next version of the configuration. */
 void operator_change(void);
-/** Ask nodes for routes that are new or gone, by keys that are. */
+/** Ask nodes for routes and with keys that are new or removed, and check the
+ * answers. */
 void operator_tick(void);
-/** Organisation of a caller, by number, and a key that the two newest versions
- * give it, as a header. */
+/** Organisation of a caller. */
 const char *operator_org(unsigned int number);
+/** HTTP header with a key of a caller's organisation that is in both of the two
+ * newest versions of the configuration.  Valid until the next call. */
 const char *operator_key(unsigned int number);
-/** A call with such a key was turned away for it. */
+/** Report that a node rejected a call because of such a key. */
 void operator_key_refused(const struct soak_node *, gb_time sent);
 
 /* caller.c */
-/** Send new jobs; look after those that are open. */
+/** Submit new jobs if `submit` is set, and make the next calls for all jobs. */
 void caller_tick(bool submit);
-/** Jobs that must all be taken in and done, when all is calm again. */
+/** Submit jobs that must all be accepted and finish, once no fault is active.
+ */
 void caller_final(void);
-/** Whether every job has been settled. */
+/** Whether no job is waiting for acceptance, for its end, or for its tasks to
+ * stop after a cancel. */
 bool caller_settled(void);
-/** Compare with what the workers have seen, then call. */
+/** Compare the answers with what the workers observed, then call `done`. */
 void caller_audit(void (*done)(void));
+/** Print counts of the jobs, in one line. */
 void caller_report(void);
 
 #endif
--- a/soak/takeover.c
+++ b/soak/takeover.c
@@ -1,7 +1,7 @@
 /**
  * @file takeover.c
- * Who owned the pool, from the logs of the nodes; whether each change of hands
- * had a cause, and whether there were too many.
+ * Reads from the logs of the nodes who owned the pool, and checks that each
+ * takeover had a cause and that lasting faults caused not too many.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,94 +9,99 @@
 
 #include "soak.h"
 
-/** A cause is followed by a takeover within this: members that hear nobody
- * wait 3.5 s, and a claim takes a second when the store is slow. */
-#define CAUSE_BOUND (5 * GB_SEC)
-/** Nobody takes over when all has been well for this long, as after any
- * cause. */
-#define CALM_BOUND CAUSE_BOUND
-/** Takeovers by cuts, pauses and starvation: each of a few faults at once may
- * cost one at first, then an owner that is lost again and again must not cost
- * more than one in so long. */
+/** Longest time from a cause to the takeover: members that receive nothing wait
+ * 3.5 s, and a claim takes a second when the store is slow. */
+#define TAKEOVER_DELAY_MAX (5 * GB_SEC)
+/** Time without any fault after which nobody may take over. */
+#define CALM_MIN TAKEOVER_DELAY_MAX
+/** Allowed takeovers by cuts, pauses and starvation: some for faults that start
+ * at the same time, and then one per interval, also if the owner is unreachable
+ * again and again. */
 #define LASTING_FREE 4
-#define LASTING_EVERY (7 * GB_SEC)
-#define EPOCHS_MOST 1000
-#define LINE_MOST 4096
-/** Harm that is told again within this goes on. */
-#define HARM_GAP (100 * GB_MSEC)
-
-/** A time in which a node, or all, suffered harm. */
-struct suffering {
-	enum harm harm;
+#define LASTING_INTERVAL (7 * GB_SEC)
+#define EPOCHS_MAX 1000
+#define LINE_MAX_BYTES 4096
+/** A cause that is recorded again within this time is taken to have lasted
+ * meanwhile. */
+#define CAUSE_GAP_MAX (100 * GB_MSEC)
+
+/** A period in which there was a cause for takeovers. */
+struct cause_period {
+	enum soak_cause cause;
 	gb_time from;
 	gb_time until;
 };
 
-struct sufferings {
-	struct suffering *list;
+struct cause_periods {
+	struct cause_period *list;
 	size_t count;
 };
 
-/** A claim that won. */
+/** A successful claim of the pool. */
 struct claim {
 	bool known;
 	unsigned int node;
 	gb_time at;
 };
 
-static struct sufferings suffered[SOAK_NODES_MOST];
-static struct sufferings troubles;
-static struct claim claims[EPOCHS_MOST];
-static unsigned int newest;
-static FILE *logs[SOAK_NODES_MOST];
+/** Causes to take over from each node. */
+static struct cause_periods node_causes[SOAK_NODES_MAX];
+/** Periods in which any fault was active. */
+static struct cause_periods faults;
+/** Claims by their epochs. */
+static struct claim claims[EPOCHS_MAX];
+static unsigned int newest; /**< highest epoch claimed */
+static FILE *logs[SOAK_NODES_MAX];
 
-/* Harm -------------------------------------------------------------------- */
+/* Causes ------------------------------------------------------------------ */
 
+/** Extend the last period of the same cause to now, or add a new one. */
 static void
-suffer(struct sufferings *of, enum harm harm)
+cause_record(struct cause_periods *of, enum soak_cause cause)
 {
 	gb_time now = soak_now();
 	size_t i;
 
-	for (i = of->count; i > 0 && i + HARM_KINDS > of->count; i--) {
-		struct suffering *last = &of->list[i - 1];
+	for (i = of->count; i > 0 && i + CAUSE_COUNT > of->count; i--) {
+		struct cause_period *last = &of->list[i - 1];
 
-		if (last->harm == harm && now - last->until < HARM_GAP) {
+		if (last->cause == cause && now - last->until < CAUSE_GAP_MAX) {
 			last->until = now;
 			return;
 		}
 	}
 	of->list = gb_realloc(of->list, (of->count + 1) * sizeof(*of->list));
-	of->list[of->count].harm = harm;
+	of->list[of->count].cause = cause;
 	of->list[of->count].from = now;
 	of->list[of->count++].until = now;
 }
 
 void
-takeover_harm(unsigned int node, enum harm harm)
+takeover_cause_add(unsigned int node, enum soak_cause cause)
 {
-	suffer(&suffered[node], harm);
+	cause_record(&node_causes[node], cause);
 }
 
 void
-takeover_trouble(void)
+takeover_fault_add(void)
 {
-	suffer(&troubles, HARM_LASTING);
+	cause_record(&faults, CAUSE_LASTING);
 }
 
-/** The worst that was suffered within a while before a time. */
-static enum harm
-worst_before(const struct sufferings *of, gb_time at, gb_time within)
+/** Find the most severe cause that lasted until at most `within` before a time.
+ */
+static enum soak_cause
+worst_before(const struct cause_periods *of, gb_time at, gb_time within)
 {
-	enum harm worst = HARM_NONE;
+	enum soak_cause worst = CAUSE_NONE;
 	size_t i;
 
 	for (i = 0; i < of->count; i++) {
-		const struct suffering *one = &of->list[i];
+		const struct cause_period *one = &of->list[i];
 
 		if (one->from <= at && one->until >= at - within &&
-		    one->harm > worst)
-			worst = one->harm;
+		    one->cause > worst)
+			worst = one->cause;
 	}
 	return worst;
 }
@@ -112,15 +117,15 @@
 }
 
 static void
-line_read(unsigned int node, const char *line)
+line_parse(unsigned int node, const char *line)
 {
 	int64_t epoch = line_number(line, "\"epoch\":");
 	int64_t t_ms = line_number(line, "\"t_ms\":");
 
 	if (strstr(line, "\"ownership_claimed\"") == NULL || t_ms < 0)
 		return;
-	if (epoch < 1 || epoch >= EPOCHS_MOST) {
-		soak_broken("n%u claims epoch %lld", node, (long long)epoch);
+	if (epoch < 1 || epoch >= EPOCHS_MAX) {
+		soak_violation("n%u claims epoch %lld", node, (long long)epoch);
 		return;
 	}
 	claims[epoch].known = true;
@@ -130,11 +135,12 @@
 		newest = (unsigned int)epoch;
 }
 
-/** Read whole lines that have come; an unfinished one is read again. */
+/** Read new whole lines of a node's log.  An unfinished line is left for the
+ * next call. */
 static void
 log_read(unsigned int node)
 {
-	char line[LINE_MOST];
+	char line[LINE_MAX_BYTES];
 	char path[512];
 	long at;
 
@@ -151,7 +157,7 @@
 
 		if (line[len - 1] != '\n' && len + 1 < sizeof(line))
 			break;
-		line_read(node, line);
+		line_parse(node, line);
 		at = ftell(logs[node]);
 	}
 	fseek(logs[node], at, SEEK_SET);
@@ -170,63 +176,68 @@
 
 	for (i = 0; i < soak.node_count; i++) {
 		log_read(i);
-		if (reach_cut(i))
-			takeover_harm(i, HARM_LASTING);
+		if (reach_is_isolated(i))
+			takeover_cause_add(i, CAUSE_LASTING);
 	}
 }
 
-/* Judgement --------------------------------------------------------------- */
+/* Checks ------------------------------------------------------------------ */
 
-/** The cause of a claim: what its predecessor suffered. */
-static enum harm
+/** Find the cause of a claim among those of the owner before it. */
+static enum soak_cause
 claim_cause(const struct claim *before, const struct claim *claim)
 {
-	return worst_before(&suffered[before->node], claim->at, CAUSE_BOUND);
+	return worst_before(
+	    &node_causes[before->node], claim->at, TAKEOVER_DELAY_MAX);
 }
 
+/** Print a takeover, and report it if it had no cause. */
 static void
-claim_judge(unsigned int epoch, const struct claim *before, enum harm cause)
+claim_check(
+    unsigned int epoch, const struct claim *before, enum soak_cause cause)
 {
-	static const char *const causes[HARM_KINDS] = {
+	static const char *const causes[CAUSE_COUNT] = {
 	    "none", "lasting", "down"};
 	const struct claim *claim = &claims[epoch];
 
 	printf("takeover: epoch=%u n%u after n%u at %lld ms cause=%s\n", epoch,
 	    claim->node, before->node, (long long)(claim->at / GB_MSEC),
 	    causes[cause]);
-	if (worst_before(&troubles, claim->at, CALM_BOUND) == HARM_NONE)
-		soak_broken("n%u takes the pool over when all is calm, epoch "
-			    "%u",
+	if (worst_before(&faults, claim->at, CALM_MIN) == CAUSE_NONE)
+		soak_violation(
+		    "n%u takes the pool over when all is calm, epoch "
+		    "%u",
 		    claim->node, epoch);
-	else if (cause == HARM_NONE)
-		soak_broken("n%u takes the pool over from n%u, which nothing "
-			    "has hit, epoch %u",
+	else if (cause == CAUSE_NONE)
+		soak_violation(
+		    "n%u takes the pool over from n%u, which nothing "
+		    "has hit, epoch %u",
 		    claim->node, before->node, epoch);
 }
 
 unsigned int
-takeover_judge(void)
+takeover_check(void)
 {
 	const struct claim *before = NULL;
-	unsigned int count[HARM_KINDS] = {0};
-	gb_time most = LASTING_FREE + soak_now() / LASTING_EVERY;
+	unsigned int count[CAUSE_COUNT] = {0};
+	gb_time max = LASTING_FREE + soak_now() / LASTING_INTERVAL;
 	unsigned int epoch;
 
 	takeover_tick();
 	for (epoch = 1; epoch <= newest; epoch++) {
-		enum harm cause;
+		enum soak_cause cause;
 
 		if (!claims[epoch].known)
 			continue;
 		if (before != NULL) {
 			cause = claim_cause(before, &claims[epoch]);
 			count[cause]++;
-			claim_judge(epoch, before, cause);
+			claim_check(epoch, before, cause);
 		}
 		before = &claims[epoch];
 	}
-	if (count[HARM_LASTING] > most)
-		soak_broken("%u takeovers by lasting faults, %lld at most",
-		    count[HARM_LASTING], (long long)most);
-	return count[HARM_NONE] + count[HARM_LASTING] + count[HARM_DOWN];
+	if (count[CAUSE_LASTING] > max)
+		soak_violation("%u takeovers by lasting faults, %lld at most",
+		    count[CAUSE_LASTING], (long long)max);
+	return count[CAUSE_NONE] + count[CAUSE_LASTING] + count[CAUSE_DOWN];
 }
