--- a/soak/caller.c
+++ b/soak/caller.c
@@ -23,7 +23,8 @@
  * cancelled. */
 #define LONG_JOBS 15
 #define LONG_MS 9000
-/** One of this many jobs crashes the workers that start its first task. */
+/** One of this many jobs crashes the workers that start the first task of one
+ * of its steps. */
 #define CRASH_JOBS 25
 /** Time until such a worker is up again: at least this, plus a random part
  * below the range. */
@@ -77,12 +78,13 @@
 /* Jobs -------------------------------------------------------------------- */
 
 static json_t *
-step(unsigned int count, int cpu, unsigned int ms)
+step_json(unsigned int count, int cpu, unsigned int ms)
 {
 	return json_pack("{s:i, s:i, s:i, s:i}", "Count", (int)count, "Cpu",
 	    cpu, "MemMb", 64, "EstimatedMs", (int)ms);
 }
 
+/** Draw a job's queue, steps and duration. */
 static void
 job_define(struct job *job)
 {
@@ -96,26 +98,26 @@
 	if (kind < 6) {
 		job->queue = "lookup";
 		ms = 100 + soak_random(300);
-		json_array_append_new(steps, step(2, 1400, ms));
+		json_array_append_new(steps, step_json(2, 1400, ms));
 	} else if (kind < 9) {
 		job->queue = "import";
 		ms = longer ? LONG_MS : 400 + soak_random(1500);
 		job->cancel = longer;
-		s = step(2 + soak_random(5), 1000, ms);
+		s = step_json(2 + soak_random(5), 1000, ms);
 		if (soak_random(2) == 0)
 			json_object_set_new(s, "Checkpoint", json_true());
 		if (soak_random(5) == 0)
 			json_object_set_new(s, "Speculative", json_true());
 		json_array_append_new(steps, s);
 		if (soak_random(2) == 0) {
-			s = step(1 + soak_random(3), 1000, ms);
+			s = step_json(1 + soak_random(3), 1000, ms);
 			json_object_set_new(s, "After", json_pack("[i]", 0));
 			json_array_append_new(steps, s);
 		}
 	} else {
 		job->queue = "rebuild";
 		ms = 500 + soak_random(1500);
-		s = step(2 + soak_random(5), 3000, ms);
+		s = step_json(2 + soak_random(5), 3000, ms);
 		json_object_set_new(s, "Gang", json_true());
 		json_object_set_new(s, "Checkpoint", json_true());
 		json_array_append_new(steps, s);
@@ -222,6 +224,7 @@
 		    "%s was not taken in when all was calm", job->id);
 }
 
+/** The emulator's oracle knows the job, so that it can be submitted. */
 static void
 registered(void *data, const struct plat_http_res *res)
 {
--- a/soak/fault.c
+++ b/soak/fault.c
@@ -1,6 +1,6 @@
 /**
  * @file fault.c
- * Faults of a run, enabled from its seed.  Each has a begin and a duration;
+ * Faults of a run, drawn from its seed.  Each has a start and a duration;
  * faults may overlap, also those of one kind on different nodes or workers.
  */
 #include <signal.h>
@@ -11,10 +11,10 @@
 #include "fault.h"
 
 #define FAULTS_MAX 4096
-/** Begin of the first fault, when the pool has its first owner. */
+/** Start of the first fault, when the pool has its first owner. */
 #define FAULT_FIRST (2 * GB_SEC)
-/** Time between the begins of two faults: at least this, plus a random part
- * below the range. */
+/** Time from the start of a fault to that of the next: at least this, plus a
+ * random part below the range. */
 #define FAULT_GAP_MIN_MS 150
 #define FAULT_GAP_RANGE_MS 1200
 /** Range of a further random part with --only. */
@@ -490,7 +490,7 @@
 	return ms * GB_MSEC;
 }
 
-/** Draw a fault that begins at a time.  Returns the begin of the next one. */
+/** Draw a fault that starts at a time.  Returns the start of the next one. */
 static gb_time
 fault_draw(gb_time at)
 {
--- a/soak/fault.h
+++ b/soak/fault.h
@@ -15,7 +15,7 @@
 /** One fault of a run. */
 struct fault {
 	const struct fault_kind *kind;
-	gb_time at; /**< begin */
+	gb_time at; /**< start */
 	gb_time until;
 	unsigned int node;	  /**< node that it affects, if it is of one */
 	unsigned int worker;	  /**< worker that it affects, likewise */
--- a/standin/world.c
+++ b/standin/world.c
@@ -338,6 +338,7 @@
 
 /* Runs -------------------------------------------------------------------- */
 
+/** Get the number that follows a name in a flow's specification. */
 static unsigned long
 spec_number(const char *spec, const char *name, unsigned long fallback)
 {
@@ -346,6 +347,7 @@
 	return at == NULL ? fallback : strtoul(at + strlen(name), NULL, 10);
 }
 
+/** Find the highest run of a task on a worker; added if there is none yet. */
 static struct world_last_run *
 last_run_get(struct world_worker *worker, const char *flow, uint32_t step,
     uint32_t index)
@@ -499,6 +501,7 @@
 	return true;
 }
 
+/** Abort a worker's runs once its lease has expired. */
 static void
 worker_lapse(struct world *world, struct world_worker *worker)
 {
@@ -693,6 +696,7 @@
 		last->run = order->id.run;
 }
 
+/** Drop the ended runs that the owner has acknowledged. */
 static void
 ended_runs_drop(
     struct world *world, struct world_worker *worker, uint64_t cursor)
--- a/standin/world.h
+++ b/standin/world.h
@@ -22,7 +22,9 @@
 	unsigned int
 	    spread; /**< a worker ran more tasks of a step than allowed */
 	unsigned int quota; /**< an organisation exceeded its quota */
-	char text[200];	    /**< description of the first violation */
+	/** Description of the last violation; an incomplete gang is described
+	 * only if it is the first one. */
+	char text[200];
 };
 
 struct world;
--- a/standin/world_oracle.c
+++ b/standin/world_oracle.c
@@ -11,7 +11,8 @@
 
 /** Workers that a task may crash before its further starts are limited. */
 #define CRASH_WORKERS 3
-/** Start after CRASH_WORKERS crashes that is the first violation. */
+/** Of the starts after these crashes, this one and later ones are violations.
+ */
 #define CRASH_STARTS 3
 
 const struct world_faults *
@@ -25,8 +26,8 @@
     const char *task)
 {
 	(*count)++;
-	/* An incomplete gang may be due to an injected fault, so any other
-	 * violation replaces it. */
+	/* An incomplete gang may be due to an injected fault, so it does not
+	 * replace the text of another violation. */
 	if (world->violations.text[0] == '\0' ||
 	    count != &world->violations.alone)
 		snprintf(world->violations.text, sizeof(world->violations.text),
@@ -173,7 +174,7 @@
 {
 	if (!run->crashes || task->crashes < CRASH_WORKERS)
 		return;
-	if (++task->starts_after >= CRASH_STARTS)
+	if (++task->crash_starts >= CRASH_STARTS)
 		world_violation(world, &world->violations.budget,
 		    "goes on crashing workers", run->flow);
 }
--- a/standin/world_state.h
+++ b/standin/world_state.h
@@ -82,7 +82,7 @@
 	unsigned int failures;
 	unsigned int ever_failures; /**< also those lost with their worker */
 	unsigned int crashes;	   /**< workers that crashed while running it */
-	unsigned int starts_after; /**< starts after CRASH_WORKERS crashes */
+	unsigned int crash_starts; /**< starts after CRASH_WORKERS crashes */
 };
 
 struct world_flow {
@@ -149,8 +149,8 @@
 void world_orgs_free(struct world *);
 
 /* world_oracle.c */
-/** Count a violation and describe it in the text, unless that is set already.
- * An incomplete gang is replaced in it by any other violation. */
+/** Count a violation and describe it in the text.  An incomplete gang is
+ * described only if there is no text yet. */
 void world_violation(
     struct world *, unsigned int *count, const char *what, const char *task);
 /** Find a task of a submitted flow, null if there is none. */
