--- a/standin/emulator_worker.c
+++ b/standin/emulator_worker.c
@@ -10,8 +10,9 @@
 
 #include "emulator.h"
 
-/** Time from the end of a worker's process to the removal of its entry: three
- * intervals of half a second, short enough for short test runs. */
+/** Time until the entry of a worker that is down is removed: three missed
+ * heartbeats, here of half a second each, so that short runs see the removal.
+ */
 #define ENTRY_SILENCE (1500 * GB_MSEC)
 /** Delay of late orders: at least this, plus a random part below the range. */
 #define LATE_MIN_MS 2000
