--- a/soak/takeover.c
+++ b/soak/takeover.c
@@ -1,7 +1,7 @@
 /**
  * @file takeover.c
  * Reads from the logs of the nodes who owned the pool, and checks that each
- * takeover had a cause and that lasting faults caused not too many.
+ * takeover had a cause, and that lasting faults did not cause too many.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/standin/world_oracle.c
+++ b/standin/world_oracle.c
@@ -158,13 +158,14 @@
 worker_is_overloaded(
     const struct world *world, const struct world_worker *worker)
 {
-	const gb_res *most =
+	const gb_res *allowed =
 	    world->now < worker->shrunk_until &&
 		    worker->capacity_before.cpu > worker->capacity.cpu
 		? &worker->capacity_before
 		: &worker->capacity;
 
-	return worker->used.cpu > most->cpu || worker->used.mem > most->mem;
+	return worker->used.cpu > allowed->cpu ||
+	       worker->used.mem > allowed->mem;
 }
 
 /** Limit the starts of a task that has crashed CRASH_WORKERS workers. */
