--- a/libgooseberry/process/core.c
+++ b/libgooseberry/process/core.c
@@ -8,12 +8,12 @@
 #include "core.h"
 
 /** A frozen process waits this long for a new list of instances. */
-#define LIST_PATIENCE (5 * GB_SEC)
+#define LIST_STALE_TIMEOUT (5 * GB_SEC)
 
 bool
 core_list_stale(const struct gb_core *core)
 {
-	return core->now < core->list_awaited;
+	return core->now < core->list_stale_until;
 }
 
 struct gb_core *
@@ -128,7 +128,7 @@
 	u_int n;
 
 	core->now = now;
-	core->list_awaited = 0;
+	core->list_stale_until = 0;
 	for (n = 0; n < list->list.list_len; n++) {
 		const gb_instance *in = &list->list.list_val[n];
 
@@ -146,18 +146,18 @@
 	for (i = 0; i < core->shard_count; i++) {
 		shard = &core->shards[i];
 		if (shard->state == SHARD_ACTIVE)
-			job_settle(core, shard);
+			job_reconcile(core, shard);
 	}
 }
 
 /** This process was frozen: it has heard of nobody, which says nothing of
  * them, and its list of instances is old. */
 static void
-core_woken(struct gb_core *core)
+core_resumed(struct gb_core *core)
 {
 	struct member *m;
 
-	core->list_awaited = core->now + LIST_PATIENCE;
+	core->list_stale_until = core->now + LIST_STALE_TIMEOUT;
 	for (m = core->members; m != NULL; m = m->hh.next)
 		m->last_heard = core->now;
 }
@@ -168,9 +168,10 @@
 	uint32_t i;
 
 	core->now = now;
-	if (core->ticked != 0 && now - core->ticked > core->cfg.suspect_us)
-		core_woken(core);
-	core->ticked = now;
+	if (core->last_tick != 0 &&
+	    now - core->last_tick > core->cfg.suspect_us)
+		core_resumed(core);
+	core->last_tick = now;
 	store_op_tick(core);
 	view_tick(core);
 	config_tick(core);
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -1,7 +1,8 @@
 /**
  * @file core.h
- * State of a scheduler core, shared by the files that make it up.  The core
- * does no I/O: calls bring events and the time, actions go out.
+ * State of a scheduler core, shared by the files that implement it.  The core
+ * does no I/O: its functions take events and the current time, and it returns
+ * actions that the process carries out.
  */
 #ifndef GB_CORE_H
 #define GB_CORE_H
@@ -23,13 +24,14 @@
 #define LOG_PREFIX "log/"
 #define OBJECT_PREFIX "object/"
 #define KEY_PREFIX "key/"
+/** Rows that one scan of the table service asks for. */
 #define SCAN_PAGE 500
-/** Worker clocks may differ in rate by one part in this. */
+/** The rates of two clocks differ by at most one part in this. */
 #define CLOCK_DRIFT_PART 100
 
 struct store_op;
 
-/** End of a store operation as its caller sees it. */
+/** Result of a store operation. */
 struct store_result {
 	gb_store_status status;
 	uint64_t vers;
@@ -41,45 +43,50 @@
 typedef void (*store_done_fn)(
     struct gb_core *, const struct store_op *, const struct store_result *);
 
+/** Operation on the table service that is in flight. */
 struct store_op {
 	UT_hash_handle hh;
 	uint64_t id;
 	gb_time started;
 	store_done_fn done;
-	uint32_t shard;	 /**< shard it works for, or GB_NONE */
-	uint64_t serial; /**< the shard's serial when it was sent */
-	uint64_t ref;	 /**< meaning is the caller's */
+	uint32_t shard;	 /**< shard that it belongs to, or GB_NONE */
+	uint64_t serial; /**< serial of that shard when it was sent */
+	uint64_t ref;	 /**< value that the caller may use as it likes */
 };
 
 /* Members */
 
+/** Another scheduler process of the cell. */
 struct member {
 	UT_hash_handle hh;
 	char name[GB_NAME_MAX + 1];
 	uint64_t incarnation;
 	char addr[GB_NAME_MAX + 1];
 	char dc[GB_NAME_MAX + 1];
-	bool listed; /**< is in the view of the store */
+	bool listed; /**< is in the current view, as the store has it */
 	uint64_t listed_incarnation;
-	bool previous; /**< was in the view before that */
-	bool gone;     /**< the platform says that its instance has ended */
-	bool leaving;
-	bool informed; /**< has read the store since it started */
-	uint64_t seen; /**< version of the head row it has read */
-	uint64_t config;
-	uint64_t wait_vers; /**< of the row in which it waits, 0: none */
-	uint64_t wait_incarnation;
-	gb_time last_heard; /**< last sign of life */
-	gb_time echoed;	    /**< when the last beat it answered was sent */
-	gb_time sent;	    /**< last beat sent to it */
-	gb_claim *claims;
+	bool previous;	 /**< was in the view before the current one */
+	bool gone;	 /**< its instance has terminated, says the platform */
+	bool leaving;	 /**< it is stopping */
+	bool informed;	 /**< has read the store since it started */
+	uint64_t seen;	 /**< version of the head row that it read last */
+	uint64_t config; /**< last configuration change that it applied */
+	/** Version of the row in which it asks to join, 0: none. */
+	uint64_t wait_vers;
+	uint64_t wait_incarnation; /**< incarnation in that row */
+	gb_time last_heard;	   /**< time of its last message */
+	/** Time at which the last beat that it answered was sent. */
+	gb_time echoed;
+	gb_time sent;	  /**< time at which the last beat was sent to it */
+	gb_claim *claims; /**< shards that it owns, from its last beat */
 	u_int claim_count;
 };
 
-/** How far a write of the cell's rows has become known. */
+/** How many members have read a write to the cell's rows. */
 struct spread {
-	uint64_t vers;	  /**< of the head row that the write made */
-	gb_time known_at; /**< when enough members knew of it, 0: not yet */
+	uint64_t vers; /**< version that the write gave the head row */
+	/** Time at which enough members had read it, 0: not yet. */
+	gb_time known_at;
 };
 
 /* Documents */
@@ -88,29 +95,30 @@
 	gb_change change;
 };
 
+/** Document of a team for one service, with its history. */
 struct doc {
 	UT_hash_handle hh;
-	char key[2 * GB_NAME_MAX + 2];
-	struct gb_doc now;
-	bool valid; /**< false when its text could not be parsed */
-	gb_change *history;
+	char key[2 * GB_NAME_MAX + 2]; /**< team/service */
+	struct gb_doc now;	       /**< current version, parsed */
+	bool valid;	    /**< the text of the current version is valid */
+	gb_change *history; /**< oldest first */
 	u_int history_count;
 };
 
 struct team {
 	char name[GB_NAME_MAX + 1];
-	uint32_t weight;
-	gb_res quota;
+	uint32_t weight; /**< divides its dominant share */
+	gb_res quota;	 /**< in the whole cell, 0: no limit */
 };
 
-/** A change that waits to be accepted or to be in force. */
+/** Configuration change whose caller waits until it is in force. */
 struct change_wait {
 	TAILQ_ENTRY(change_wait) next;
-	uint64_t answer;
+	uint64_t answer; /**< id of the caller, 0: already answered */
 	gb_time deadline;
 	gb_change change;
-	uint64_t expected;
-	uint64_t after_vers; /**< of the row of the change before */
+	uint64_t expected;   /**< version of the document to replace */
+	uint64_t after_vers; /**< version of the preceding change's row */
 	bool sent;	     /**< may have been written */
 	bool committed;
 	struct spread spread;
@@ -121,85 +129,88 @@
 /* Jobs */
 
 enum task_state {
-	TASK_PENDING,
-	TASK_COMMITTING,
-	TASK_STARTING,
+	TASK_PENDING,	 /**< waits for a worker */
+	TASK_COMMITTING, /**< placed, the record of its start is in flight */
+	TASK_STARTING,	 /**< placed, no worker report lists it yet */
 	TASK_RUNNING,
-	TASK_STOPPING,
-	TASK_UNSURE,
-	TASK_ENDING,
-	TASK_LENDING,
-	TASK_LENT,
+	TASK_STOPPING,	/**< its worker has been asked to stop it */
+	TASK_UNCERTAIN, /**< after a takeover: may be running on a worker */
+	TASK_ENDING,	/**< the record of its end is in flight */
+	TASK_LENDING,	/**< the record of its loan is in flight */
+	TASK_LENT,	/**< another shard runs it */
 	TASK_ENDED
 };
 
 struct task {
-	uint8_t state;
-	uint8_t outcome;
-	uint16_t failures;
-	uint32_t attempt;
-	uint32_t worker;      /**< handle, or GB_NONE */
-	uint32_t seen;	      /**< number of the report that listed it */
-	uint64_t seq;	      /**< sync that carried its start */
-	uint64_t incarnation; /**< of the worker a logged start names */
-	gb_time since;
+	uint8_t state;	   /**< enum task_state */
+	uint8_t outcome;   /**< enum gb_outcome, once it is ending */
+	uint16_t failures; /**< failed attempts */
+	uint32_t attempt;  /**< number of the current or last attempt */
+	uint32_t worker;   /**< handle, or GB_NONE */
+	/** Number of the last report of its worker that listed it. */
+	uint32_t last_report;
+	uint64_t seq; /**< number of the sync that sends its start */
+	/** Incarnation of the worker that the logged start names. */
+	uint64_t incarnation;
+	gb_time since; /**< time of the last state change or stop request */
 };
 
-/** Why a job's next task waits, for explain. */
+/** Why a job's next task waits, shown to its team. */
 enum wait_reason {
 	WAIT_NONE,
-	WAIT_CAPACITY,
-	WAIT_QUOTA,
-	WAIT_BACKOFF,
-	WAIT_EVIDENCE,
-	WAIT_PLACEMENT,
-	WAIT_FRESH,
-	WAIT_COMMIT,
-	WAIT_STORE,
-	WAIT_LENT
+	WAIT_CAPACITY,	/**< no worker has the free capacity */
+	WAIT_QUOTA,	/**< the team's quota is used up */
+	WAIT_BACKOFF,	/**< delayed after a failed attempt */
+	WAIT_EVIDENCE,	/**< a worker may still run it */
+	WAIT_PLACEMENT, /**< no worker meets its placement rules */
+	WAIT_FRESH,	/**< the view of the cell is not confirmed */
+	WAIT_COMMIT,	/**< the record of its start is in flight */
+	WAIT_STORE,	/**< the table service is unavailable */
+	WAIT_LENT	/**< other shards have been asked to run it */
 };
 
-/** Tasks that another shard has been asked to run. */
+/** Tasks of a job that another shard has been asked to run. */
 struct loan {
 	TAILQ_ENTRY(loan) next;
-	uint64_t child;
-	uint32_t shard;
-	uint32_t *tasks;
+	uint64_t child; /**< id of the job that the other shard makes of them */
+	uint32_t shard; /**< the other shard */
+	uint32_t *tasks; /**< indexes of the tasks in the job */
 	u_int count;
-	bool taken;  /**< the other shard has them in its log */
-	bool result; /**< the records of their ends are being written */
-	gb_time tell_at;
+	bool accepted;	     /**< the other shard has logged the child job */
+	bool result_pending; /**< the records of their ends are in flight */
+	gb_time send_at;     /**< time of the next offer or cancellation */
 };
 
 TAILQ_HEAD(loans, loan);
 
 struct job {
 	UT_hash_handle hh;
-	TAILQ_ENTRY(job) queue;
+	TAILQ_ENTRY(job) queue; /**< in its team's queue or among the ended */
 	TAILQ_ENTRY(job) backoff;
 	uint64_t id;
 	gb_job_spec spec;
 	struct shard *shard;
-	uint32_t team;
+	uint32_t team; /**< index in the core's teams */
 	struct task *tasks;
-	uint32_t *ready;
+	uint32_t *ready; /**< indexes of the tasks that wait for a worker */
 	uint32_t ready_count;
-	uint32_t ended;
-	uint32_t active; /**< tasks that may hold resources */
+	uint32_t ended;	 /**< number of tasks that have ended */
+	uint32_t active; /**< number of tasks that count against a worker */
 	bool queued;
 	bool backing_off;
 	bool cancelled;
-	bool derived;	 /**< replicas of a service, made from its document */
-	bool restarting; /**< gang that is stopped before it starts anew */
-	uint8_t outcome;
-	uint8_t reason;
-	uint32_t rolling; /**< task that is being replaced, plus one */
+	bool derived; /**< replicas of a service, derived from its document */
+	/** Gang that starts again once all its tasks have stopped. */
+	bool restarting;
+	uint8_t outcome;  /**< enum gb_outcome, once it has ended */
+	uint8_t reason;	  /**< enum wait_reason */
+	uint32_t rolling; /**< index of the replica being replaced, plus one */
 	struct loans loans;
-	uint32_t lent;	 /**< tasks that other shards have */
-	gb_time lend_at; /**< not lent before */
-	bool settled;	 /**< a child whose home has the result */
-	gb_time tell_at; /**< a child's next result */
-	gb_time resume_at;
+	uint32_t lent;		 /**< number of tasks lent to other shards */
+	gb_time lend_not_before; /**< its tasks are not lent earlier */
+	bool result_acked;	 /**< child job whose home logged the result */
+	gb_time send_at;	 /**< child job: when its result is sent next */
+	gb_time resume_at;	 /**< end of its backoff */
 	gb_time ended_at;
 	gb_time accepted_at;
 	gb_time first_start;
@@ -210,19 +221,23 @@
 /** Jobs of one team in one shard that have tasks to start. */
 struct team_queue {
 	struct job_queue jobs[GB_BANDS];
-	gb_res used;
-	int64_t share; /**< weighted dominant share, in millionths */
+	gb_res used;   /**< by the team's tasks on this shard's workers */
+	int64_t share; /**< dominant share over weight, in millionths */
 };
 
 /* Workers */
 
+/** What is known about the tasks that earlier owners of the shard started on a
+ * worker. */
 enum evidence {
-	EVIDENCE_UNKNOWN,
-	EVIDENCE_FENCED,
-	EVIDENCE_LAPSED,
-	EVIDENCE_GONE
+	EVIDENCE_UNKNOWN, /**< they may still run */
+	EVIDENCE_FENCED,  /**< it reported to this owner, earlier ones are
+			   * fenced */
+	EVIDENCE_LAPSED,  /**< its lease has lapsed, so it runs none */
+	EVIDENCE_GONE	  /**< its instance has terminated */
 };
 
+/** A task that counts against a worker. */
 struct task_ref {
 	struct job *job;
 	uint32_t index;
@@ -230,8 +245,8 @@
 
 struct worker {
 	UT_hash_handle hh;
-	uint32_t handle;
-	uint32_t place; /**< among its shard's workers, for the index */
+	uint32_t handle;   /**< index in the core's workers */
+	uint32_t position; /**< in its shard's workers; its id in the index */
 	char name[GB_NAME_MAX + 1];
 	char addr[GB_NAME_MAX + 1];
 	char dc[GB_NAME_MAX + 1];
@@ -240,45 +255,49 @@
 	uint64_t rack_id;
 	struct shard *shard;
 	gb_res capacity;
-	gb_res used;	/**< by this core's tasks and requests */
-	gb_res foreign; /**< by what earlier owners left */
-	gb_instance_state platform;
+	gb_res used;		    /**< by tasks and requests of this owner */
+	gb_res foreign;		    /**< by what it runs for earlier owners */
+	gb_instance_state platform; /**< as the platform lists it */
 	enum evidence evidence;
-	bool durable;	  /**< named in the shard's log */
-	bool adding;	  /**< the record that names it is being written */
-	bool draining;	  /**< by an operator */
-	bool quarantined; /**< it fails what it is given */
-	bool indexed;
-	bool syncing;
-	uint64_t incarnation;
-	uint64_t seq;
-	gb_time sent;
-	gb_time anchor;	      /**< its clock in the last report */
-	gb_time anchor_local; /**< when that report came */
-	gb_time lapse_at;     /**< its lease is over by then */
-	uint32_t reports;
-	uint32_t failures; /**< in a row, of different jobs */
-	uint64_t failed_job;
-	gb_time probe_at;
+	bool durable;	      /**< the shard's log names it */
+	bool add_pending;     /**< the record that names it is in flight */
+	bool draining;	      /**< an operator drains it */
+	bool quarantined;     /**< gets no work, as tasks keep failing on it */
+	bool indexed;	      /**< is in the shard's placement index */
+	bool syncing;	      /**< a sync is in flight */
+	uint64_t incarnation; /**< of its last report, 0: none */
+	uint64_t seq;	      /**< number of the last sync sent */
+	gb_time sent;	      /**< time of that sync, 0: send one at once */
+	gb_time anchor;	      /**< its own clock in its last report */
+	gb_time anchor_local; /**< time at which that report arrived */
+	gb_time lapse_at;     /**< its lease has expired by this time */
+	uint32_t reports;     /**< number of reports received */
+	uint32_t failures;    /**< consecutive failures of different jobs */
+	uint64_t failed_job;  /**< job of the last failure */
+	gb_time probe_at;     /**< end of the quarantine */
 	struct task_ref *tasks;
 	uint32_t task_count;
 	uint32_t task_size;
-	uint32_t requests;
-	uint32_t given_up; /**< requests of these without an answer */
-	gb_sync out;	   /**< starts, stops and acks for the next sync */
-	u_int start_size, stop_size, ack_size;
+	uint32_t requests; /**< requests that count against it */
+	uint32_t given_up; /**< those of them that may run but have no caller */
+	gb_sync next_sync; /**< starts, stops and acks to send next */
+	u_int start_size, stop_size, ack_size; /**< allocated, in next_sync */
 };
 
 /* Requests */
 
-enum request_state { REQUEST_KEYED, REQUEST_WAITING, REQUEST_SENT };
+enum request_state {
+	REQUEST_KEYED,	 /**< its idempotency key is being written */
+	REQUEST_WAITING, /**< is in its shard's queue */
+	REQUEST_SENT	 /**< is in flight to a worker */
+};
 
 struct request {
 	UT_hash_handle hh;
 	TAILQ_ENTRY(request) next;
 	uint64_t id;
-	uint64_t rid;	 /**< of the exec that is out */
-	uint64_t serial; /**< of the shard when it was sent */
+	uint64_t rid;	 /**< id of its exec in flight, 0: none */
+	uint64_t serial; /**< serial of the shard when it was sent */
 	enum request_state state;
 	struct shard *shard;
 	gb_request spec; /**< without the body */
@@ -286,113 +305,129 @@
 	bool idempotent;
 	bool maybe; /**< an earlier try may have run */
 	unsigned int tries;
-	uint32_t worker;
-	uint32_t avoid; /**< worker of the failed try */
+	uint32_t worker; /**< handle of the worker of the last try */
+	uint32_t avoid;	 /**< handle of the worker whose try failed */
 	gb_time deadline;
 	gb_time started;
 	char pool[GB_NAME_MAX + 1];
-	uint64_t fingerprint;
-	uint64_t key_nonce;
-	uint64_t key_vers;
+	uint64_t fingerprint; /**< hash of team, service and body */
+	uint64_t key_nonce;   /**< tells its key row from another request's */
+	uint64_t key_vers;    /**< version of its key row */
 	bool key_written;
 };
 
 TAILQ_HEAD(request_queue, request);
 
-/** Exec that is out, also when its request has been given up on. */
+/** A try of a request on a worker.  It stays as long as it may run there, also
+ * when its request has been answered. */
 struct exec {
 	UT_hash_handle hh;
 	uint64_t rid;
-	uint64_t request;
-	uint32_t worker;
-	uint64_t serial; /**< of the shard */
+	uint64_t request; /**< id of its request */
+	uint32_t worker;  /**< handle */
+	uint64_t serial;  /**< serial of the shard when it was sent */
 	gb_res need;
-	bool given_up;	 /**< no answer came, but it may still be running */
-	gb_time expires; /**< worker clock; it can't begin after this */
+	bool given_up; /**< no answer is expected, but it may still run */
+	/** Time on the worker's clock after which it cannot start. */
+	gb_time expires;
 };
 
 /* Shards */
 
 enum shard_state {
-	SHARD_NONE,
-	SHARD_ACQUIRING,
-	SHARD_LOADING,
-	SHARD_ACTIVE,
-	SHARD_HANDING
+	SHARD_NONE,	 /**< this member does not own it */
+	SHARD_ACQUIRING, /**< the write that claims it is in flight */
+	SHARD_LOADING,	 /**< its snapshot and log are being read */
+	SHARD_ACTIVE,	 /**< this member schedules on its workers */
+	SHARD_HANDING	 /**< is being handed over and starts no new work */
 };
 
+/** A record to be written to a shard's log. */
 struct log_entry {
 	gb_record record;
-	uint64_t answer; /**< who waits for the commit, 0: nobody */
+	uint64_t answer; /**< caller that waits for the commit, 0: none */
 };
 
-enum log_phase { LOG_IDLE, LOG_WRITING, LOG_CHECKING, LOG_WAITING };
+enum log_phase {
+	LOG_IDLE,
+	LOG_WRITING,  /**< a batch or a snapshot is being written */
+	LOG_CHECKING, /**< the row of an unconfirmed batch is being read */
+	LOG_WAITING   /**< a failed read or write waits for its retry */
+};
 
 struct log {
-	struct log_entry *next; /**< collected for the next write */
-	u_int next_count, next_size;
-	struct log_entry *flight; /**< being written */
-	u_int flight_count;
+	struct log_entry *pending; /**< records of the next batch */
+	u_int pending_count, pending_size;
+	struct log_entry *in_flight; /**< records of the batch being written */
+	u_int in_flight_count;
 	enum log_phase phase;
-	uint64_t seq;	     /**< last sequence that is written */
-	uint64_t snapshot;   /**< sequence the last snapshot covers */
-	uint64_t unsure;     /**< snapshot whose write was not confirmed */
-	uint64_t skip_until; /**< no snapshot before this sequence */
-	gb_time opened;	     /**< when the oldest collected record came */
+	uint64_t seq;	   /**< sequence number of the last batch written */
+	uint64_t snapshot; /**< sequence number that the last snapshot covers */
+	/** Sequence number of a snapshot whose write was not confirmed. */
+	uint64_t unconfirmed_snapshot;
+	/** No snapshot is written before this sequence number. */
+	uint64_t no_snapshot_before;
+	/** Time at which the first of the pending records was appended. */
+	gb_time first_appended_at;
 	gb_time retry_at;
 	unsigned int tries;
-	bool snapshot_read; /**< while the shard is loaded */
+	bool snapshot_read; /**< while loading: the snapshot has been read */
 };
 
+/** A part of the cell's workers and jobs that has one owner at a time. */
 struct shard {
 	uint32_t id;
 	enum shard_state state;
-	uint64_t serial; /**< grows whenever the shard is gained or lost */
-	bool row_known;
+	uint64_t serial; /**< changes whenever the shard is acquired or lost */
+	bool row_known;	 /**< its row has been read from the store */
 	uint64_t row_vers;
-	gb_shard_row row;
-	char member[GB_NAME_MAX + 1]; /**< of the owner in the row */
-	gb_time vacant_since;
+	gb_shard_row row;	      /**< as last read, without the name */
+	char member[GB_NAME_MAX + 1]; /**< name of the owner in the row */
+	gb_time vacant_since;	      /**< it has had no live owner since */
 	uint64_t epoch;
-	struct spread claim; /**< how far its taking has become known */
-	gb_time claim_over;  /**< no lease of an earlier owner lasts longer */
+	struct spread claim; /**< members that know of the acquisition */
+	/** Time at which the last lease that an earlier owner gave has expired,
+	 * 0: not known yet. */
+	gb_time prior_leases_end;
 	struct log log;
-	struct gb_index *index; /**< while the shard is owned */
+	struct gb_index *index; /**< placement index, while it is owned */
 	struct job *jobs;
 	struct team_queue **teams; /**< one for each team of the core */
 	uint32_t team_count;
 	uint32_t team_size;
-	uint32_t preempting; /**< tasks being stopped for more urgent ones */
-	struct job_queue backoff;
-	struct job_queue ended;
-	uint32_t lending; /**< loans and children that need attention */
-	gb_time loans_at;
-	struct job *holder; /**< gang that room is kept for */
-	gb_res total;
-	uint32_t *workers; /**< handles of the shard's workers */
+	uint32_t preempting;	  /**< tasks that are stopped by preemption */
+	struct job_queue backoff; /**< jobs that wait after a failed attempt */
+	struct job_queue ended;	  /**< oldest end first */
+	uint32_t loan_count; /**< loans to other shards and child jobs here */
+	gb_time loans_due_at;
+	struct job *reserved_gang; /**< gang that capacity is kept for */
+	gb_res total;		   /**< capacity of all its workers */
+	uint32_t *workers;	   /**< handles of its workers */
 	uint32_t worker_count, worker_size;
-	bool reconciled; /**< every worker's evidence is in */
-	bool dirty;	 /**< something changed that may let work start */
-	uint64_t services_config; /**< config the replicas were made from */
+	/** No worker may still run a task of an earlier owner unreported. */
+	bool reconciled;
+	bool dirty; /**< a change may allow a waiting task to start */
+	/** Configuration change that the replicas follow, plus one; 0: none. */
+	uint64_t services_config;
 	gb_time dispatch_at;
 	gb_time digest_at;
-	bool hand_busy;
-	gb_time handing_since;
-	gb_time hand_at;
+	bool handover_pending; /**< the write that hands it over is in flight */
+	gb_time handover_since;
+	gb_time handover_retry_at;
 	struct request_queue waiting;
 	uint32_t waiting_count;
-	uint32_t sent_count; /**< requests that workers have in hand */
-	uint32_t free_slots; /**< digest, a little old */
-	uint32_t usable;     /**< workers that may be given work */
-	uint64_t drained;    /**< requests ended in this second */
+	uint32_t sent_count; /**< requests in flight to workers */
+	uint32_t free_slots; /**< of all usable workers, at the last digest */
+	uint32_t usable;     /**< workers that may get work, at that digest */
+	uint64_t drained;    /**< requests answered since drain_from */
 	gb_time drain_from;
-	uint32_t drain_rate; /**< requests ended a second, smoothed */
+	uint32_t drain_rate; /**< requests answered per second, smoothed */
 };
 
 /** A command that waits for a log write. */
 struct command_wait {
 	UT_hash_handle hh;
-	uint64_t answer;
+	uint64_t answer; /**< id of the caller */
 	gb_time deadline;
 	uint32_t shard;
 	uint64_t job;
@@ -403,60 +438,62 @@
 	struct gb_core_config cfg;
 	char *strings[3];
 	gb_time now;
-	gb_time wall_minus_now;
-	gb_time ticked;	      /**< time of the last tick */
-	gb_time list_awaited; /**< until then the list counts as stale */
+	gb_time wall_minus_now;	  /**< wall clock minus the core's time */
+	gb_time last_tick;	  /**< time of the last tick, 0: none */
+	gb_time list_stale_until; /**< until then core_list_stale holds */
 	uint64_t seed;
 	struct gb_retry retry;
-	struct gb_action *actions;
+	struct gb_action *actions; /**< ring of actions to carry out */
 	size_t action_head, action_count, action_size;
-	struct store_op *ops;
+	struct store_op *ops; /**< in flight, in the order of sending */
 	uint64_t next_op;
 	/* Members */
-	struct member *members;
-	bool joined; /**< this incarnation is in the view */
-	bool leaving;
-	bool exited;
-	bool previous; /**< this member was in the view before */
+	struct member *members; /**< all but this process */
+	bool joined;		/**< this incarnation is in the view */
+	bool leaving;		/**< a planned stop has begun */
+	bool exited;		/**< GB_ACT_EXIT has been issued */
+	bool previous;		/**< this member was in the view before */
 	uint64_t view_number;
-	uint64_t view_vers; /**< of the view's row */
-	struct spread view_spread;
-	bool named; /**< the view names this member, of any incarnation */
-	bool wait_written;	/**< this process waits in a row of its own */
-	uint64_t wait_vers;	/**< of that row, 0: none */
-	bool rows_stale;	/**< read all rows at the next poll */
-	bool poll_again;	/**< look again at once */
-	gb_time view_due_since; /**< a next view has been due this long */
-	bool row_pending;
+	uint64_t view_vers;	   /**< version of the view's row */
+	struct spread view_spread; /**< members that know of the view */
+	bool named;	    /**< the view names this member, any incarnation */
+	bool wait_written;  /**< the row that asks to join is written */
+	uint64_t wait_vers; /**< version of that row, 0: none */
+	bool rows_stale;    /**< the next poll reads all rows */
+	bool poll_again;    /**< poll again at once when this poll ends */
+	gb_time view_due_since; /**< time since which a new view is due */
+	bool
+	    row_pending; /**< a write of a view or a row to join is in flight */
 	gb_time row_retry_at;
-	uint64_t head_seen; /**< version of the head row read last */
-	uint64_t head_read; /**< the same, while its news are being read */
+	uint64_t head_seen; /**< version of the head row at the last poll */
+	/** Version of the head row that the poll in progress has read. */
+	uint64_t head_read;
 	bool polling;
 	gb_time poll_at;
 	gb_time poll_started;
-	gb_time confirmed; /**< start of the last whole look at the store */
+	gb_time confirmed; /**< start of the last poll that read everything */
 	bool ever_confirmed;
 	/* Documents */
 	struct doc *docs;
-	uint64_t config_seq;
-	uint64_t config_vers;  /**< of the row of the last change */
+	uint64_t config_seq;   /**< number of the last change applied */
+	uint64_t config_vers;  /**< version of the row of that change */
 	bool config_loaded;    /**< the snapshot of documents has been read */
-	uint64_t config_saved; /**< change that the snapshot covers */
-	uint64_t config_saved_vers; /**< of the snapshot's row */
-	bool config_saving;
+	uint64_t config_saved; /**< last change that the snapshot covers */
+	uint64_t config_saved_vers; /**< version of the snapshot's row */
+	bool config_saving;	    /**< a snapshot is being written */
 	struct change_waits changes;
-	bool change_busy;
+	bool change_busy; /**< a write or check of a change is in flight */
 	gb_time change_retry_at;
-	struct drain *drains;
+	struct drain *drains; /**< workers that operators drain */
 	/* Teams, workers, shards, requests */
 	struct team *teams;
 	uint32_t team_count, team_size;
 	struct worker *workers_by_name;
-	struct worker **workers;
+	struct worker **workers; /**< by handle */
 	uint32_t worker_count, worker_size;
 	struct shard *shards;
 	uint32_t shard_count;
-	gb_time rebalance_at; /**< no handover for balance before */
+	gb_time rebalance_at; /**< no handover to balance load before this */
 	struct request *requests;
 	struct exec *execs;
 	uint64_t next_rid;
@@ -465,33 +502,41 @@
 };
 
 /* core.c */
-/** Whether this process was frozen and has not seen the platform's list
- * since, so that it may not know who is leaving. */
+/** Whether this process was paused and has not received the platform's list of
+ * instances since, so that it may not know which ones are leaving. */
 bool core_list_stale(const struct gb_core *);
 
 /* action.c */
+/** Append an empty action; valid until the next one is appended. */
 struct gb_action *core_action_add(struct gb_core *, enum gb_action_type);
+/** Answer a caller without a body; id 0 is ignored. */
 void core_answer(struct gb_core *, uint64_t id, gb_verdict, unsigned status,
     unsigned retry_after_ms, const char *reason);
+/** Answer a caller with status 200.  Takes ownership of the body. */
 struct gb_action *core_answer_body(
     struct gb_core *, uint64_t id, uint64_t vers, struct gb_text *body);
 
 /* store_op.c */
+/** Read up to limit rows of a prefix with keys greater than after. */
 void store_op_scan(struct gb_core *, const char *prefix, const char *after,
     uint32_t limit, store_done_fn, uint32_t shard, uint64_t ref);
-/** Takes over what the transaction owns. */
+/** Send a transaction.  Takes ownership of what it contains. */
 void store_op_txn(
     struct gb_core *, gb_txn *, store_done_fn, uint32_t shard, uint64_t ref);
+/** End the operations that have timed out, with GB_STORE_UNKNOWN. */
 void store_op_tick(struct gb_core *);
+/** Require that a row has a version; 0: that it is absent. */
 void store_txn_cond(gb_txn *, const char *key, uint64_t vers);
-/** Takes over the value. */
+/** Takes ownership of the value. */
 void store_txn_put(gb_txn *, const char *key, gb_body value);
 void store_txn_remove(gb_txn *, const char *key);
 
 /* member.c */
+/** Send the heartbeats that are due. */
 void member_beats(struct gb_core *);
-/** Tell all members at once that there is news. */
+/** Make a heartbeat to every member due at once. */
 void member_beat_now(struct gb_core *);
+/** Whether a member was heard within suspect_us and is not leaving. */
 bool member_live(const struct gb_core *, const struct member *);
 struct member *member_find(struct gb_core *, const char *);
 struct member *member_add(struct gb_core *, const char *);
@@ -499,156 +544,209 @@
 void member_free(struct gb_core *, struct member *);
 /** Whether the table service confirmed the view within fresh_us. */
 bool member_store_fresh(const struct gb_core *);
-/** Follow a write until it is in force: all members know of it, or enough
- * members have known of it for so long that the rest cannot act on what was
- * before. */
+/** Whether a write is in force: all members know of it, or enough members have
+ * known of it for so long that the others can no longer act on the state
+ * before it. */
 bool member_spread_done(struct gb_core *, struct spread *);
-/** Whether enough members know of a write that no other can go on for longer
- * than fresh_us without learning of it. */
+/** Whether enough members know of a write that no other member can act for
+ * longer than fresh_us without learning of it. */
 bool member_spread_known(struct gb_core *, struct spread *);
+/** Apply what the platform's list says of a member's instance. */
 void member_instance(struct gb_core *, const gb_instance *);
 void members_free(struct gb_core *);
 
 /* view.c */
 void view_tick(struct gb_core *);
+/** Poll the table service at the next tick, or again if a poll is running. */
 void view_poll_now(struct gb_core *);
-/** Add to a transaction what tells all members to look again. */
+/** Add a write of the head row, so that all members read the rows again. */
 void view_touch_head(gb_txn *);
-/** The same, and let it take effect only under this member's view: whoever
- * joins later has read what the transaction wrote. */
+/** Add a write of the head row and the condition that the view is still the
+ * one that this member knows: a member that joins later has then read what the
+ * transaction writes. */
 void view_bind(const struct gb_core *, gb_txn *);
 
 /* config.c */
 struct doc *config_doc(struct gb_core *, const char *team, const char *service);
-/** Apply the next change, as its row tells it; others are passed over. */
+/** Apply a change read from a row of this version.  A change that does not
+ * directly follow the last one applied is ignored. */
 bool config_apply(struct gb_core *, const gb_change *, uint64_t vers);
-/** Take in the snapshot of documents, if it is newer than what is known. */
+/** Apply the snapshot of documents if it is newer than the state here. */
 void config_load(struct gb_core *, const gb_row *);
 void config_command(struct gb_core *, uint64_t id, const gb_command *);
 void config_tick(struct gb_core *);
 void config_free(struct gb_core *);
+/** Whether operators drain a worker. */
 bool config_drained(struct gb_core *, const char *worker);
+/** Index of a team, which is added if it is new. */
 uint32_t config_team(struct gb_core *, const char *name);
 
 /* shard.c */
+/** Apply a shard's row that was read from the store. */
 void shard_row_seen(struct gb_core *, const gb_row *);
+/** Apply a claim of ownership from a peer's heartbeat. */
 void shard_claim_seen(struct gb_core *, const gb_claim *, const char *member);
 void shard_tick(struct gb_core *, struct shard *);
+/** Drop a shard that another member owns or may own. */
 void shard_lose(struct gb_core *, struct shard *, const char *why);
+/** Issue GB_ACT_EXIT once a leaving process has nothing left to do. */
 void shards_leave(struct gb_core *);
+/** Shard by id, or null. */
 struct shard *shard_get(struct gb_core *, uint32_t);
+/** Whether the shard was lost or acquired since an operation was sent. */
 bool shard_serial_stale(const struct gb_core *, const struct store_op *);
 void shard_key(char *out, size_t, uint32_t shard);
 
 /* log.c */
-/** Takes over the record. */
+/** Append a record.  Takes ownership of it; answer is the caller that waits for
+ * its commit, 0: none. */
 void log_append(struct gb_core *, struct shard *, gb_record *, uint64_t answer);
 void log_tick(struct gb_core *, struct shard *);
 void log_clear(struct gb_core *, struct shard *);
-/** Whether a record that this answer waits for may have been written.  One
- * that was not is dropped. */
+/** Drop the record that this caller waits for, if it has not been sent.
+ * Returns whether it may have been written. */
 bool log_withdraw(struct gb_core *, struct shard *, uint64_t answer);
 void log_key(char *out, size_t, uint32_t shard, uint64_t seq);
 void snapshot_key(char *out, size_t, uint32_t shard);
 void object_key(char *out, size_t, uint32_t shard, uint64_t seq);
 
 /* recover.c */
+/** Start to load a shard that was just acquired. */
 void recover_start(struct gb_core *, struct shard *);
+/** Retry a read that failed. */
 void recover_tick(struct gb_core *, struct shard *);
-/** All that must last of a shard, as records. */
+/** Encode the durable state of a shard as records; the caller frees it. */
 bool recover_snapshot(struct gb_core *, struct shard *, gb_body *);
 
 /* worker.c */
+/** Worker by handle, or null. */
 struct worker *worker_get(struct gb_core *, uint32_t);
-/** Worker at a place of a shard, as the index names it; null for GB_NONE. */
+/** Worker by its position in a shard, which is its id in the placement index;
+ * null for GB_NONE. */
 struct worker *worker_at(
-    const struct gb_core *, const struct shard *, uint32_t place);
+    const struct gb_core *, const struct shard *, uint32_t position);
+/** Apply an entry of the platform's list of instances. */
 void worker_instance(struct gb_core *, const gb_instance *);
 void worker_tick(struct gb_core *, struct worker *);
+/** Update a worker's entry in its shard's placement index. */
 void worker_index(struct gb_core *, struct worker *);
+/** Whether a worker may get work. */
 bool worker_usable(const struct worker *);
+/** Count a task against a worker's capacity. */
 void worker_attach(struct worker *, struct job *, uint32_t index);
 void worker_detach(struct worker *, struct job *, uint32_t index);
+/** Add a start of a task to the next sync. */
 void worker_start(struct worker *, struct job *, uint32_t index);
+/** Add a stop of a task to the next sync. */
 void worker_stop(struct worker *, const struct job *, uint32_t index);
+/** Acknowledge the end of a task in the next sync. */
 void worker_ack(struct worker *, const gb_task_id *);
-void worker_blame(struct gb_core *, struct worker *, uint64_t job, bool failed);
-/** No lease that an earlier owner gave can last from now on. */
-void worker_claim_over(struct gb_core *, struct shard *);
-void worker_shard_taken(struct gb_core *, struct shard *);
+/** Record that a task of a job succeeded or failed on a worker.  Quarantines a
+ * worker on which several different jobs in a row have failed. */
+void worker_outcome_record(
+    struct gb_core *, struct worker *, uint64_t job, bool failed);
+/** Apply the shard's prior_leases_end to workers that have not reported. */
+void worker_prior_leases_bound(struct gb_core *, struct shard *);
+/** Called when the snapshot and log of a shard have been read. */
+void worker_shard_loaded(struct gb_core *, struct shard *);
 void worker_shard_lost(struct gb_core *, struct shard *);
+/** Free capacity; negative where more is used than the worker has. */
 gb_res worker_free(const struct worker *);
-/** Find every record that names a worker that has ended. */
-void worker_gone_committed(struct gb_core *, struct shard *, const char *);
-void worker_durable(struct gb_core *, struct shard *, const gb_instance *);
+/** Apply a committed record that a worker has terminated. */
+void worker_removal_committed(struct gb_core *, struct shard *, const char *);
+/** Apply a committed record that names a worker. */
+void worker_addition_committed(
+    struct gb_core *, struct shard *, const gb_instance *);
 void workers_free(struct gb_core *);
 
 /* job.c */
 struct job *job_new(struct gb_core *, struct shard *, const gb_job_spec *);
 void job_free(struct gb_core *, struct job *);
 struct job *job_find(struct shard *, uint64_t id);
+/** Apply a committed record of the shard's log.  With recovering it is read
+ * again after a takeover. */
 void job_commit(
     struct gb_core *, struct shard *, const gb_record *, bool recovering);
+/** Make a task wait for a worker. */
 void job_task_ready(struct gb_core *, struct job *, uint32_t index);
+/** Apply a worker's report on a task. */
 void job_task_report(struct gb_core *, struct job *, uint32_t index,
     struct worker *, const gb_held *);
-/** A worker restarted under a task that had been sent to it. */
+/** The worker process restarted after a task had been sent to it. */
 void job_task_crashed(struct gb_core *, struct job *, uint32_t index);
+/** A task no longer runs on its worker. */
 void job_task_lost(
     struct gb_core *, struct job *, uint32_t index, bool never_started);
-/** Let tasks start anew once no worker can still hold them. */
-void job_settle(struct gb_core *, struct shard *);
-/** Log the end of a task that holds nothing any more. */
+/** Decide the uncertain tasks of a shard once no worker can still run them. */
+void job_reconcile(struct gb_core *, struct shard *);
+/** Log the end of a task that uses no resources any more. */
 void job_task_end(
     struct gb_core *, struct job *, uint32_t index, enum gb_outcome);
+/** Queue the tasks of a shard whose snapshot and log have been read. */
 void job_recovered(struct gb_core *, struct shard *);
+/** Find the task that an entry of a worker's report is about; null when it is
+ * not the current attempt of any.  Sets the job, null if there is none. */
 struct task *job_task_match(struct worker *, const gb_held *, struct job **);
-void job_place(struct gb_core *, struct job *, uint32_t index, struct worker *);
+/** Start a new attempt of a task on a worker. */
+void job_task_place(
+    struct gb_core *, struct job *, uint32_t index, struct worker *);
 void job_tick(struct gb_core *, struct shard *);
 void job_command(struct gb_core *, uint64_t id, const gb_command *);
 /** Answer the command whose record has been committed. */
 void job_answer_record(
     struct gb_core *, struct shard *, uint64_t answer, const gb_record *);
+/** Answer commands whose deadline has passed. */
 void job_commands_tick(struct gb_core *);
+/** Answer the commands that wait for a shard which was lost. */
 void job_commands_lost(struct gb_core *, struct shard *);
+/** Remove a job from its team's queue. */
 void job_dequeue(struct job *);
-void job_stop_task(struct gb_core *, struct job *, uint32_t index);
+/** Stop a task that is starting or running. */
+void job_task_stop(struct gb_core *, struct job *, uint32_t index);
 uint64_t job_id(const char *team, const char *name);
 
 /** Stop counting a task's resources against its worker and team. */
 void job_task_release(struct gb_core *, struct job *, uint32_t index);
-/** Count them. */
-void job_task_hold(
+/** Count a task's resources against a worker and its team. */
+void job_task_assign(
     struct gb_core *, struct job *, uint32_t index, struct worker *);
-/** A task may start anew, or must end because nothing may run it again. */
-void job_task_again(
+/** Queue a task again, or end it if it was cancelled or may not run twice. */
+void job_task_retry_or_end(
     struct gb_core *, struct job *, uint32_t index, bool never_started);
-/** All tasks of a job have ended. */
+/** Set the outcome of a job whose tasks have all ended. */
 void job_finish(struct gb_core *, struct job *);
 
 /* service.c */
+/** Bring the replicas of a shard in line with the documents. */
 void service_sync_all(struct gb_core *, struct shard *);
-/** A replica was reported: replace those of an older document in turn. */
-void service_task_seen(
+/** A replica was reported with this document version.  Replaces the replicas
+ * of an older version one at a time. */
+void service_task_reported(
     struct gb_core *, struct job *, uint32_t index, uint64_t vers);
 
 /* loan.c */
-/** Lend waiting tasks of a job to a shard that has room. */
-void loan_consider(struct gb_core *, struct shard *, struct job *);
+/** Lend waiting tasks of a job to a shard that has free capacity. */
+void loan_try(struct gb_core *, struct shard *, struct job *);
+/** Apply the committed record of a loan. */
 void loan_commit(struct gb_core *, struct shard *, const gb_loan *);
+/** Apply the committed record of a loan that was given back. */
 void loan_return_commit(struct gb_core *, struct shard *, const gb_loan *);
-/** A lent task has ended by a committed record. */
+/** Release a lent task whose end has been committed. */
 void loan_task_ended(struct gb_core *, struct job *, uint32_t index);
 void loan_tick(struct gb_core *, struct shard *);
 void loan_free(struct job *, struct loan *);
+/** Fill in the record of a loan, which borrows the list of tasks. */
 void loan_record(const struct job *, const struct loan *, gb_loan *);
 
 /* dispatch.c */
+/** Start as many waiting tasks as the capacity and the quotas allow. */
 void dispatch_run(struct gb_core *, struct shard *);
+/** Add queues for new teams. */
 void dispatch_team_grow(struct gb_core *, struct shard *);
 void dispatch_teams_free(struct shard *);
-/** Nothing of the shard is used by any team any more. */
-void dispatch_forget(struct shard *);
+/** Set what all teams use of the shard to zero. */
+void dispatch_usage_reset(struct shard *);
+/** Add resources to what a team uses of the shard, or subtract them. */
 void dispatch_account(
     struct gb_core *, struct shard *, uint32_t team, const gb_res *, bool add);
 
@@ -656,20 +754,22 @@
 void request_dispatch(struct gb_core *, struct shard *);
 void request_tick(struct gb_core *);
 void request_shard_lost(struct gb_core *, struct shard *);
-/** Requests of this process that a worker lists, but that belong to an earlier
- * ownership of its shard. */
+/** Number of this process's requests that a worker lists, but that were sent
+ * before this process lost and acquired its shard again. */
 uint32_t request_unknown(
     struct gb_core *, const struct worker *, const gb_sync_res *);
-/** A report came: free the room of requests that it no longer lists. */
+/** Free the capacity of given up requests that a report no longer lists. */
 void request_reported(struct gb_core *, struct worker *, const gb_sync_res *);
-/** The worker process that held the requests has ended. */
+/** Free the capacity of given up requests of a worker process that ended. */
 void request_worker_ended(struct gb_core *, struct worker *);
 void requests_free(struct gb_core *);
 
 /* report.c */
+/** Answer a command that shows the state of the cell. */
 void report_command(struct gb_core *, uint64_t id, const gb_command *);
 
 /* name.c */
+/** Whether a name is 1 to GB_NAME_MAX letters, digits, '-', '_' or '.'. */
 bool name_valid(const char *);
 
 #endif
--- a/libgooseberry/process/dispatch.c
+++ b/libgooseberry/process/dispatch.c
@@ -11,7 +11,7 @@
 #define DECISIONS_PER_RUN 4096
 /** Jobs behind a blocked one that are tried in its stead. */
 #define LOOK_BEHIND 8
-#define GANG_PATIENCE (2 * GB_SEC)
+#define GANG_RESERVE_AFTER (2 * GB_SEC)
 /** Batch work this short may still start while room is kept for a gang. */
 #define BACKFILL_MOST (2 * GB_SEC)
 #define PREEMPT_SAMPLE 64
@@ -53,7 +53,7 @@
 }
 
 void
-dispatch_forget(struct shard *shard)
+dispatch_usage_reset(struct shard *shard)
 {
 	uint32_t i;
 
@@ -118,7 +118,7 @@
 
 /* Placement of one task */
 
-struct place {
+struct placement {
 	struct gb_core *core;
 	const struct job *job;
 };
@@ -126,7 +126,7 @@
 static bool
 place_allows(void *data, uint32_t at)
 {
-	const struct place *place = data;
+	const struct placement *place = data;
 	const struct job *job = place->job;
 	const struct worker *w = worker_at(place->core, job->shard, at);
 	uint32_t i;
@@ -145,7 +145,7 @@
 static uint32_t
 place_same_rack(void *data, uint32_t at)
 {
-	const struct place *place = data;
+	const struct placement *place = data;
 	const struct job *job = place->job;
 	uint64_t rack = worker_at(place->core, job->shard, at)->rack_id;
 	uint32_t n = 0;
@@ -164,7 +164,7 @@
 static struct worker *
 place_find(struct gb_core *core, struct shard *shard, const struct job *job)
 {
-	struct place place = {core, job};
+	struct placement place = {core, job};
 	bool spread = job->spec.spread != GB_SPREAD_NONE;
 	struct gb_filter filter = {
 	    job->spec.pool[0] == '\0' && job->spec.spread != GB_SPREAD_WORKER
@@ -206,7 +206,7 @@
 		return false;
 	}
 	job->ready_count--;
-	job_place(core, job, job->ready[job->ready_count], w);
+	job_task_place(core, job, job->ready[job->ready_count], w);
 	return true;
 }
 
@@ -251,7 +251,7 @@
 	if (n == count) {
 		job->ready_count = 0;
 		for (i = 0; i < count; i++)
-			job_place(core, job, job->ready[i], chosen[i]);
+			job_task_place(core, job, job->ready[i], chosen[i]);
 	}
 	free(chosen);
 	return n == count;
@@ -259,17 +259,17 @@
 
 /** A gang that has waited long has room kept for it. */
 static void
-gang_hold(struct gb_core *core, struct shard *shard, struct job *job)
+gang_reserve(struct gb_core *core, struct shard *shard, struct job *job)
 {
-	if (shard->holder == NULL && job->reason == WAIT_CAPACITY &&
-	    core->now - job->accepted_at > GANG_PATIENCE)
-		shard->holder = job;
+	if (shard->reserved_gang == NULL && job->reason == WAIT_CAPACITY &&
+	    core->now - job->accepted_at > GANG_RESERVE_AFTER)
+		shard->reserved_gang = job;
 }
 
 static bool
-held_back(const struct shard *shard, const struct job *job)
+gang_reservation_blocks(const struct shard *shard, const struct job *job)
 {
-	return shard->holder != NULL && shard->holder != job &&
+	return shard->reserved_gang != NULL && shard->reserved_gang != job &&
 	       job->spec.band >= GB_BAND_GANG &&
 	       (job->spec.run_us <= 0 || job->spec.run_us > BACKFILL_MOST);
 }
@@ -342,7 +342,7 @@
 
 		if (!victim_fits(ref.job, &ref.job->tasks[ref.index], job))
 			continue;
-		job_stop_task(core, ref.job, ref.index);
+		job_task_stop(core, ref.job, ref.index);
 		shard->preempting++;
 		core->stats.preempted++;
 		least--;
@@ -356,22 +356,22 @@
 {
 	bool started;
 
-	if (held_back(shard, job)) {
+	if (gang_reservation_blocks(shard, job)) {
 		job->reason = WAIT_CAPACITY;
 		return false;
 	}
 	started = job->spec.gang ? gang_start(core, shard, job)
 				 : job_start_one(core, shard, job);
 	if (!started)
-		loan_consider(core, shard, job);
+		loan_try(core, shard, job);
 	if (job->ready_count == 0) {
 		job_dequeue(job);
-		if (shard->holder == job)
-			shard->holder = NULL;
+		if (shard->reserved_gang == job)
+			shard->reserved_gang = NULL;
 		return started;
 	}
 	if (!started && job->spec.gang)
-		gang_hold(core, shard, job);
+		gang_reserve(core, shard, job);
 	if (!started && job->reason == WAIT_CAPACITY &&
 	    job->spec.band <= GB_BAND_SERVICE)
 		job_preempt(core, shard, job);
--- a/libgooseberry/process/entry.c
+++ b/libgooseberry/process/entry.c
@@ -267,7 +267,7 @@
 	    {"gooseberry_entry_in_flight", "Calls in hand.",
 		http_server_in_flight(entry->http)},
 	    {"gooseberry_entry_view_age_ms", "Age of the view of the cell.",
-		(uint64_t)((gb_clock_boot() - entry->viewed) / GB_MSEC)},
+		(uint64_t)((gb_clock_boot() - entry->view_received) / GB_MSEC)},
 	    {"gooseberry_process_cpu_us_total",
 		"Processor time of the process.", used.cpu_us},
 	    {"gooseberry_process_memory_bytes",
@@ -354,13 +354,13 @@
 {
 	struct gb_entry *entry = data;
 
-	entry->viewing = false;
+	entry->view_pending = false;
 	if (verdict != GB_RUN) {
-		entry->view_at++;
+		entry->view_next++;
 		return;
 	}
-	entry->viewed = gb_clock_boot();
-	gb_route_view(entry->route, entry->viewed, res);
+	entry->view_received = gb_clock_boot();
+	gb_route_view(entry->route, entry->view_received, res);
 }
 
 static void
@@ -371,14 +371,14 @@
 	const char *addr = scheds->item[0];
 	gb_beat who = {.member = "", .addr = "", .dc = ""};
 
-	if (entry->viewing)
+	if (entry->view_pending)
 		return;
-	if (entry->view_at % (scheds->count + 1) < scheds->count)
-		addr = scheds->item[entry->view_at % (scheds->count + 1)];
-	else if (!gb_route_member(
-		     entry->route, entry->view_at / (scheds->count + 1), &addr))
+	if (entry->view_next % (scheds->count + 1) < scheds->count)
+		addr = scheds->item[entry->view_next % (scheds->count + 1)];
+	else if (!gb_route_member(entry->route,
+		     entry->view_next / (scheds->count + 1), &addr))
 		addr = scheds->item[0];
-	entry->viewing = true;
+	entry->view_pending = true;
 	gb_rpc_client_call(gb_rpc_pool_get(entry->pool, addr), GB_PROC_VIEW,
 	    &who, VIEW_TIMEOUT, view_done, entry);
 }
@@ -439,7 +439,7 @@
 {
 	struct gb_entry *entry = timer->data;
 
-	if (gb_clock_boot() < entry->close_at)
+	if (gb_clock_boot() < entry->accept_until)
 		return;
 	http_server_close(entry->http);
 	if (http_server_in_flight(entry->http) > 0)
@@ -453,7 +453,8 @@
 {
 	entry->stopped = done;
 	entry->stopped_data = data;
-	entry->close_at = gb_clock_boot() + entry->settings.leave_ms * GB_MSEC;
+	entry->accept_until =
+	    gb_clock_boot() + entry->settings.leave_ms * GB_MSEC;
 	http_server_leave(entry->http);
 	uv_timer_init(entry->loop, &entry->stop_timer);
 	entry->stop_timer.data = entry;
--- a/libgooseberry/process/entry.h
+++ b/libgooseberry/process/entry.h
@@ -23,10 +23,10 @@
 	struct gb_route *route;
 	struct gb_retry retry;
 	uint64_t seed;
-	unsigned int view_at; /**< which scheduler is asked next */
-	bool viewing;
-	gb_time viewed;
-	gb_time close_at; /**< a leaving entry accepts until then */
+	unsigned int view_next; /**< which scheduler is asked next */
+	bool view_pending;
+	gb_time view_received;
+	gb_time accept_until; /**< a leaving entry accepts until then */
 	void (*stopped)(void *);
 	void *stopped_data;
 	uint64_t requests, commands, refused, retries, hedges, unauthorized;
--- a/libgooseberry/process/job.c
+++ b/libgooseberry/process/job.c
@@ -121,13 +121,13 @@
 	job->tasks = gb_calloc(spec->tasks, sizeof(struct task));
 	job->ready = gb_calloc(spec->tasks, sizeof(uint32_t));
 	job->accepted_at = core->now;
-	job->lend_at = core->now;
+	job->lend_not_before = core->now;
 	TAILQ_INIT(&job->loans);
 	for (i = 0; i < spec->tasks; i++)
 		job->tasks[i].worker = GB_NONE;
 	HASH_ADD(hh, shard->jobs, id, sizeof(job->id), job);
 	if (spec->parent != 0)
-		shard->lending++;
+		shard->loan_count++;
 	return job;
 }
 
@@ -150,10 +150,10 @@
 		TAILQ_REMOVE(&job->shard->backoff, job, backoff);
 	if (job->ended_at != 0)
 		TAILQ_REMOVE(&job->shard->ended, job, queue);
-	if (job->shard->holder == job)
-		job->shard->holder = NULL;
+	if (job->shard->reserved_gang == job)
+		job->shard->reserved_gang = NULL;
 	if (job->spec.parent != 0)
-		job->shard->lending--;
+		job->shard->loan_count--;
 	HASH_DEL(job->shard->jobs, job);
 	xdr_free((xdrproc_t)xdr_gb_job_spec, (char *)&job->spec);
 	free(job->tasks);
@@ -175,8 +175,8 @@
 	if (job->backing_off)
 		TAILQ_REMOVE(&job->shard->backoff, job, backoff);
 	job->backing_off = false;
-	if (job->shard->holder == job)
-		job->shard->holder = NULL;
+	if (job->shard->reserved_gang == job)
+		job->shard->reserved_gang = NULL;
 	job->ended_at = core->now;
 	TAILQ_INSERT_TAIL(&job->shard->ended, job, queue);
 }
@@ -199,7 +199,7 @@
 }
 
 void
-job_task_hold(
+job_task_assign(
     struct gb_core *core, struct job *job, uint32_t index, struct worker *w)
 {
 	job->tasks[index].worker = w->handle;
@@ -218,11 +218,11 @@
 	job->restarting = true;
 	job_dequeue(job);
 	for (i = 0; i < job->spec.tasks; i++)
-		job_stop_task(core, job, i);
+		job_task_stop(core, job, i);
 }
 
 static void
-gang_settle(struct gb_core *core, struct job *job)
+gang_requeue_if_stopped(struct gb_core *core, struct job *job)
 {
 	uint32_t i;
 	uint32_t still = 0;
@@ -264,12 +264,12 @@
 	rec->incarnation = task->incarnation;
 	rec->outcome = outcome;
 	log_append(core, job->shard, &record, 0);
-	gang_settle(core, job);
+	gang_requeue_if_stopped(core, job);
 }
 
 /** A task may start anew, or must end because nothing may run it again. */
 void
-job_task_again(
+job_task_retry_or_end(
     struct gb_core *core, struct job *job, uint32_t index, bool never_started)
 {
 	if (job->cancelled) {
@@ -278,7 +278,7 @@
 		job_task_ready(core, job, index);
 		if (job->spec.gang && !job->restarting && job->active > 0)
 			gang_restart(core, job);
-		gang_settle(core, job);
+		gang_requeue_if_stopped(core, job);
 	} else {
 		job_task_end(core, job, index, GB_OUTCOME_MAYBE_RUN);
 	}
@@ -294,11 +294,11 @@
 	job_task_release(core, job, index);
 	if (stopping && job->shard->preempting > 0)
 		job->shard->preempting--;
-	job_task_again(core, job, index, never_started);
+	job_task_retry_or_end(core, job, index, never_started);
 }
 
 void
-job_stop_task(struct gb_core *core, struct job *job, uint32_t index)
+job_task_stop(struct gb_core *core, struct job *job, uint32_t index)
 {
 	struct task *task = &job->tasks[index];
 	struct worker *w = worker_get(core, task->worker);
@@ -312,7 +312,7 @@
 }
 
 void
-job_place(
+job_task_place(
     struct gb_core *core, struct job *job, uint32_t index, struct worker *w)
 {
 	struct task *task = &job->tasks[index];
@@ -323,7 +323,7 @@
 
 	task->attempt = task->attempt < least ? least : task->attempt + 1;
 	task->since = core->now;
-	job_task_hold(core, job, index, w);
+	job_task_assign(core, job, index, w);
 	core->stats.starts++;
 	if (job->first_start == 0)
 		job->first_start = core->now;
@@ -359,7 +359,7 @@
 	task = &job->tasks[held->id.index];
 	/* An attempt that has stopped here says nothing of a later one that
 	 * may run elsewhere. */
-	if (task->state == TASK_UNSURE && task->worker == GB_NONE &&
+	if (task->state == TASK_UNCERTAIN && task->worker == GB_NONE &&
 	    (held->state == GB_HELD_RUNNING || held->state == GB_HELD_OK))
 		return task;
 	if (task->worker != w->handle || task->attempt != held->id.attempt ||
@@ -398,7 +398,7 @@
 	}
 	job_task_release(core, job, index);
 	if (!task_failed(core, job, index))
-		job_task_again(core, job, index, false);
+		job_task_retry_or_end(core, job, index, false);
 }
 
 static void
@@ -414,11 +414,11 @@
 		job->shard->preempting--;
 	switch (held->state) {
 	case GB_HELD_OK:
-		worker_blame(core, w, job->id, false);
+		worker_outcome_record(core, w, job->id, false);
 		job_task_end(core, job, index, GB_OUTCOME_OK);
 		return;
 	case GB_HELD_FAILED:
-		worker_blame(core, w, job->id, true);
+		worker_outcome_record(core, w, job->id, true);
 		if (task_failed(core, job, index))
 			return;
 		break;
@@ -428,7 +428,7 @@
 		break;
 	}
 	worker_ack(w, &held->id);
-	job_task_again(core, job, index, held->state == GB_HELD_REFUSED);
+	job_task_retry_or_end(core, job, index, held->state == GB_HELD_REFUSED);
 }
 
 void
@@ -439,12 +439,12 @@
 
 	if (task->state == TASK_ENDING)
 		return;
-	if (task->state == TASK_UNSURE) {
+	if (task->state == TASK_UNCERTAIN) {
 		task->attempt = held->id.attempt;
 		if (task->worker == GB_NONE)
-			job_task_hold(core, job, index, w);
+			job_task_assign(core, job, index, w);
 		task->state = TASK_RUNNING;
-		task->seen = w->reports;
+		task->last_report = w->reports;
 	}
 	if (held->state != GB_HELD_RUNNING) {
 		task_reported_end(core, job, index, w, held);
@@ -455,20 +455,20 @@
 		task->since = core->now;
 	}
 	if (job->cancelled || job->restarting)
-		job_stop_task(core, job, index);
+		job_task_stop(core, job, index);
 	if (task->state == TASK_STOPPING &&
 	    core->now - task->since > core->cfg.sync_us) {
 		task->since = core->now;
 		worker_stop(w, job, index);
 	}
 	if (job->derived)
-		service_task_seen(core, job, index, held->vers);
+		service_task_reported(core, job, index, held->vers);
 }
 
 /* Time */
 
 static void
-job_forget_old(struct gb_core *core, struct shard *shard)
+job_remove_old(struct gb_core *core, struct shard *shard)
 {
 	struct job *job = TAILQ_FIRST(&shard->ended);
 	gb_record record;
@@ -500,5 +500,5 @@
 		job_enqueue(core, job);
 	}
 	loan_tick(core, shard);
-	job_forget_old(core, shard);
+	job_remove_old(core, shard);
 }
--- a/libgooseberry/process/job_record.c
+++ b/libgooseberry/process/job_record.c
@@ -21,7 +21,7 @@
 		if (!recovering)
 			job_task_ready(core, job, i);
 		else if (spec->idempotent)
-			job->tasks[i].state = TASK_UNSURE;
+			job->tasks[i].state = TASK_UNCERTAIN;
 	}
 }
 
@@ -45,7 +45,7 @@
 		if (job->tasks[i].state == TASK_PENDING)
 			job_task_end(core, job, i, GB_OUTCOME_CANCELLED);
 		else
-			job_stop_task(core, job, i);
+			job_task_stop(core, job, i);
 	}
 }
 
@@ -64,12 +64,12 @@
 	if (recovering) {
 		if (task->worker != GB_NONE)
 			job_task_release(core, job, rec->id.index);
-		task->state = TASK_UNSURE;
+		task->state = TASK_UNCERTAIN;
 		task->attempt = rec->id.attempt;
 		task->incarnation = rec->incarnation;
 		task->worker = GB_NONE;
 		if (w != NULL)
-			job_task_hold(core, job, rec->id.index, w);
+			job_task_assign(core, job, rec->id.index, w);
 		return;
 	}
 	if (task->state != TASK_COMMITTING ||
@@ -134,10 +134,11 @@
 		commit_end(core, shard, &record->gb_record_u.end, recovering);
 		break;
 	case GB_REC_WORKER:
-		worker_durable(core, shard, &record->gb_record_u.worker);
+		worker_addition_committed(
+		    core, shard, &record->gb_record_u.worker);
 		break;
 	case GB_REC_WORKER_GONE:
-		worker_gone_committed(core, shard, record->gb_record_u.gone);
+		worker_removal_committed(core, shard, record->gb_record_u.gone);
 		break;
 	case GB_REC_LEND:
 		loan_commit(core, shard, &record->gb_record_u.lend);
@@ -173,7 +174,7 @@
 				    core, job, i, GB_OUTCOME_CANCELLED);
 			else if (task->state == TASK_PENDING)
 				job_task_ready(core, job, i);
-			else if (task->state == TASK_UNSURE && w != NULL &&
+			else if (task->state == TASK_UNCERTAIN && w != NULL &&
 				 w->evidence == EVIDENCE_GONE)
 				job_task_lost(core, job, i, false);
 		}
@@ -195,7 +196,7 @@
 }
 
 void
-job_settle(struct gb_core *core, struct shard *shard)
+job_reconcile(struct gb_core *core, struct shard *shard)
 {
 	struct job *job;
 	struct job *next;
@@ -207,9 +208,9 @@
 	HASH_ITER(hh, shard->jobs, job, next)
 	{
 		for (i = 0; i < job->spec.tasks; i++) {
-			if (job->tasks[i].state == TASK_UNSURE &&
+			if (job->tasks[i].state == TASK_UNCERTAIN &&
 			    job->tasks[i].worker == GB_NONE)
-				job_task_again(
+				job_task_retry_or_end(
 				    core, job, i, job->spec.idempotent);
 		}
 	}
--- a/libgooseberry/process/loan.c
+++ b/libgooseberry/process/loan.c
@@ -16,12 +16,12 @@
 /** A job waits this long for its home shard before its tasks are lent. */
 #define LEND_AFTER (300 * GB_MSEC)
 /** A child that has not started by then is given back. */
-#define RETURN_AFTER (3 * GB_SEC)
+#define CHILD_RETURN_AFTER (3 * GB_SEC)
 /** Tasks that came back are not lent again before. */
-#define LEND_AGAIN (2 * GB_SEC)
-#define TELL_EVERY (500 * GB_MSEC)
+#define LEND_RETRY (2 * GB_SEC)
+#define LEND_RESEND_INTERVAL (500 * GB_MSEC)
 /** An offer this old may be of a loan that is settled and forgotten. */
-#define OFFER_OLD (600 * GB_SEC)
+#define OFFER_AGE_MAX (600 * GB_SEC)
 
 /* Messages */
 
@@ -49,7 +49,7 @@
 }
 
 static gb_lend *
-lend_tell(struct gb_core *core, gb_lend_kind kind, uint32_t from, uint32_t to,
+lend_send(struct gb_core *core, gb_lend_kind kind, uint32_t from, uint32_t to,
     uint64_t parent, uint64_t child)
 {
 	const char *addr = shard_owner_addr(core, to);
@@ -80,7 +80,7 @@
 loan_free(struct job *job, struct loan *loan)
 {
 	TAILQ_REMOVE(&job->loans, loan, next);
-	job->shard->lending--;
+	job->shard->loan_count--;
 	free(loan->tasks);
 	free(loan);
 }
@@ -109,7 +109,7 @@
 }
 
 static bool
-lender_allowed(
+borrower_allowed(
     const struct gb_core *core, const struct job *job, uint32_t shard)
 {
 	uint32_t dc = shard / core->cfg.shards_per_dc;
@@ -119,32 +119,32 @@
 }
 
 /** What is known of the best shard to lend to. */
-struct lender {
+struct borrower {
 	uint32_t shard;
 	uint32_t slots;
 };
 
 static void
-lender_rate(const struct gb_core *core, const struct job *job, uint32_t shard,
-    uint32_t slots, struct lender *best)
+borrower_consider(const struct gb_core *core, const struct job *job,
+    uint32_t shard, uint32_t slots, struct borrower *best)
 {
-	if (slots > best->slots && lender_allowed(core, job, shard)) {
+	if (slots > best->slots && borrower_allowed(core, job, shard)) {
 		best->shard = shard;
 		best->slots = slots;
 	}
 }
 
-static struct lender
-lender_find(struct gb_core *core, const struct job *job)
+static struct borrower
+borrower_find(struct gb_core *core, const struct job *job)
 {
-	struct lender best = {GB_NONE, 0};
+	struct borrower best = {GB_NONE, 0};
 	struct member *m;
 	uint32_t i;
 	u_int n;
 
 	for (i = 0; i < core->shard_count; i++) {
 		if (core->shards[i].state == SHARD_ACTIVE)
-			lender_rate(
+			borrower_consider(
 			    core, job, i, core->shards[i].free_slots, &best);
 	}
 	for (m = core->members; m != NULL; m = m->hh.next) {
@@ -152,7 +152,7 @@
 			continue;
 		for (n = 0; n < m->claim_count; n++) {
 			if (m->claims[n].active)
-				lender_rate(core, job, m->claims[n].shard,
+				borrower_consider(core, job, m->claims[n].shard,
 				    m->claims[n].free_slots, &best);
 		}
 	}
@@ -160,9 +160,9 @@
 }
 
 void
-loan_consider(struct gb_core *core, struct shard *shard, struct job *job)
+loan_try(struct gb_core *core, struct shard *shard, struct job *job)
 {
-	struct lender lender;
+	struct borrower borrower;
 	gb_record record;
 	gb_loan *loan = &record.gb_record_u.lend;
 	uint32_t count = job->ready_count;
@@ -172,18 +172,18 @@
 	    (job->reason != WAIT_CAPACITY && job->reason != WAIT_PLACEMENT) ||
 	    (job->reason == WAIT_CAPACITY &&
 		core->now - job->accepted_at < LEND_AFTER) ||
-	    core->now < job->lend_at || !member_store_fresh(core))
+	    core->now < job->lend_not_before || !member_store_fresh(core))
 		return;
-	lender = lender_find(core, job);
-	if (lender.slots == 0 || (job->spec.gang && lender.slots < count))
+	borrower = borrower_find(core, job);
+	if (borrower.slots == 0 || (job->spec.gang && borrower.slots < count))
 		return;
-	if (count > lender.slots)
-		count = lender.slots;
+	if (count > borrower.slots)
+		count = borrower.slots;
 	memset(&record, 0, sizeof(record));
 	record.type = GB_REC_LEND;
 	loan->job = job->id;
 	loan->child = gb_random_next(&core->seed);
-	loan->shard = lender.shard;
+	loan->shard = borrower.shard;
 	loan->tasks.tasks_len = count;
 	loan->tasks.tasks_val = gb_calloc(count, sizeof(uint32_t));
 	for (i = 0; i < count; i++) {
@@ -192,7 +192,7 @@
 		loan->tasks.tasks_val[i] = index;
 		job->tasks[index].state = TASK_LENDING;
 	}
-	job->lend_at = core->now + LEND_AGAIN;
+	job->lend_not_before = core->now + LEND_RETRY;
 	job->lent += count;
 	core->stats.lent += count;
 	log_append(core, shard, &record, 0);
@@ -226,12 +226,12 @@
 		job->lent += job->tasks[i].state == TASK_LENDING ||
 			     job->tasks[i].state == TASK_LENT;
 	TAILQ_INSERT_TAIL(&job->loans, loan, next);
-	shard->lending++;
+	shard->loan_count++;
 }
 
 /** Whether nothing of a loan is out any more. */
 static bool
-loan_over(const struct job *job, const struct loan *loan)
+loan_finished(const struct job *job, const struct loan *loan)
 {
 	u_int i;
 
@@ -254,7 +254,7 @@
 	job->lent--;
 	for (loan = TAILQ_FIRST(&job->loans); loan != NULL; loan = next) {
 		next = TAILQ_NEXT(loan, next);
-		if (loan_over(job, loan))
+		if (loan_finished(job, loan))
 			loan_free(job, loan);
 	}
 }
@@ -283,21 +283,21 @@
 			job_task_ready(core, job, index);
 	}
 	loan_free(job, loan);
-	job->lend_at = core->now + LEND_AGAIN;
+	job->lend_not_before = core->now + LEND_RETRY;
 }
 
 static void
-loan_tell(struct gb_core *core, struct job *job, struct loan *loan)
+loan_send(struct gb_core *core, struct job *job, struct loan *loan)
 {
 	gb_job_spec spec = job->spec;
 	gb_lend *lend;
 
-	if (core->now < loan->tell_at || (loan->taken && !job->cancelled))
+	if (core->now < loan->send_at || (loan->accepted && !job->cancelled))
 		return;
-	loan->tell_at = core->now + TELL_EVERY;
-	lend = lend_tell(core, loan->taken ? GB_LEND_CANCEL : GB_LEND_OFFER,
+	loan->send_at = core->now + LEND_RESEND_INTERVAL;
+	lend = lend_send(core, loan->accepted ? GB_LEND_CANCEL : GB_LEND_OFFER,
 	    job->shard->id, loan->shard, job->id, loan->child);
-	if (lend == NULL || loan->taken)
+	if (lend == NULL || loan->accepted)
 		return;
 	xdr_free((xdrproc_t)xdr_gb_job_spec, (char *)&lend->spec);
 	spec.id = loan->child;
@@ -319,14 +319,14 @@
 
 	if (loan == NULL) {
 		/* It was logged before, or the job is long forgotten. */
-		lend_tell(core, GB_LEND_SETTLED, shard->id, lend->from,
+		lend_send(core, GB_LEND_SETTLED, shard->id, lend->from,
 		    lend->parent, lend->child);
 		return;
 	}
-	if (loan->result || lend->outcomes.outcomes_len != loan->count)
+	if (loan->result_pending || lend->outcomes.outcomes_len != loan->count)
 		return;
-	loan->result = true;
-	loan->taken = true;
+	loan->result_pending = true;
+	loan->accepted = true;
 	if (lend->outcomes.outcomes_val[0] == GB_OUTCOME_RETURNED) {
 		memset(&record, 0, sizeof(record));
 		record.type = GB_REC_UNLEND;
@@ -355,11 +355,11 @@
 	gb_record record;
 
 	if (job_find(shard, lend->child) != NULL) {
-		lend_tell(core, GB_LEND_TAKEN, shard->id, lend->from,
+		lend_send(core, GB_LEND_TAKEN, shard->id, lend->from,
 		    lend->parent, lend->child);
 		return;
 	}
-	if (age > OFFER_OLD || lend->spec.id != lend->child ||
+	if (age > OFFER_AGE_MAX || lend->spec.id != lend->child ||
 	    lend->spec.tasks == 0)
 		return;
 	memset(&record, 0, sizeof(record));
@@ -384,13 +384,13 @@
 }
 
 static void
-child_tell(struct gb_core *core, struct job *job)
+child_result_send(struct gb_core *core, struct job *job)
 {
 	gb_lend *lend;
 	uint32_t i;
 
-	job->tell_at = core->now + TELL_EVERY;
-	lend = lend_tell(core, GB_LEND_RESULT, job->shard->id,
+	job->send_at = core->now + LEND_RESEND_INTERVAL;
+	lend = lend_send(core, GB_LEND_RESULT, job->shard->id,
 	    job->spec.parent_shard, job->spec.parent, job->id);
 	if (lend == NULL)
 		return;
@@ -416,12 +416,12 @@
 static void
 child_tick(struct gb_core *core, struct job *job)
 {
-	if (job->settled || core->now < job->tell_at)
+	if (job->result_acked || core->now < job->send_at)
 		return;
 	if (job->ended_at != 0)
-		child_tell(core, job);
+		child_result_send(core, job);
 	else if (job->ready_count == job->spec.tasks && !job->cancelled &&
-		 core->now - job->accepted_at > RETURN_AFTER)
+		 core->now - job->accepted_at > CHILD_RETURN_AFTER)
 		child_return(core, job);
 }
 
@@ -443,7 +443,7 @@
 		job = job_find(shard, lend->parent);
 		loan = job == NULL ? NULL : loan_find(job, lend->child);
 		if (loan != NULL)
-			loan->taken = true;
+			loan->accepted = true;
 		break;
 	case GB_LEND_RESULT:
 		loan_result(core, shard, lend);
@@ -451,7 +451,7 @@
 	case GB_LEND_SETTLED:
 		job = job_find(shard, lend->child);
 		if (job != NULL)
-			job->settled = true;
+			job->result_acked = true;
 		break;
 	case GB_LEND_CANCEL:
 		child_cancelled(core, shard, lend);
@@ -466,17 +466,17 @@
 	struct job *next;
 	struct loan *loan;
 
-	if (shard->lending == 0 || core->now < shard->loans_at ||
+	if (shard->loan_count == 0 || core->now < shard->loans_due_at ||
 	    !gb_core_fresh(core, core->now))
 		return;
-	shard->loans_at = core->now + TELL_EVERY / 5;
+	shard->loans_due_at = core->now + LEND_RESEND_INTERVAL / 5;
 	HASH_ITER(hh, shard->jobs, job, next)
 	{
 		if (job->spec.parent != 0)
 			child_tick(core, job);
 		TAILQ_FOREACH(loan, &job->loans, next)
 		{
-			loan_tell(core, job, loan);
+			loan_send(core, job, loan);
 		}
 	}
 }
--- a/libgooseberry/process/log.c
+++ b/libgooseberry/process/log.c
@@ -55,8 +55,8 @@
 	struct log *log = &shard->log;
 
 	(void)core;
-	entries_free(log->next, log->next_count);
-	entries_free(log->flight, log->flight_count);
+	entries_free(log->pending, log->pending_count);
+	entries_free(log->in_flight, log->in_flight_count);
 	memset(log, 0, sizeof(*log));
 }
 
@@ -66,16 +66,16 @@
 {
 	struct log *log = &shard->log;
 
-	if (log->next_count == log->next_size) {
-		log->next_size = log->next_size * 2 + 16;
-		log->next = gb_realloc(
-		    log->next, log->next_size * sizeof(struct log_entry));
+	if (log->pending_count == log->pending_size) {
+		log->pending_size = log->pending_size * 2 + 16;
+		log->pending = gb_realloc(
+		    log->pending, log->pending_size * sizeof(struct log_entry));
 	}
-	if (log->next_count == 0)
-		log->opened = core->now;
-	log->next[log->next_count].record = *record;
-	log->next[log->next_count].answer = answer;
-	log->next_count++;
+	if (log->pending_count == 0)
+		log->first_appended_at = core->now;
+	log->pending[log->pending_count].record = *record;
+	log->pending[log->pending_count].answer = answer;
+	log->pending_count++;
 	memset(record, 0, sizeof(*record));
 }
 
@@ -86,14 +86,14 @@
 	u_int i;
 
 	(void)core;
-	for (i = 0; i < log->next_count; i++) {
-		if (log->next[i].answer != answer)
+	for (i = 0; i < log->pending_count; i++) {
+		if (log->pending[i].answer != answer)
 			continue;
 		xdr_free(
-		    (xdrproc_t)xdr_gb_record, (char *)&log->next[i].record);
-		log->next_count--;
-		memmove(&log->next[i], &log->next[i + 1],
-		    (log->next_count - i) * sizeof(struct log_entry));
+		    (xdrproc_t)xdr_gb_record, (char *)&log->pending[i].record);
+		log->pending_count--;
+		memmove(&log->pending[i], &log->pending[i + 1],
+		    (log->pending_count - i) * sizeof(struct log_entry));
 		return false;
 	}
 	return true;
@@ -104,16 +104,16 @@
 log_committed(struct gb_core *core, struct shard *shard)
 {
 	struct log *log = &shard->log;
-	struct log_entry *done = log->flight;
-	u_int count = log->flight_count;
+	struct log_entry *done = log->in_flight;
+	u_int count = log->in_flight_count;
 	uint64_t serial = shard->serial;
 	u_int i;
 
 	log->phase = LOG_IDLE;
 	log->tries = 0;
 	log->seq++;
-	log->flight = NULL;
-	log->flight_count = 0;
+	log->in_flight = NULL;
+	log->in_flight_count = 0;
 	core->stats.log_writes++;
 	core->stats.log_records += count;
 	for (i = 0; i < count && shard->serial == serial; i++) {
@@ -137,7 +137,7 @@
 	entries_free(done, count);
 }
 
-static void log_flight_write(struct gb_core *, struct shard *);
+static void log_batch_write(struct gb_core *, struct shard *);
 
 static void
 log_retry_later(struct gb_core *core, struct shard *shard)
@@ -216,7 +216,7 @@
 }
 
 static void
-log_flight_write(struct gb_core *core, struct shard *shard)
+log_batch_write(struct gb_core *core, struct shard *shard)
 {
 	struct log *log = &shard->log;
 	char row[GB_KEY_MAX + 1];
@@ -229,11 +229,11 @@
 
 	batch.epoch = shard->epoch;
 	batch.owner = core->cfg.incarnation;
-	batch.records.records_len = log->flight_count;
+	batch.records.records_len = log->in_flight_count;
 	batch.records.records_val =
-	    gb_calloc(log->flight_count, sizeof(gb_record));
-	for (i = 0; i < log->flight_count; i++)
-		batch.records.records_val[i] = log->flight[i].record;
+	    gb_calloc(log->in_flight_count, sizeof(gb_record));
+	for (i = 0; i < log->in_flight_count; i++)
+		batch.records.records_val[i] = log->in_flight[i].record;
 	ok = gb_xdr_encode((xdrproc_t)xdr_gb_batch, &batch, &body);
 	free(batch.records.records_val);
 	if (!ok) {
@@ -267,14 +267,15 @@
 	switch (result->status) {
 	case GB_STORE_OK:
 		log->snapshot = log->seq;
-		log->unsure = 0;
+		log->unconfirmed_snapshot = 0;
 		core->stats.snapshots++;
 		break;
 	case GB_STORE_REFUSED:
 	case GB_STORE_UNKNOWN:
 		/* The log goes on either way; a later one takes its place. */
-		log->unsure = log->seq;
-		log->skip_until = log->seq + core->cfg.snapshot_every / 4 + 1;
+		log->unconfirmed_snapshot = log->seq;
+		log->no_snapshot_before =
+		    log->seq + core->cfg.snapshot_every / 4 + 1;
 		break;
 	case GB_STORE_CONFLICT:
 		shard_lose(core, shard, "its row changed");
@@ -313,7 +314,7 @@
 	snapshot_key(key, sizeof(key), shard->id);
 	store_txn_put(&txn, key, body);
 	snapshot_remove(&txn, shard->id, log->snapshot);
-	snapshot_remove(&txn, shard->id, log->unsure);
+	snapshot_remove(&txn, shard->id, log->unconfirmed_snapshot);
 	object_key(key, sizeof(key), shard->id, log->seq);
 	store_txn_put(&txn, key, object);
 	for (seq = log->snapshot + 1;
@@ -344,22 +345,23 @@
 	struct log *log = &shard->log;
 
 	if (log->phase == LOG_WAITING && core->now >= log->retry_at)
-		log_flight_write(core, shard);
+		log_batch_write(core, shard);
 	if (log->phase != LOG_IDLE)
 		return;
 	if (log->seq - log->snapshot >= core->cfg.snapshot_every &&
-	    log->seq >= log->skip_until && shard->state == SHARD_ACTIVE) {
+	    log->seq >= log->no_snapshot_before &&
+	    shard->state == SHARD_ACTIVE) {
 		log_snapshot(core, shard);
 		return;
 	}
-	if (log->next_count == 0 ||
-	    (core->now - log->opened < log_window(core) &&
-		log->next_count < LOG_BATCH_MAX))
+	if (log->pending_count == 0 ||
+	    (core->now - log->first_appended_at < log_window(core) &&
+		log->pending_count < LOG_BATCH_MAX))
 		return;
-	log->flight = log->next;
-	log->flight_count = log->next_count;
-	log->next = NULL;
-	log->next_count = 0;
-	log->next_size = 0;
-	log_flight_write(core, shard);
+	log->in_flight = log->pending;
+	log->in_flight_count = log->pending_count;
+	log->pending = NULL;
+	log->pending_count = 0;
+	log->pending_size = 0;
+	log_batch_write(core, shard);
 }
--- a/libgooseberry/process/recover.c
+++ b/libgooseberry/process/recover.c
@@ -50,9 +50,9 @@
 {
 	shard->state = SHARD_ACTIVE;
 	shard->services_config = 0;
-	worker_shard_taken(core, shard);
+	worker_shard_loaded(core, shard);
 	job_recovered(core, shard);
-	job_settle(core, shard);
+	job_reconcile(core, shard);
 	shard->dirty = true;
 }
 
--- a/libgooseberry/process/service.c
+++ b/libgooseberry/process/service.c
@@ -117,7 +117,7 @@
 			if (shard->reconciled)
 				job_task_ready(core, job, i);
 			else
-				job->tasks[i].state = TASK_UNSURE;
+				job->tasks[i].state = TASK_UNCERTAIN;
 		}
 		return;
 	}
@@ -142,7 +142,7 @@
 
 /** Replace the tasks of an older document one after the other. */
 void
-service_task_seen(
+service_task_reported(
     struct gb_core *core, struct job *job, uint32_t index, uint64_t vers)
 {
 	if (job->rolling == index + 1 && vers == job->spec.vers)
@@ -150,5 +150,5 @@
 	if (vers == job->spec.vers || job->rolling != 0 || job->ready_count > 0)
 		return;
 	job->rolling = index + 1;
-	job_stop_task(core, job, index);
+	job_task_stop(core, job, index);
 }
--- a/libgooseberry/process/shard.c
+++ b/libgooseberry/process/shard.c
@@ -10,14 +10,14 @@
 #include "core.h"
 
 /** Wait for each better-placed candidate before trying in its stead. */
-#define CANDIDATE_STEP GB_SEC
+#define CANDIDATE_DELAY GB_SEC
 #define DISPATCH_RETRY (200 * GB_MSEC)
-#define DIGEST_EVERY (100 * GB_MSEC)
+#define DIGEST_INTERVAL (100 * GB_MSEC)
 /** Time between two handovers for balance. */
-#define REBALANCE_EVERY GB_SEC
+#define REBALANCE_INTERVAL GB_SEC
 /** A handover for balance that takes longer is given up. */
-#define REBALANCE_MOST (2 * GB_SEC)
-#define HAND_RETRY (100 * GB_MSEC)
+#define REBALANCE_TIMEOUT (2 * GB_SEC)
+#define HANDOVER_RETRY (100 * GB_MSEC)
 
 uint32_t
 gb_shard_count(const struct gb_core_config *cfg)
@@ -104,11 +104,11 @@
 	{
 		job_free(core, job);
 	}
-	dispatch_forget(shard);
-	shard->holder = NULL;
+	dispatch_usage_reset(shard);
+	shard->reserved_gang = NULL;
 	shard->free_slots = 0;
 	shard->preempting = 0;
-	shard->hand_busy = false;
+	shard->handover_pending = false;
 	shard->reconciled = false;
 	shard->vacant_since = core->now;
 }
@@ -250,8 +250,8 @@
 	for (m = core->members; m != NULL; m = m->hh.next) {
 		if (!candidate_better(core, shard, m))
 			continue;
-		core->rebalance_at = core->now + REBALANCE_EVERY;
-		shard->handing_since = core->now;
+		core->rebalance_at = core->now + REBALANCE_INTERVAL;
+		shard->handover_since = core->now;
 		shard->state = SHARD_HANDING;
 		return;
 	}
@@ -276,7 +276,7 @@
 }
 
 static void
-shard_taken(struct gb_core *core, const struct store_op *op,
+shard_acquired(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
 	struct shard *shard = &core->shards[op->shard];
@@ -297,7 +297,7 @@
 	snprintf(shard->member, sizeof(shard->member), "%s", core->cfg.member);
 	shard->claim.vers = result->vers;
 	shard->claim.known_at = 0;
-	shard->claim_over = 0;
+	shard->prior_leases_end = 0;
 	shard->index = gb_index_new();
 	shard->state = SHARD_LOADING;
 	core->stats.takeovers++;
@@ -309,7 +309,7 @@
 }
 
 static void
-shard_take(struct gb_core *core, struct shard *shard)
+shard_acquire(struct gb_core *core, struct shard *shard)
 {
 	char key[GB_KEY_MAX + 1];
 	gb_body body;
@@ -326,11 +326,11 @@
 	store_txn_cond(&txn, key, shard->row_vers);
 	store_txn_put(&txn, key, body);
 	view_bind(core, &txn);
-	store_op_txn(core, &txn, shard_taken, shard->id, 0);
+	store_op_txn(core, &txn, shard_acquired, shard->id, 0);
 }
 
 static void
-shard_consider(struct gb_core *core, struct shard *shard)
+shard_try_acquire(struct gb_core *core, struct shard *shard)
 {
 	if (!shard->row_known || !core->joined || core->leaving ||
 	    !member_store_fresh(core))
@@ -340,23 +340,23 @@
 		return;
 	}
 	if (core->now - shard->vacant_since <
-	    (gb_time)candidates_before(core, shard) * CANDIDATE_STEP)
+	    (gb_time)candidates_before(core, shard) * CANDIDATE_DELAY)
 		return;
-	shard_take(core, shard);
+	shard_acquire(core, shard);
 }
 
 /* Handing a shard over */
 
 static void
-shard_handed(struct gb_core *core, const struct store_op *op,
+shard_handover_written(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
 	struct shard *shard = &core->shards[op->shard];
 
 	if (shard_serial_stale(core, op))
 		return;
-	shard->hand_busy = false;
-	shard->hand_at = core->now + HAND_RETRY;
+	shard->handover_pending = false;
+	shard->handover_retry_at = core->now + HANDOVER_RETRY;
 	if (result->status == GB_STORE_OK) {
 		shard->row_vers = result->vers;
 		shard->row.owner = 0;
@@ -370,14 +370,14 @@
 }
 
 static void
-shard_hand(struct gb_core *core, struct shard *shard)
+shard_handover_write(struct gb_core *core, struct shard *shard)
 {
 	char key[GB_KEY_MAX + 1];
 	gb_body body;
 	gb_txn txn;
 
-	if (shard->hand_busy || core->now < shard->hand_at ||
-	    shard->log.phase != LOG_IDLE || shard->log.next_count > 0 ||
+	if (shard->handover_pending || core->now < shard->handover_retry_at ||
+	    shard->log.phase != LOG_IDLE || shard->log.pending_count > 0 ||
 	    shard->waiting_count + shard->sent_count > 0)
 		return;
 	if (!shard_row_encode(shard->epoch, 0, "", &body))
@@ -387,8 +387,8 @@
 	store_txn_cond(&txn, key, shard->row_vers);
 	store_txn_put(&txn, key, body);
 	view_touch_head(&txn);
-	shard->hand_busy = true;
-	store_op_txn(core, &txn, shard_handed, shard->id, 0);
+	shard->handover_pending = true;
+	store_op_txn(core, &txn, shard_handover_written, shard->id, 0);
 }
 
 void
@@ -425,11 +425,11 @@
 
 /** Digest that peers and entries route by. */
 static void
-shard_digest(const struct gb_core *core, struct shard *shard)
+shard_digest_update(const struct gb_core *core, struct shard *shard)
 {
 	uint32_t i;
 
-	shard->digest_at = core->now + DIGEST_EVERY;
+	shard->digest_at = core->now + DIGEST_INTERVAL;
 	shard->free_slots = 0;
 	shard->usable = 0;
 	for (i = 0; i < shard->worker_count; i++) {
@@ -448,25 +448,27 @@
  * while its view is fresh, which ends once enough members know of the new
  * owner. */
 static void
-shard_claim_follow(struct gb_core *core, struct shard *shard)
+shard_prior_leases_update(struct gb_core *core, struct shard *shard)
 {
 	gb_time lease = core->cfg.lease_us;
 
-	if (shard->claim_over != 0 || !member_spread_known(core, &shard->claim))
+	if (shard->prior_leases_end != 0 ||
+	    !member_spread_known(core, &shard->claim))
 		return;
-	shard->claim_over = shard->claim.known_at + core->cfg.fresh_us + lease +
-			    lease / CLOCK_DRIFT_PART + core->cfg.margin_us;
-	worker_claim_over(core, shard);
+	shard->prior_leases_end = shard->claim.known_at + core->cfg.fresh_us +
+				  lease + lease / CLOCK_DRIFT_PART +
+				  core->cfg.margin_us;
+	worker_prior_leases_bound(core, shard);
 }
 
 void
 shard_tick(struct gb_core *core, struct shard *shard)
 {
 	if (shard->state == SHARD_ACTIVE || shard->state == SHARD_HANDING)
-		shard_claim_follow(core, shard);
+		shard_prior_leases_update(core, shard);
 	switch (shard->state) {
 	case SHARD_NONE:
-		shard_consider(core, shard);
+		shard_try_acquire(core, shard);
 		break;
 	case SHARD_ACQUIRING:
 		break;
@@ -477,11 +479,11 @@
 		log_tick(core, shard);
 		if (shard->state != SHARD_HANDING)
 			break;
-		if (!core->leaving && !shard->hand_busy &&
-		    core->now - shard->handing_since > REBALANCE_MOST)
+		if (!core->leaving && !shard->handover_pending &&
+		    core->now - shard->handover_since > REBALANCE_TIMEOUT)
 			shard->state = SHARD_ACTIVE;
 		else
-			shard_hand(core, shard);
+			shard_handover_write(core, shard);
 		break;
 	case SHARD_ACTIVE:
 		log_tick(core, shard);
@@ -491,7 +493,7 @@
 		job_tick(core, shard);
 		request_dispatch(core, shard);
 		if (core->now >= shard->digest_at)
-			shard_digest(core, shard);
+			shard_digest_update(core, shard);
 		if (core->now >= shard->dispatch_at)
 			shard->dirty = true;
 		shard_rebalance(core, shard);
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -13,10 +13,10 @@
 
 #include "core.h"
 
-#define BLAME_LIMIT 3
-#define PROBE_AFTER (30 * GB_SEC)
+#define QUARANTINE_FAILURES 3
+#define QUARANTINE_TIME (30 * GB_SEC)
 /** At most one worker in this many is set aside. */
-#define QUARANTINE_SHARE 5
+#define QUARANTINE_ONE_IN 5
 
 struct worker *
 worker_get(struct gb_core *core, uint32_t handle)
@@ -61,12 +61,12 @@
 		return;
 	if (!worker_usable(w)) {
 		if (w->indexed)
-			gb_index_remove(shard->index, w->place);
+			gb_index_remove(shard->index, w->position);
 		w->indexed = false;
 		return;
 	}
 	room = worker_free(w);
-	gb_index_set(shard->index, w->place, &room, &w->capacity);
+	gb_index_set(shard->index, w->position, &room, &w->capacity);
 	w->indexed = true;
 }
 
@@ -101,7 +101,7 @@
 }
 
 static void *
-list_grow(void *list, u_int count, u_int *size, size_t item)
+array_grow(void *list, u_int count, u_int *size, size_t item)
 {
 	if (count < *size)
 		return list;
@@ -113,10 +113,10 @@
 worker_start(struct worker *w, struct job *job, uint32_t index)
 {
 	struct task *task = &job->tasks[index];
-	gb_sync *out = &w->out;
+	gb_sync *out = &w->next_sync;
 	gb_start *start;
 
-	out->starts.starts_val = list_grow(out->starts.starts_val,
+	out->starts.starts_val = array_grow(out->starts.starts_val,
 	    out->starts.starts_len, &w->start_size, sizeof(gb_start));
 	start = &out->starts.starts_val[out->starts.starts_len++];
 	start->id.job = job->id;
@@ -134,9 +134,9 @@
 worker_stop(struct worker *w, const struct job *job, uint32_t index)
 {
 	gb_task_id id = {job->id, index, job->tasks[index].attempt};
-	gb_sync *out = &w->out;
+	gb_sync *out = &w->next_sync;
 
-	out->stops.stops_val = list_grow(out->stops.stops_val,
+	out->stops.stops_val = array_grow(out->stops.stops_val,
 	    out->stops.stops_len, &w->stop_size, sizeof(gb_task_id));
 	out->stops.stops_val[out->stops.stops_len++] = id;
 }
@@ -144,9 +144,9 @@
 static void
 worker_stop_id(struct worker *w, const gb_task_id *id)
 {
-	gb_sync *out = &w->out;
+	gb_sync *out = &w->next_sync;
 
-	out->stops.stops_val = list_grow(out->stops.stops_val,
+	out->stops.stops_val = array_grow(out->stops.stops_val,
 	    out->stops.stops_len, &w->stop_size, sizeof(gb_task_id));
 	out->stops.stops_val[out->stops.stops_len++] = *id;
 }
@@ -154,34 +154,35 @@
 void
 worker_ack(struct worker *w, const gb_task_id *id)
 {
-	gb_sync *out = &w->out;
+	gb_sync *out = &w->next_sync;
 
-	out->acks.acks_val = list_grow(out->acks.acks_val, out->acks.acks_len,
+	out->acks.acks_val = array_grow(out->acks.acks_val, out->acks.acks_len,
 	    &w->ack_size, sizeof(gb_task_id));
 	out->acks.acks_val[out->acks.acks_len++] = *id;
 }
 
 static void
-worker_out_clear(struct worker *w)
+worker_next_sync_clear(struct worker *w)
 {
-	xdr_free((xdrproc_t)xdr_gb_sync, (char *)&w->out);
-	memset(&w->out, 0, sizeof(w->out));
+	xdr_free((xdrproc_t)xdr_gb_sync, (char *)&w->next_sync);
+	memset(&w->next_sync, 0, sizeof(w->next_sync));
 	w->start_size = 0;
 	w->stop_size = 0;
 	w->ack_size = 0;
 }
 
 static bool
-worker_out_empty(const struct worker *w)
+worker_next_sync_empty(const struct worker *w)
 {
-	return w->out.starts.starts_len == 0 && w->out.stops.stops_len == 0 &&
-	       w->out.acks.acks_len == 0;
+	return w->next_sync.starts.starts_len == 0 &&
+	       w->next_sync.stops.stops_len == 0 &&
+	       w->next_sync.acks.acks_len == 0;
 }
 
 /** Everything attached can no longer run on this worker; it may have crashed
  * under what had been sent. */
 static void
-worker_tasks_over(
+worker_tasks_lost(
     struct gb_core *core, struct worker *w, uint64_t unsent, bool crashed)
 {
 	while (w->task_count > 0) {
@@ -208,35 +209,35 @@
 	w->evidence = evidence;
 	worker_index(core, w);
 	if (w->shard->state == SHARD_ACTIVE || w->shard->state == SHARD_HANDING)
-		job_settle(core, w->shard);
+		job_reconcile(core, w->shard);
 }
 
 /** The worker process that held the tasks has ended. */
 static void
-worker_over(
+worker_process_ended(
     struct gb_core *core, struct worker *w, uint64_t unsent, bool crashed)
 {
 	w->incarnation = 0;
 	w->foreign = (gb_res){0};
-	worker_out_clear(w);
+	worker_next_sync_clear(w);
 	request_worker_ended(core, w);
-	worker_tasks_over(core, w, unsent, crashed);
+	worker_tasks_lost(core, w, unsent, crashed);
 }
 
 /** Another process answers in its place. */
 static void
 worker_restarted(struct gb_core *core, struct worker *w, uint64_t unsent)
 {
-	worker_over(core, w, unsent, !w->draining);
+	worker_process_ended(core, w, unsent, !w->draining);
 }
 
 static void
-worker_gone(struct gb_core *core, struct worker *w)
+worker_removed(struct gb_core *core, struct worker *w)
 {
 	struct shard *shard = w->shard;
 	gb_record rec;
 
-	worker_over(core, w, w->seq + 1, false);
+	worker_process_ended(core, w, w->seq + 1, false);
 	worker_evidence(core, w, EVIDENCE_GONE);
 	if (!w->durable || shard->state != SHARD_ACTIVE)
 		return;
@@ -276,16 +277,17 @@
 		w->shard->workers = gb_realloc(w->shard->workers,
 		    w->shard->worker_size * sizeof(uint32_t));
 	}
-	w->place = w->shard->worker_count;
+	w->position = w->shard->worker_count;
 	w->shard->workers[w->shard->worker_count++] = w->handle;
 	return w;
 }
 
 /** First moment at which a lease that an earlier owner gave is over. */
 static gb_time
-worker_first_lapse(const struct shard *shard)
+worker_prior_lease_end(const struct shard *shard)
 {
-	return shard->claim_over == 0 ? INT64_MAX : shard->claim_over;
+	return shard->prior_leases_end == 0 ? INT64_MAX
+					    : shard->prior_leases_end;
 }
 
 /** End of a lease that is given or was given on a report of now. */
@@ -308,7 +310,7 @@
 		w = worker_new(core, in);
 		if (w == NULL)
 			return;
-		w->lapse_at = worker_first_lapse(w->shard);
+		w->lapse_at = worker_prior_lease_end(w->shard);
 		w->shard->reconciled = false;
 	}
 	if (w->evidence == EVIDENCE_GONE)
@@ -318,13 +320,14 @@
 	if (in->state == GB_INSTANCE_GONE &&
 	    (w->shard->state == SHARD_ACTIVE ||
 		w->shard->state == SHARD_HANDING))
-		worker_gone(core, w);
+		worker_removed(core, w);
 	else
 		worker_index(core, w);
 }
 
 void
-worker_durable(struct gb_core *core, struct shard *shard, const gb_instance *in)
+worker_addition_committed(
+    struct gb_core *core, struct shard *shard, const gb_instance *in)
 {
 	struct worker *w;
 
@@ -336,12 +339,12 @@
 	if (w->addr[0] == '\0')
 		snprintf(w->addr, sizeof(w->addr), "%s", in->addr);
 	w->durable = true;
-	w->adding = false;
+	w->add_pending = false;
 	worker_index(core, w);
 }
 
 void
-worker_gone_committed(
+worker_removal_committed(
     struct gb_core *core, struct shard *shard, const char *name)
 {
 	struct worker *w;
@@ -355,7 +358,7 @@
 }
 
 void
-worker_shard_taken(struct gb_core *core, struct shard *shard)
+worker_shard_loaded(struct gb_core *core, struct shard *shard)
 {
 	uint32_t i;
 
@@ -363,16 +366,16 @@
 	for (i = 0; i < shard->worker_count; i++) {
 		struct worker *w = core->workers[shard->workers[i]];
 
-		w->lapse_at = worker_first_lapse(shard);
+		w->lapse_at = worker_prior_lease_end(shard);
 		if (w->platform == GB_INSTANCE_GONE &&
 		    w->evidence != EVIDENCE_GONE)
-			worker_gone(core, w);
+			worker_removed(core, w);
 		worker_index(core, w);
 	}
 }
 
 void
-worker_claim_over(struct gb_core *core, struct shard *shard)
+worker_prior_leases_bound(struct gb_core *core, struct shard *shard)
 {
 	uint32_t i;
 
@@ -380,7 +383,7 @@
 		struct worker *w = core->workers[shard->workers[i]];
 
 		if (w->evidence == EVIDENCE_UNKNOWN)
-			w->lapse_at = shard->claim_over;
+			w->lapse_at = shard->prior_leases_end;
 	}
 }
 
@@ -393,7 +396,7 @@
 		struct worker *w = core->workers[shard->workers[i]];
 
 		if (w->indexed)
-			gb_index_remove(shard->index, w->place);
+			gb_index_remove(shard->index, w->position);
 		w->indexed = false;
 		w->task_count = 0;
 		w->requests = 0;
@@ -405,19 +408,19 @@
 		w->incarnation = 0;
 		w->anchor = 0;
 		w->durable = false;
-		w->adding = false;
+		w->add_pending = false;
 		w->quarantined = false;
 		w->failures = 0;
 		if (w->evidence != EVIDENCE_GONE)
 			w->evidence = EVIDENCE_UNKNOWN;
-		worker_out_clear(w);
+		worker_next_sync_clear(w);
 	}
 }
 
 /* Blame */
 
 static bool
-worker_may_sideline(struct gb_core *core, const struct worker *w)
+worker_may_quarantine(struct gb_core *core, const struct worker *w)
 {
 	uint32_t all = 0;
 	uint32_t quarantined = 0;
@@ -432,12 +435,13 @@
 		if (o->quarantined)
 			quarantined++;
 	}
-	return quarantined < all / QUARANTINE_SHARE ||
+	return quarantined < all / QUARANTINE_ONE_IN ||
 	       (quarantined == 0 && all > 1);
 }
 
 void
-worker_blame(struct gb_core *core, struct worker *w, uint64_t job, bool failed)
+worker_outcome_record(
+    struct gb_core *core, struct worker *w, uint64_t job, bool failed)
 {
 	if (!failed) {
 		w->failures = 0;
@@ -448,11 +452,11 @@
 		return;
 	w->failed_job = job;
 	w->failures++;
-	if (w->failures < BLAME_LIMIT || w->quarantined ||
-	    !worker_may_sideline(core, w))
+	if (w->failures < QUARANTINE_FAILURES || w->quarantined ||
+	    !worker_may_quarantine(core, w))
 		return;
 	w->quarantined = true;
-	w->probe_at = core->now + PROBE_AFTER;
+	w->probe_at = core->now + QUARANTINE_TIME;
 	core->stats.quarantined++;
 	gb_env_log(&core->cfg.env, GB_LOG_WARNING, "worker",
 	    "Set worker %s aside after %" PRIu32 " failures of unlike work.",
@@ -474,8 +478,8 @@
 
 		if (until > w->lapse_at)
 			w->lapse_at = until;
-		action->u.sync = w->out;
-		memset(&w->out, 0, sizeof(w->out));
+		action->u.sync = w->next_sync;
+		memset(&w->next_sync, 0, sizeof(w->next_sync));
 		w->start_size = 0;
 		w->stop_size = 0;
 		w->ack_size = 0;
@@ -499,14 +503,14 @@
 /** Take back the starts that have not been sent: the worker takes no new work
  * any more. */
 static void
-worker_withdraw(struct gb_core *core, struct worker *w)
+worker_starts_withdraw(struct gb_core *core, struct worker *w)
 {
 	u_int i;
 
-	for (i = 0; i < w->out.starts.starts_len; i++)
+	for (i = 0; i < w->next_sync.starts.starts_len; i++)
 		xdr_free((xdrproc_t)xdr_gb_start,
-		    (char *)&w->out.starts.starts_val[i]);
-	w->out.starts.starts_len = 0;
+		    (char *)&w->next_sync.starts.starts_val[i]);
+	w->next_sync.starts.starts_len = 0;
 	for (i = w->task_count; i > 0; i--) {
 		struct task_ref ref;
 		struct task *task;
@@ -525,8 +529,8 @@
 static void
 worker_sync(struct gb_core *core, struct worker *w)
 {
-	if (w->out.starts.starts_len > 0 && !worker_usable(w))
-		worker_withdraw(core, w);
+	if (w->next_sync.starts.starts_len > 0 && !worker_usable(w))
+		worker_starts_withdraw(core, w);
 	worker_sync_send(core, w);
 }
 
@@ -536,7 +540,7 @@
 {
 	gb_res foreign = {0};
 	int requests;
-	uint32_t stamp = ++w->reports;
+	uint32_t report = ++w->reports;
 	uint32_t i;
 	u_int n;
 
@@ -546,7 +550,7 @@
 		struct task *task = job_task_match(w, held, &job);
 
 		if (task != NULL) {
-			task->seen = stamp;
+			task->last_report = report;
 			job_task_report(core, job, held->id.index, w, held);
 		} else if (held->state == GB_HELD_RUNNING) {
 			gb_res_add(&foreign, &held->res);
@@ -567,18 +571,18 @@
 			continue;
 		ref = w->tasks[i - 1];
 		task = &ref.job->tasks[ref.index];
-		if (task->seen == stamp || task->state == TASK_COMMITTING ||
-		    task->seq > res->seq)
+		if (task->last_report == report ||
+		    task->state == TASK_COMMITTING || task->seq > res->seq)
 			continue;
 		job_task_lost(core, ref.job, ref.index,
 		    task->state == TASK_STARTING ||
-			(task->state == TASK_UNSURE &&
+			(task->state == TASK_UNCERTAIN &&
 			    task->incarnation == res->incarnation));
 	}
 }
 
 static void
-worker_add_durable(struct gb_core *core, struct worker *w)
+worker_addition_log(struct gb_core *core, struct worker *w)
 {
 	gb_record rec;
 	gb_instance in;
@@ -595,12 +599,13 @@
 	if (!gb_xdr_copy((xdrproc_t)xdr_gb_instance, &in,
 		&rec.gb_record_u.worker, sizeof(in)))
 		return;
-	w->adding = true;
+	w->add_pending = true;
 	log_append(core, w->shard, &rec, 0);
 }
 
 static void
-worker_refused(struct gb_core *core, struct worker *w, const gb_sync_res *res)
+worker_sync_rejected(
+    struct gb_core *core, struct worker *w, const gb_sync_res *res)
 {
 	if (res->epoch > w->shard->epoch) {
 		shard_lose(core, w->shard, "a worker knows a newer epoch");
@@ -626,7 +631,7 @@
 	if (res == NULL || w->evidence == EVIDENCE_GONE)
 		return;
 	if (res->refused || res->epoch != w->shard->epoch) {
-		worker_refused(core, w, res);
+		worker_sync_rejected(core, w, res);
 		return;
 	}
 	if (w->incarnation != 0 && w->incarnation != res->incarnation)
@@ -639,8 +644,8 @@
 	worker_report(core, w, res);
 	request_reported(core, w, res);
 	worker_evidence(core, w, EVIDENCE_FENCED);
-	if (!w->durable && !w->adding)
-		worker_add_durable(core, w);
+	if (!w->durable && !w->add_pending)
+		worker_addition_log(core, w);
 	worker_index(core, w);
 	w->shard->dirty = true;
 }
@@ -650,8 +655,8 @@
 {
 	gb_env_log(&core->cfg.env, GB_LOG_WARNING, "worker",
 	    "The lease of worker %s is over.", w->name);
-	worker_out_clear(w);
-	worker_tasks_over(core, w, w->seq + 1, false);
+	worker_next_sync_clear(w);
+	worker_tasks_lost(core, w, w->seq + 1, false);
 	worker_evidence(core, w, EVIDENCE_LAPSED);
 }
 
@@ -666,7 +671,7 @@
 		return;
 	if (w->quarantined && core->now >= w->probe_at) {
 		w->quarantined = false;
-		w->failures = BLAME_LIMIT - 1;
+		w->failures = QUARANTINE_FAILURES - 1;
 		w->failed_job = 0;
 		worker_index(core, w);
 		shard->dirty = true;
@@ -678,7 +683,7 @@
 	if (w->syncing || !gb_core_fresh(core, core->now))
 		return;
 	if (core->now - w->sent >= core->cfg.sync_us || w->sent == 0 ||
-	    (w->evidence == EVIDENCE_FENCED && !worker_out_empty(w)))
+	    (w->evidence == EVIDENCE_FENCED && !worker_next_sync_empty(w)))
 		worker_sync(core, w);
 }
 
@@ -689,7 +694,7 @@
 
 	HASH_CLEAR(hh, core->workers_by_name);
 	for (i = 0; i < core->worker_count; i++) {
-		worker_out_clear(core->workers[i]);
+		worker_next_sync_clear(core->workers[i]);
 		free(core->workers[i]->tasks);
 		free(core->workers[i]);
 	}
