--- a/libgooseberry/process/core.c
+++ b/libgooseberry/process/core.c
@@ -1,13 +1,14 @@
 /**
  * @file core.c
- * Life of a core, and the passing of time.
+ * Creation and release of a core, and its periodic work.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core.h"
 
-/** A frozen process waits this long for a new list of instances. */
+/** After a pause of the process, the list of instances counts as stale until a
+ * new one arrives, at most for this long. */
 #define LIST_STALE_TIMEOUT (5 * GB_SEC)
 
 bool
@@ -150,8 +151,9 @@
 	}
 }
 
-/** This process was frozen: it has heard of nobody, which says nothing of
- * them, and its list of instances is old. */
+/** Called when this process has been paused.  It received no messages, which
+ * does not mean that the members sent none, and its list of instances may be
+ * out of date. */
 static void
 core_resumed(struct gb_core *core)
 {
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -674,7 +674,8 @@
     struct worker *, const gb_held *);
 /** The worker process restarted after a task had been sent to it. */
 void job_task_crashed(struct gb_core *, struct job *, uint32_t index);
-/** A task no longer runs on its worker. */
+/** A task does not run on its worker any more; never_started: it certainly
+ * never did. */
 void job_task_lost(
     struct gb_core *, struct job *, uint32_t index, bool never_started);
 /** Decide the uncertain tasks of a shard once no worker can still run them. */
--- a/libgooseberry/process/job.c
+++ b/libgooseberry/process/job.c
@@ -1,10 +1,10 @@
 /**
  * @file job.c
- * Jobs and their tasks: what waits, what is placed, what workers report.
+ * State of jobs and their tasks: queue, placement, reports of workers.
  *
- * An idempotent task starts as soon as it is placed, and where it runs is
- * learned from the workers after a takeover.  A non-idempotent task starts
- * only after its start is in the log, so that it is never started twice.
+ * An idempotent task starts as soon as it is placed; after a takeover the
+ * reports of the workers show where it runs.  A non-idempotent task starts only
+ * after its start has been committed to the log, so that it never starts twice.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,7 +13,10 @@
 
 #define RETRY_BASE (200 * GB_MSEC)
 #define RETRY_MOST (60 * GB_SEC)
+/** A job is removed this long after its end. */
 #define ENDED_KEEP (3600 * GB_SEC)
+/** The epoch is in the high bits of an attempt's number, so that an owner never
+ * uses a number of an earlier owner. */
 #define ATTEMPT_EPOCH_SHIFT 12
 
 uint64_t
@@ -45,7 +48,7 @@
 	job->queued = false;
 }
 
-/** Latest moment at which a gang may start and still end in time. */
+/** Latest time at which a gang can start and still meet its deadline. */
 static int64_t
 job_latest_start(const struct job *job)
 {
@@ -54,6 +57,7 @@
 	return job->spec.deadline_us - job->spec.run_us;
 }
 
+/** Add a job to its team's queue, gangs in the order of their latest start. */
 static void
 job_enqueue(struct gb_core *core, struct job *job)
 {
@@ -79,6 +83,7 @@
 	TAILQ_INSERT_TAIL(queue, job, queue);
 }
 
+/** Keep a job out of the queue for a random, exponentially growing time. */
 static void
 job_back_off(struct gb_core *core, struct job *job, unsigned int failures)
 {
@@ -105,7 +110,7 @@
 	job_enqueue(core, job);
 }
 
-/* Life of a job */
+/* Creation and end of a job */
 
 struct job *
 job_new(struct gb_core *core, struct shard *shard, const gb_job_spec *spec)
@@ -183,7 +188,6 @@
 
 /* Tasks */
 
-/** Stop counting a task's resources against its worker and team. */
 void
 job_task_release(struct gb_core *core, struct job *job, uint32_t index)
 {
@@ -209,7 +213,8 @@
 	job->active++;
 }
 
-/** A gang whose part is lost starts anew as a whole, once all has stopped. */
+/** Stop all tasks of a gang that has lost one; when the last has stopped, the
+ * whole gang starts again. */
 static void
 gang_restart(struct gb_core *core, struct job *job)
 {
@@ -221,11 +226,12 @@
 		job_task_stop(core, job, i);
 }
 
+/** Queue a restarting gang again if none of its tasks may still run. */
 static void
 gang_requeue_if_stopped(struct gb_core *core, struct job *job)
 {
 	uint32_t i;
-	uint32_t still = 0;
+	uint32_t not_stopped = 0;
 
 	if (!job->restarting)
 		return;
@@ -234,9 +240,9 @@
 
 		if (state != TASK_PENDING && state != TASK_ENDED &&
 		    state != TASK_ENDING)
-			still++;
+			not_stopped++;
 	}
-	if (still > 0)
+	if (not_stopped > 0)
 		return;
 	job->restarting = false;
 	job_enqueue(core, job);
@@ -267,7 +273,6 @@
 	gang_requeue_if_stopped(core, job);
 }
 
-/** A task may start anew, or must end because nothing may run it again. */
 void
 job_task_retry_or_end(
     struct gb_core *core, struct job *job, uint32_t index, bool never_started)
@@ -316,12 +321,13 @@
     struct gb_core *core, struct job *job, uint32_t index, struct worker *w)
 {
 	struct task *task = &job->tasks[index];
-	uint32_t least =
+	uint32_t attempt_min =
 	    (uint32_t)(job->shard->epoch << ATTEMPT_EPOCH_SHIFT) + 1;
 	gb_record record;
 	gb_rec_task *rec;
 
-	task->attempt = task->attempt < least ? least : task->attempt + 1;
+	task->attempt =
+	    task->attempt < attempt_min ? attempt_min : task->attempt + 1;
 	task->since = core->now;
 	job_task_assign(core, job, index, w);
 	core->stats.starts++;
@@ -357,8 +363,8 @@
 	if (job == NULL || held->id.index >= job->spec.tasks)
 		return NULL;
 	task = &job->tasks[held->id.index];
-	/* An attempt that has stopped here says nothing of a later one that
-	 * may run elsewhere. */
+	/* That an attempt has stopped on this worker does not show that no
+	 * later attempt runs on another. */
 	if (task->state == TASK_UNCERTAIN && task->worker == GB_NONE &&
 	    (held->state == GB_HELD_RUNNING || held->state == GB_HELD_OK))
 		return task;
@@ -368,7 +374,7 @@
 	return task;
 }
 
-/** Count a failed attempt; true when it was the last. */
+/** Count a failed attempt.  Returns true if the task has ended. */
 static bool
 task_failed(struct gb_core *core, struct job *job, uint32_t index)
 {
@@ -384,8 +390,9 @@
 	return false;
 }
 
-/* A task that takes its worker down would be started for ever, and end what
- * else runs there each time: a restart counts as an attempt. */
+/* A restart of the worker counts as a failed attempt.  Otherwise a task that
+ * crashes its worker would be started forever, and would end the other tasks of
+ * a worker each time. */
 void
 job_task_crashed(struct gb_core *core, struct job *job, uint32_t index)
 {
@@ -401,6 +408,7 @@
 		job_task_retry_or_end(core, job, index, false);
 }
 
+/** Apply a worker's report that an attempt has ended. */
 static void
 task_reported_end(struct gb_core *core, struct job *job, uint32_t index,
     struct worker *w, const gb_held *held)
@@ -465,8 +473,11 @@
 		service_task_reported(core, job, index, held->vers);
 }
 
-/* Time */
+/* Periodic work */
 
+/** Log the removal of the job that ended first, if it has been kept long
+ * enough.  The job moves to the end of the list, so that its removal is not
+ * logged again while the record is in flight. */
 static void
 job_remove_old(struct gb_core *core, struct shard *shard)
 {
--- a/libgooseberry/process/job_record.c
+++ b/libgooseberry/process/job_record.c
@@ -1,6 +1,6 @@
 /**
  * @file job_record.c
- * What the records of a shard's log do to its jobs, when they are committed
+ * Applies the records of a shard's log to its jobs, when they are committed
  * and when they are read again after a takeover.
  */
 #include "core.h"
@@ -25,8 +25,8 @@
 	}
 }
 
-/** Cancelling costs each task that waits a record, and each that runs a
- * stop. */
+/** Cancel a job.  Each waiting task needs a record of its end, each running one
+ * a stop. */
 static void
 commit_cancel(
     struct gb_core *core, struct shard *shard, uint64_t id, bool recovering)
@@ -181,7 +181,8 @@
 	}
 }
 
-/** Whether no worker of the shard can still hold a task unseen. */
+/** Whether there is evidence on every worker of the shard, so that none can
+ * still run a task that it has not reported. */
 static bool
 shard_reconciled(struct gb_core *core, const struct shard *shard)
 {
--- a/libgooseberry/process/shard.c
+++ b/libgooseberry/process/shard.c
@@ -1,7 +1,7 @@
 /**
  * @file shard.c
- * Ownership of shards: a compare-and-set on the shard's row decides, and the
- * epoch in the row fences whoever owned it before.
+ * Ownership of shards.  A shard is acquired by a compare-and-set on its row,
+ * and the epoch in the row fences earlier owners.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -9,13 +9,15 @@
 
 #include "core.h"
 
-/** Wait for each better-placed candidate before trying in its stead. */
+/** A member waits this long for each live member that ranks before it, before
+ * it tries to acquire a vacant shard. */
 #define CANDIDATE_DELAY GB_SEC
+/** Time between two dispatch runs of a shard in which nothing has changed. */
 #define DISPATCH_RETRY (200 * GB_MSEC)
 #define DIGEST_INTERVAL (100 * GB_MSEC)
-/** Time between two handovers for balance. */
+/** Time between two handovers that balance the load of the members. */
 #define REBALANCE_INTERVAL GB_SEC
-/** A handover for balance that takes longer is given up. */
+/** A handover that balances load is given up after this time. */
 #define REBALANCE_TIMEOUT (2 * GB_SEC)
 #define HANDOVER_RETRY (100 * GB_MSEC)
 
@@ -84,7 +86,7 @@
 	return gb_xdr_encode((xdrproc_t)xdr_gb_shard_row, &row, out);
 }
 
-/** Drop all state of a shard that is no longer this member's. */
+/** Drop all state of a shard that this member no longer owns. */
 static void
 shard_drop(struct gb_core *core, struct shard *shard)
 {
@@ -171,8 +173,10 @@
 		shard_lose(core, shard, "a peer owns a newer epoch");
 }
 
-/* Taking a shard over */
+/* Acquiring a shard */
 
+/** Whether a shard may be acquired: its row names no owner, this member, or
+ * one that has terminated, restarted or been silent for suspect_us. */
 static bool
 shard_vacant(struct gb_core *core, struct shard *shard)
 {
@@ -194,8 +198,9 @@
 	return core->cfg.dcs.name[shard->id / core->cfg.shards_per_dc];
 }
 
+/** Number of shards that this member owns or acquires. */
 static uint32_t
-own_claims(const struct gb_core *core)
+owned_shard_count(const struct gb_core *core)
 {
 	uint32_t i;
 	uint32_t n = 0;
@@ -207,39 +212,41 @@
 	return n;
 }
 
-/** Order of candidates: same data centre, then fewest shards, then hash. */
+/** Rank of a member as the owner of a shard, lowest first: members in the
+ * shard's data centre, then fewest shards, then a hash of the name. */
 static uint64_t
 candidate_rank(const struct gb_core *core, const struct shard *shard,
     const char *name, const char *dc, uint32_t claims)
 {
-	uint64_t far = strcmp(dc, shard_dc(core, shard)) != 0;
+	uint64_t other_dc = strcmp(dc, shard_dc(core, shard)) != 0;
 	uint64_t hash = gb_hash(name, strlen(name)) ^
 			(0x9e3779b97f4a7c15ULL * (shard->id + 1));
 
-	return far << 63 | (uint64_t)(claims & 0xffff) << 40 | hash >> 24;
+	return other_dc << 63 | (uint64_t)(claims & 0xffff) << 40 | hash >> 24;
 }
 
-/** Whether a member would serve a shard better than this one does, so much
- * better that it is worth a handover: the shard's own data centre, or two
- * shards fewer. */
+/** Whether a handover of a shard to a member is worthwhile.  It is if only that
+ * member is in the shard's data centre and owns no more shards than this one,
+ * or if both are equally near and it owns at least two shards fewer. */
 static bool
 candidate_better(const struct gb_core *core, const struct shard *shard,
     const struct member *m)
 {
 	const char *dc = shard_dc(core, shard);
-	uint32_t own = own_claims(core);
-	bool near = strcmp(core->cfg.dc, dc) == 0;
-	bool other_near = strcmp(m->dc, dc) == 0;
+	uint32_t own = owned_shard_count(core);
+	bool in_dc = strcmp(core->cfg.dc, dc) == 0;
+	bool other_in_dc = strcmp(m->dc, dc) == 0;
 
 	if (!m->listed || !m->informed || !member_live(core, m) ||
 	    core->now - m->echoed > core->cfg.suspect_us)
 		return false;
-	if (other_near && !near)
+	if (other_in_dc && !in_dc)
 		return m->claim_count <= own;
-	return other_near == near && m->claim_count + 1 < own;
+	return other_in_dc == in_dc && m->claim_count + 1 < own;
 }
 
-/** Give a shard to a member that is better placed, one at a time. */
+/** Start to hand a shard over if another member is a better owner, one shard
+ * at a time. */
 static void
 shard_rebalance(struct gb_core *core, struct shard *shard)
 {
@@ -257,12 +264,12 @@
 	}
 }
 
-/** How many live members are better placed than this one. */
+/** Number of live members that rank before this one for a shard. */
 static uint32_t
-candidates_before(struct gb_core *core, const struct shard *shard)
+candidates_ranked_before(struct gb_core *core, const struct shard *shard)
 {
-	uint64_t own = candidate_rank(
-	    core, shard, core->cfg.member, core->cfg.dc, own_claims(core));
+	uint64_t own = candidate_rank(core, shard, core->cfg.member,
+	    core->cfg.dc, owned_shard_count(core));
 	struct member *m;
 	uint32_t before = 0;
 
@@ -284,8 +291,8 @@
 	if (shard_serial_stale(core, op))
 		return;
 	if (result->status != GB_STORE_OK) {
-		/* If the write took effect after all, the next look at the
-		 * rows shows a shard of ours that nobody serves. */
+		/* If the write took effect after all, the next poll finds this
+		 * member in the row, and the shard counts as vacant. */
 		shard->state = SHARD_NONE;
 		shard->row_known = false;
 		view_poll_now(core);
@@ -303,7 +310,7 @@
 	core->stats.takeovers++;
 	view_poll_now(core);
 	gb_env_log(&core->cfg.env, GB_LOG_INFO, "shard",
-	    "Took shard %" PRIu32 " with epoch %" PRIu64 ".", shard->id,
+	    "Acquired shard %" PRIu32 " with epoch %" PRIu64 ".", shard->id,
 	    shard->epoch);
 	recover_start(core, shard);
 }
@@ -340,12 +347,12 @@
 		return;
 	}
 	if (core->now - shard->vacant_since <
-	    (gb_time)candidates_before(core, shard) * CANDIDATE_DELAY)
+	    (gb_time)candidates_ranked_before(core, shard) * CANDIDATE_DELAY)
 		return;
 	shard_acquire(core, shard);
 }
 
-/* Handing a shard over */
+/* Handover of a shard */
 
 static void
 shard_handover_written(struct gb_core *core, const struct store_op *op,
@@ -423,7 +430,7 @@
 	core_action_add(core, GB_ACT_EXIT);
 }
 
-/** Digest that peers and entries route by. */
+/** Update the free capacity that is sent to peers and entries. */
 static void
 shard_digest_update(const struct gb_core *core, struct shard *shard)
 {
@@ -434,19 +441,19 @@
 	shard->usable = 0;
 	for (i = 0; i < shard->worker_count; i++) {
 		const struct worker *w = core->workers[shard->workers[i]];
-		gb_res room = worker_free(w);
+		gb_res free_res = worker_free(w);
 
 		if (!worker_usable(w))
 			continue;
 		shard->usable++;
-		if (room.slots > 0)
-			shard->free_slots += (uint32_t)room.slots;
+		if (free_res.slots > 0)
+			shard->free_slots += (uint32_t)free_res.slots;
 	}
 }
 
-/** Find out when no lease of an earlier owner can last any longer: it renews
- * while its view is fresh, which ends once enough members know of the new
- * owner. */
+/** Determine when all leases that earlier owners gave have expired.  An earlier
+ * owner renews leases while its view is fresh, that is at most fresh_us after
+ * enough members know of the acquisition. */
 static void
 shard_prior_leases_update(struct gb_core *core, struct shard *shard)
 {
