--- a/libgooseberry/process/dispatch.c
+++ b/libgooseberry/process/dispatch.c
@@ -1,20 +1,28 @@
 /**
  * @file dispatch.c
- * Which waiting task starts next, and where: bands in order, between teams
- * the least weighted dominant share, gangs by slack and all or none.
+ * Decides which waiting task starts next and on which worker.  Bands come in
+ * the order of their priority.  Within a band the team with the lowest weighted
+ * dominant share comes first; gangs come in the order of their latest start and
+ * start with all their tasks or none.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core.h"
 
+/** Most attempts to start a task or gang in one run; the next tick goes on. */
 #define DECISIONS_PER_RUN 4096
-/** Jobs behind a blocked one that are tried in its stead. */
-#define LOOK_BEHIND 8
+/** Jobs at the head of a team's queue of which one may start, so that jobs that
+ * cannot start do not block those behind them. */
+#define JOBS_TRIED_PER_TEAM 8
+/** Capacity is reserved for a gang that has waited this long. */
 #define GANG_RESERVE_AFTER (2 * GB_SEC)
-/** Batch work this short may still start while room is kept for a gang. */
-#define BACKFILL_MOST (2 * GB_SEC)
+/** Tasks with a run time up to this may still start while capacity is reserved
+ * for a gang. */
+#define BACKFILL_RUN_MAX (2 * GB_SEC)
+/** Usable workers that are compared for one preemption. */
 #define PREEMPT_SAMPLE 64
+/** A share of 1, as an integer. */
 #define SHARE_WHOLE 1000000
 
 /* Teams */
@@ -63,8 +71,9 @@
 	}
 }
 
+/** Share of a total that is used, in millionths. */
 static int64_t
-part(int used, int total)
+res_share(int used, int total)
 {
 	return total <= 0 ? 0 : (int64_t)used * SHARE_WHOLE / total;
 }
@@ -81,15 +90,16 @@
 		gb_res_add(&tq->used, res);
 	else
 		gb_res_sub(&tq->used, res);
-	share = part(tq->used.cpu, total->cpu);
-	if (part(tq->used.mem, total->mem) > share)
-		share = part(tq->used.mem, total->mem);
-	if (part(tq->used.accel, total->accel) > share)
-		share = part(tq->used.accel, total->accel);
+	share = res_share(tq->used.cpu, total->cpu);
+	if (res_share(tq->used.mem, total->mem) > share)
+		share = res_share(tq->used.mem, total->mem);
+	if (res_share(tq->used.accel, total->accel) > share)
+		share = res_share(tq->used.accel, total->accel);
 	tq->share = share / core->teams[team].weight;
 }
 
-/** A shard's part of a team's quota; the parts add up to the quota. */
+/** Part of a team's quota that applies in one shard; the parts of all shards
+ * add up to the quota. */
 static int
 quota_part(const struct gb_core *core, const struct shard *shard, int quota)
 {
@@ -118,17 +128,20 @@
 
 /* Placement of one task */
 
+/** What the filter of a placement search needs. */
 struct placement {
 	struct gb_core *core;
 	const struct job *job;
 };
 
+/** Whether a worker's pool and the spread of the job allow another task. */
 static bool
-place_allows(void *data, uint32_t at)
+placement_allows(void *data, uint32_t position)
 {
-	const struct placement *place = data;
-	const struct job *job = place->job;
-	const struct worker *w = worker_at(place->core, job->shard, at);
+	const struct placement *placement = data;
+	const struct job *job = placement->job;
+	const struct worker *w =
+	    worker_at(placement->core, job->shard, position);
 	uint32_t i;
 
 	if (job->spec.pool[0] != '\0' && strcmp(job->spec.pool, w->pool) != 0)
@@ -142,18 +155,20 @@
 	return true;
 }
 
+/** Number of the job's tasks that are placed in the worker's rack. */
 static uint32_t
-place_same_rack(void *data, uint32_t at)
+placement_same_rack(void *data, uint32_t position)
 {
-	const struct placement *place = data;
-	const struct job *job = place->job;
-	uint64_t rack = worker_at(place->core, job->shard, at)->rack_id;
+	const struct placement *placement = data;
+	const struct job *job = placement->job;
+	uint64_t rack =
+	    worker_at(placement->core, job->shard, position)->rack_id;
 	uint32_t n = 0;
 	uint32_t i;
 
 	for (i = 0; i < job->spec.tasks; i++) {
 		struct worker *w =
-		    worker_get(place->core, job->tasks[i].worker);
+		    worker_get(placement->core, job->tasks[i].worker);
 
 		if (w != NULL && w->rack_id == rack)
 			n++;
@@ -161,16 +176,17 @@
 	return n;
 }
 
+/** Best worker for one task of a job, or null. */
 static struct worker *
-place_find(struct gb_core *core, struct shard *shard, const struct job *job)
+placement_find(struct gb_core *core, struct shard *shard, const struct job *job)
 {
-	struct placement place = {core, job};
+	struct placement placement = {core, job};
 	bool spread = job->spec.spread != GB_SPREAD_NONE;
 	struct gb_filter filter = {
 	    job->spec.pool[0] == '\0' && job->spec.spread != GB_SPREAD_WORKER
 		? NULL
-		: place_allows,
-	    spread ? place_same_rack : NULL, &place};
+		: placement_allows,
+	    spread ? placement_same_rack : NULL, &placement};
 
 	return worker_at(core, shard,
 	    gb_index_find(shard->index, &job->spec.res,
@@ -186,9 +202,10 @@
 	return job->spec.dcs == 0 || (job->spec.dcs & (1u << dc)) != 0;
 }
 
-/** Start one task of a job; false when nothing may start now. */
+/** Start one task of a job.  Returns false, with the reason in the job, if none
+ * can start now. */
 static bool
-job_start_one(struct gb_core *core, struct shard *shard, struct job *job)
+job_task_start(struct gb_core *core, struct shard *shard, struct job *job)
 {
 	struct worker *w;
 
@@ -200,7 +217,7 @@
 		job->reason = WAIT_PLACEMENT;
 		return false;
 	}
-	w = place_find(core, shard, job);
+	w = placement_find(core, shard, job);
 	if (w == NULL) {
 		job->reason = WAIT_CAPACITY;
 		return false;
@@ -212,7 +229,8 @@
 
 /* Gangs */
 
-/** Start all waiting tasks of a gang, or none. */
+/** Start all waiting tasks of a gang, or none.  Workers are first chosen with
+ * the earlier choices counted, then all choices are undone before the start. */
 static bool
 gang_start(struct gb_core *core, struct shard *shard, struct job *job)
 {
@@ -234,7 +252,7 @@
 	for (n = 0; n < count; n++) {
 		uint32_t index = job->ready[n];
 
-		chosen[n] = place_find(core, shard, job);
+		chosen[n] = placement_find(core, shard, job);
 		if (chosen[n] == NULL)
 			break;
 		job->tasks[index].worker = chosen[n]->handle;
@@ -257,7 +275,7 @@
 	return n == count;
 }
 
-/** A gang that has waited long has room kept for it. */
+/** Reserve capacity for a gang that has waited long. */
 static void
 gang_reserve(struct gb_core *core, struct shard *shard, struct job *job)
 {
@@ -266,18 +284,21 @@
 		shard->reserved_gang = job;
 }
 
+/** Whether a job must wait because capacity is reserved for another gang. */
 static bool
 gang_reservation_blocks(const struct shard *shard, const struct job *job)
 {
 	return shard->reserved_gang != NULL && shard->reserved_gang != job &&
 	       job->spec.band >= GB_BAND_GANG &&
-	       (job->spec.run_us <= 0 || job->spec.run_us > BACKFILL_MOST);
+	       (job->spec.run_us <= 0 || job->spec.run_us > BACKFILL_RUN_MAX);
 }
 
 /* Preemption */
 
+/** Whether a task may be stopped for a more urgent job: it is idempotent batch
+ * work and belongs to no gang. */
 static bool
-victim_fits(
+preempt_allowed(
     const struct job *victim, const struct task *task, const struct job *job)
 {
 	return victim->spec.idempotent && !victim->spec.gang &&
@@ -286,33 +307,36 @@
 	       task->state == TASK_RUNNING;
 }
 
-/** How many tasks of a worker would have to stop; 0 when it can't help. */
+/** Number of tasks of a worker to stop so that a task of the job fits; 0 if
+ * that is not possible. */
 static uint32_t
-victims_needed(const struct worker *w, const struct job *job)
+preempt_count(const struct worker *w, const struct job *job)
 {
-	gb_res room = worker_free(w);
+	gb_res free_res = worker_free(w);
 	uint32_t n = 0;
 	uint32_t i;
 
 	for (i = 0; i < w->task_count; i++) {
 		const struct task_ref *ref = &w->tasks[i];
 
-		if (!victim_fits(ref->job, &ref->job->tasks[ref->index], job))
+		if (!preempt_allowed(
+			ref->job, &ref->job->tasks[ref->index], job))
 			continue;
-		gb_res_add(&room, &ref->job->spec.res);
+		gb_res_add(&free_res, &ref->job->spec.res);
 		n++;
-		if (gb_res_fits(&job->spec.res, &room))
+		if (gb_res_fits(&job->spec.res, &free_res))
 			return n;
 	}
 	return 0;
 }
 
-/** Stop the fewest batch tasks that let an urgent one start. */
+/** Stop batch tasks so that a task of a more urgent job can start, on the
+ * worker of a sample where the fewest have to stop. */
 static void
 job_preempt(struct gb_core *core, struct shard *shard, const struct job *job)
 {
 	struct worker *best = NULL;
-	uint32_t least = UINT32_MAX;
+	uint32_t fewest = UINT32_MAX;
 	uint32_t tried = 0;
 	uint32_t at;
 	uint32_t i;
@@ -331,26 +355,28 @@
 			strcmp(job->spec.pool, w->pool) != 0))
 			continue;
 		tried++;
-		n = victims_needed(w, job);
-		if (n > 0 && n < least) {
-			least = n;
+		n = preempt_count(w, job);
+		if (n > 0 && n < fewest) {
+			fewest = n;
 			best = w;
 		}
 	}
-	for (i = 0; best != NULL && i < best->task_count && least > 0; i++) {
+	for (i = 0; best != NULL && i < best->task_count && fewest > 0; i++) {
 		struct task_ref ref = best->tasks[i];
 
-		if (!victim_fits(ref.job, &ref.job->tasks[ref.index], job))
+		if (!preempt_allowed(ref.job, &ref.job->tasks[ref.index], job))
 			continue;
 		job_task_stop(core, ref.job, ref.index);
 		shard->preempting++;
 		core->stats.preempted++;
-		least--;
+		fewest--;
 	}
 }
 
 /* Order */
 
+/** Start a task of a job, or a gang.  If it cannot start, try to lend its
+ * tasks, to reserve capacity or to preempt. */
 static bool
 job_start(struct gb_core *core, struct shard *shard, struct job *job)
 {
@@ -361,7 +387,7 @@
 		return false;
 	}
 	started = job->spec.gang ? gang_start(core, shard, job)
-				 : job_start_one(core, shard, job);
+				 : job_task_start(core, shard, job);
 	if (!started)
 		loan_try(core, shard, job);
 	if (job->ready_count == 0) {
@@ -378,7 +404,7 @@
 	return started;
 }
 
-/** Try a team's first jobs of a band. */
+/** Start one of a team's first jobs in a band. */
 static bool
 team_start(struct gb_core *core, struct shard *shard, struct team_queue *tq,
     unsigned int band)
@@ -388,7 +414,7 @@
 	unsigned int tried = 0;
 
 	for (job = TAILQ_FIRST(&tq->jobs[band]);
-	     job != NULL && tried < LOOK_BEHIND; job = next) {
+	     job != NULL && tried < JOBS_TRIED_PER_TEAM; job = next) {
 		next = TAILQ_NEXT(job, queue);
 		if (job_start(core, shard, job))
 			return true;
@@ -397,7 +423,7 @@
 	return false;
 }
 
-/** Whether one team's turn in a band comes before another's. */
+/** Whether team a comes before team b in a band. */
 static bool
 team_before(
     const struct team_queue *a, const struct team_queue *b, unsigned int band)
@@ -413,6 +439,7 @@
 	return a->share < b->share;
 }
 
+/** Team whose turn it is in a band, without those that are blocked; or null. */
 static struct team_queue *
 team_next(struct shard *shard, unsigned int band, const bool *blocked)
 {
@@ -430,6 +457,7 @@
 	return best;
 }
 
+/** Start tasks of a band until no team can start one or the budget is spent. */
 static void
 band_run(struct gb_core *core, struct shard *shard, unsigned int band,
     unsigned int *budget)
--- a/libgooseberry/process/job_command.c
+++ b/libgooseberry/process/job_command.c
@@ -1,6 +1,7 @@
 /**
  * @file job_command.c
- * Commands about jobs: submit, cancel, show, and why a job waits.
+ * Commands on jobs: submit, cancel, list and show, with the reason for which a
+ * job waits.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -10,10 +11,13 @@
 
 #include "core.h"
 
+/** Most tasks of a job. */
 #define TASKS_MAX 100000
+/** Longest deadline of a command that waits for its record. */
 #define COMMAND_LIMIT (30 * GB_SEC)
 #define STORE_RETRY_MS 1000
 
+/** Remember a command until its record is committed. */
 static struct command_wait *
 command_wait_add(struct gb_core *core, uint64_t id, const gb_command *cmd,
     struct shard *shard)
@@ -75,29 +79,30 @@
 	}
 }
 
-/** Read the body of a submission over the document's values. */
+/** Read the body of a submission; a run time of -1 stands for the one that the
+ * document declares. */
 static bool
 submit_body(const gb_command *cmd, gb_job_spec *spec, char **service,
     gb_time wall, struct gb_error *err)
 {
-	json_error_t fault;
+	json_error_t json_err;
 	json_t *root = json_loadb(cmd->body.gb_body_val, cmd->body.gb_body_len,
-	    JSON_REJECT_DUPLICATES, &fault);
+	    JSON_REJECT_DUPLICATES, &json_err);
 	json_int_t tasks = 1;
 	json_int_t run_ms = -1;
 	json_int_t deadline_ms = 0;
 	const char *name = NULL;
 
 	if (root == NULL) {
-		gb_error_set(err, GB_E_INVALID, "%d:%d: %s", fault.line,
-		    fault.column, fault.text);
+		gb_error_set(err, GB_E_INVALID, "%d:%d: %s", json_err.line,
+		    json_err.column, json_err.text);
 		return false;
 	}
-	if (json_unpack_ex(root, &fault, JSON_STRICT, "{s:s, s?:I, s?:I, s?:I}",
-		"service", &name, "tasks", &tasks, "run_ms", &run_ms,
-		"deadline_ms", &deadline_ms) != 0) {
-		gb_error_set(err, GB_E_INVALID, "%d:%d: %s", fault.line,
-		    fault.column, fault.text);
+	if (json_unpack_ex(root, &json_err, JSON_STRICT,
+		"{s:s, s?:I, s?:I, s?:I}", "service", &name, "tasks", &tasks,
+		"run_ms", &run_ms, "deadline_ms", &deadline_ms) != 0) {
+		gb_error_set(err, GB_E_INVALID, "%d:%d: %s", json_err.line,
+		    json_err.column, json_err.text);
 	} else if (!name_valid(name)) {
 		gb_error_set(err, GB_E_INVALID, "1:1: service: not a name");
 	} else if (tasks < 1 || tasks > TASKS_MAX) {
@@ -118,9 +123,10 @@
 	return err->code == GB_E_NONE;
 }
 
-/** Why a job could never run, or null. */
+/** Reason for which a job could never run, or null. */
 static const char *
-submit_never(struct gb_core *core, struct shard *shard, const gb_job_spec *spec)
+submit_unplaceable(
+    struct gb_core *core, struct shard *shard, const gb_job_spec *spec)
 {
 	uint32_t i;
 
@@ -139,6 +145,7 @@
 	return "no worker of the cell could ever hold one of its tasks";
 }
 
+/** Fill in the rest of a submitted job from the document of its service. */
 static bool
 submit_spec(struct gb_core *core, const gb_command *cmd, gb_job_spec *spec,
     const char *service, struct gb_error *err)
@@ -175,6 +182,7 @@
 	return true;
 }
 
+/** Name of a job's state, or of its outcome once it has ended. */
 static const char *
 outcome_name(const struct job *job)
 {
@@ -258,7 +266,8 @@
 		job_answer(core, answer, job);
 }
 
-/** A repeat of a submission gets the job that is there already. */
+/** Answer a submission whose name is in use: with the job if this repeats its
+ * submission, with a conflict otherwise. */
 static bool
 submit_repeat(struct gb_core *core, uint64_t id, const struct job *job,
     const gb_job_spec *spec)
@@ -283,7 +292,7 @@
 	gb_record record;
 	gb_job_spec *spec = &record.gb_record_u.job;
 	char *service = NULL;
-	const char *never;
+	const char *unplaceable;
 	struct job *job;
 
 	memset(&record, 0, sizeof(record));
@@ -303,11 +312,11 @@
 	}
 	free(service);
 	job = job_find(shard, spec->id);
-	never = submit_never(core, shard, spec);
+	unplaceable = submit_unplaceable(core, shard, spec);
 	if (job != NULL && submit_repeat(core, id, job, spec)) {
 		xdr_free((xdrproc_t)xdr_gb_record, (char *)&record);
-	} else if (never != NULL) {
-		core_answer(core, id, GB_NOT_RUN, 422, 0, never);
+	} else if (unplaceable != NULL) {
+		core_answer(core, id, GB_NOT_RUN, 422, 0, unplaceable);
 		xdr_free((xdrproc_t)xdr_gb_record, (char *)&record);
 	} else {
 		command_wait_add(core, id, cmd, shard);
@@ -371,7 +380,7 @@
 	}
 	if ((cmd->verb == GB_VERB_SUBMIT || cmd->verb == GB_VERB_CANCEL) &&
 	    !member_store_fresh(core)) {
-		/* It could not be logged soon: say so at once. */
+		/* Its record could not be written soon, so refuse at once. */
 		core_answer(core, id, GB_NOT_RUN, 503, STORE_RETRY_MS,
 		    "the table service is unavailable");
 		return;
