--- a/libgooseberry/process/loan.c
+++ b/libgooseberry/process/loan.c
@@ -1,31 +1,36 @@
 /**
  * @file loan.c
- * Work that crosses shards.  A job's home shard lends tasks that find no room
- * to a shard that has some.  Both sides log what they agree before they tell
- * each other: the home logs the loan before the offer, the other shard logs a
- * child job before it answers, logs its end before the result, and the home
- * logs that before it settles.  Every message follows from a committed record,
- * so it does no harm if it comes late, twice, or from an owner that has been
- * fenced; whatever is not answered is sent again.
+ * Loans of tasks between shards.  The home shard of a job lends tasks that find
+ * no worker there to a shard with free capacity, which runs them as a child
+ * job.
+ *
+ * Each side commits a step to its log before it sends the message for it: the
+ * home logs the loan before it sends the offer, the other shard logs the child
+ * job before it accepts and the job's end before it sends the result, and the
+ * home logs the result before it acknowledges it.  Every message follows from a
+ * committed record, so it is harmless if it arrives late, twice, or from an
+ * owner that has been fenced.  A message without an answer is sent again.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core.h"
 
-/** A job waits this long for its home shard before its tasks are lent. */
+/** A job without free capacity waits this long in its home shard before its
+ * tasks are lent. */
 #define LEND_AFTER (300 * GB_MSEC)
-/** A child that has not started by then is given back. */
+/** A child job of which no task has started after this time is given back. */
 #define CHILD_RETURN_AFTER (3 * GB_SEC)
-/** Tasks that came back are not lent again before. */
+/** A job's tasks are not lent again within this time after a loan or return. */
 #define LEND_RETRY (2 * GB_SEC)
+/** A message about a loan is repeated at this interval until it is answered. */
 #define LEND_RESEND_INTERVAL (500 * GB_MSEC)
-/** An offer this old may be of a loan that is settled and forgotten. */
+/** Older offers are ignored: the loan may have ended and been removed since. */
 #define OFFER_AGE_MAX (600 * GB_SEC)
 
 /* Messages */
 
-/** Address of the live owner of a shard, or null. */
+/** Address of the owner of a shard, or null if none is known. */
 static const char *
 shard_owner_addr(struct gb_core *core, uint32_t shard)
 {
@@ -48,6 +53,8 @@
 	return addr;
 }
 
+/** Send a message about a loan to the owner of a shard.  Returns the message,
+ * to be filled in further, or null if the shard has no known owner. */
 static gb_lend *
 lend_send(struct gb_core *core, gb_lend_kind kind, uint32_t from, uint32_t to,
     uint64_t parent, uint64_t child)
@@ -108,6 +115,7 @@
 	return NULL;
 }
 
+/** Whether tasks of a job may be lent to a shard. */
 static bool
 borrower_allowed(
     const struct gb_core *core, const struct job *job, uint32_t shard)
@@ -118,7 +126,7 @@
 	       (job->spec.dcs == 0 || (job->spec.dcs & (1u << dc)) != 0);
 }
 
-/** What is known of the best shard to lend to. */
+/** Shard that may borrow tasks, with its free slots. */
 struct borrower {
 	uint32_t shard;
 	uint32_t slots;
@@ -134,6 +142,7 @@
 	}
 }
 
+/** Allowed shard with the most free slots; 0 slots if there is none. */
 static struct borrower
 borrower_find(struct gb_core *core, const struct job *job)
 {
@@ -229,7 +238,7 @@
 	shard->loan_count++;
 }
 
-/** Whether nothing of a loan is out any more. */
+/** Whether no task of a loan is lent any more. */
 static bool
 loan_finished(const struct job *job, const struct loan *loan)
 {
@@ -249,7 +258,7 @@
 	struct loan *next;
 
 	(void)core;
-	/* Not lent from now on; the caller gives it its last state. */
+	/* It is no longer lent; the caller sets its final state. */
 	job->tasks[index].state = TASK_ENDING;
 	job->lent--;
 	for (loan = TAILQ_FIRST(&job->loans); loan != NULL; loan = next) {
@@ -286,6 +295,7 @@
 	job->lend_not_before = core->now + LEND_RETRY;
 }
 
+/** Send the offer of a loan until it is accepted, or its cancellation. */
 static void
 loan_send(struct gb_core *core, struct job *job, struct loan *loan)
 {
@@ -308,7 +318,8 @@
 	    (xdrproc_t)xdr_gb_job_spec, &spec, &lend->spec, sizeof(spec));
 }
 
-/** The other shard's tasks have ended, or it gives them back. */
+/** Log the result of a loan: the outcomes of its tasks, or that the other shard
+ * gives them back. */
 static void
 loan_result(struct gb_core *core, struct shard *shard, const gb_lend *lend)
 {
@@ -318,7 +329,7 @@
 	u_int i;
 
 	if (loan == NULL) {
-		/* It was logged before, or the job is long forgotten. */
+		/* The result has been logged, or the job has been removed. */
 		lend_send(core, GB_LEND_SETTLED, shard->id, lend->from,
 		    lend->parent, lend->child);
 		return;
@@ -342,12 +353,14 @@
 			continue;
 		job_task_end(core, job, loan->tasks[i],
 		    (enum gb_outcome)lend->outcomes.outcomes_val[i]);
+		/* It stays lent until the record of its end is committed. */
 		task->state = TASK_LENT;
 	}
 }
 
-/* The other shard */
+/* Shard that borrows */
 
+/** Accept an offered loan, or confirm one that was accepted before. */
 static void
 child_offered(struct gb_core *core, struct shard *shard, const gb_lend *lend)
 {
@@ -383,6 +396,7 @@
 	log_append(core, shard, &record, 0);
 }
 
+/** Send the outcomes of an ended child job to its home shard. */
 static void
 child_result_send(struct gb_core *core, struct job *job)
 {
@@ -401,7 +415,8 @@
 		lend->outcomes.outcomes_val[i] = job->tasks[i].outcome;
 }
 
-/** Give back a child of which nothing has started. */
+/** End a child job of which no task has started, so that its tasks go back to
+ * the home shard. */
 static void
 child_return(struct gb_core *core, struct job *job)
 {
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -1,11 +1,12 @@
 /**
  * @file worker.c
- * Workers of a shard: syncs under a lease, what a worker reports, and the
- * evidence on what it can still be running.
+ * Workers of a shard: syncs that renew their leases, their reports, and the
+ * evidence on which tasks they can still run.
  *
- * A worker's lease ends at anchor + lease on the worker's own clock, where the
- * anchor is a reading that the worker itself sent.  A message that comes late
- * can therefore never make a lease longer than its sender reckons.
+ * A worker's lease ends at anchor + lease_us on the worker's own clock, where
+ * the anchor is a reading of that clock in an earlier report.  A sync that
+ * arrives late can therefore never extend a lease beyond the end that its
+ * sender calculates.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -13,9 +14,13 @@
 
 #include "core.h"
 
+/** A worker is quarantined after consecutive failures of so many jobs. */
 #define QUARANTINE_FAILURES 3
+/** After this time a quarantined worker gets work again; one more failure
+ * quarantines it again. */
 #define QUARANTINE_TIME (30 * GB_SEC)
-/** At most one worker in this many is set aside. */
+/** At most one worker in this many of a shard is quarantined; in a shard with
+ * at least two workers one always may be. */
 #define QUARANTINE_ONE_IN 5
 
 struct worker *
@@ -54,7 +59,7 @@
 worker_index(struct gb_core *core, struct worker *w)
 {
 	struct shard *shard = w->shard;
-	gb_res room;
+	gb_res free_res;
 
 	(void)core;
 	if (shard->state != SHARD_ACTIVE && shard->state != SHARD_HANDING)
@@ -65,12 +70,12 @@
 		w->indexed = false;
 		return;
 	}
-	room = worker_free(w);
-	gb_index_set(shard->index, w->position, &room, &w->capacity);
+	free_res = worker_free(w);
+	gb_index_set(shard->index, w->position, &free_res, &w->capacity);
 	w->indexed = true;
 }
 
-/* What a worker holds */
+/* Tasks of a worker */
 
 void
 worker_attach(struct worker *w, struct job *job, uint32_t index)
@@ -100,6 +105,7 @@
 	}
 }
 
+/** Make room for one more item in an array. */
 static void *
 array_grow(void *list, u_int count, u_int *size, size_t item)
 {
@@ -179,8 +185,9 @@
 	       w->next_sync.acks.acks_len == 0;
 }
 
-/** Everything attached can no longer run on this worker; it may have crashed
- * under what had been sent. */
+/** None of the tasks attached to a worker run there any more.  Starts from the
+ * sync number unsent on were not sent.  With crashed, the tasks that were sent
+ * may have crashed the worker. */
 static void
 worker_tasks_lost(
     struct gb_core *core, struct worker *w, uint64_t unsent, bool crashed)
@@ -188,19 +195,20 @@
 	while (w->task_count > 0) {
 		struct task_ref ref = w->tasks[w->task_count - 1];
 		struct task *task = &ref.job->tasks[ref.index];
-		bool never =
+		bool never_started =
 		    task->state == TASK_COMMITTING ||
 		    (task->state == TASK_STARTING && task->seq >= unsent);
 
-		if (crashed && !never)
+		if (crashed && !never_started)
 			job_task_crashed(core, ref.job, ref.index);
 		else
-			job_task_lost(core, ref.job, ref.index, never);
+			job_task_lost(core, ref.job, ref.index, never_started);
 	}
 }
 
 /* Evidence */
 
+/** Set the evidence on a worker, and check whether the shard is reconciled. */
 static void
 worker_evidence(struct gb_core *core, struct worker *w, enum evidence evidence)
 {
@@ -212,7 +220,7 @@
 		job_reconcile(core, w->shard);
 }
 
-/** The worker process that held the tasks has ended. */
+/** The worker process that ran the tasks and requests has ended. */
 static void
 worker_process_ended(
     struct gb_core *core, struct worker *w, uint64_t unsent, bool crashed)
@@ -224,13 +232,15 @@
 	worker_tasks_lost(core, w, unsent, crashed);
 }
 
-/** Another process answers in its place. */
+/** Another incarnation of the worker has answered.  A drained worker may have
+ * been restarted by its operator, so that is not counted as a crash. */
 static void
 worker_restarted(struct gb_core *core, struct worker *w, uint64_t unsent)
 {
 	worker_process_ended(core, w, unsent, !w->draining);
 }
 
+/** The worker's instance has terminated. */
 static void
 worker_removed(struct gb_core *core, struct worker *w)
 {
@@ -247,6 +257,7 @@
 	log_append(core, shard, &rec, 0);
 }
 
+/** Add a worker to its shard; null if its data centre or name is invalid. */
 static struct worker *
 worker_new(struct gb_core *core, const gb_instance *in)
 {
@@ -282,7 +293,7 @@
 	return w;
 }
 
-/** First moment at which a lease that an earlier owner gave is over. */
+/** Time at which every lease that an earlier owner gave has expired. */
 static gb_time
 worker_prior_lease_end(const struct shard *shard)
 {
@@ -290,7 +301,8 @@
 					    : shard->prior_leases_end;
 }
 
-/** End of a lease that is given or was given on a report of now. */
+/** Latest end, on this process's clock, of a lease whose anchor is the worker's
+ * clock in a report that arrived now or earlier. */
 static gb_time
 worker_lease_end(const struct gb_core *core, gb_time now)
 {
@@ -417,12 +429,12 @@
 	}
 }
 
-/* Blame */
+/* Quarantine */
 
 static bool
 worker_may_quarantine(struct gb_core *core, const struct worker *w)
 {
-	uint32_t all = 0;
+	uint32_t present = 0;
 	uint32_t quarantined = 0;
 	uint32_t i;
 
@@ -431,12 +443,12 @@
 
 		if (o->evidence == EVIDENCE_GONE)
 			continue;
-		all++;
+		present++;
 		if (o->quarantined)
 			quarantined++;
 	}
-	return quarantined < all / QUARANTINE_ONE_IN ||
-	       (quarantined == 0 && all > 1);
+	return quarantined < present / QUARANTINE_ONE_IN ||
+	       (quarantined == 0 && present > 1);
 }
 
 void
@@ -459,21 +471,23 @@
 	w->probe_at = core->now + QUARANTINE_TIME;
 	core->stats.quarantined++;
 	gb_env_log(&core->cfg.env, GB_LOG_WARNING, "worker",
-	    "Set worker %s aside after %" PRIu32 " failures of unlike work.",
+	    "Quarantined worker %s after %" PRIu32 " failures of unlike work.",
 	    w->name, w->failures);
 	worker_index(core, w);
 }
 
 /* Syncs */
 
+/** Send a sync.  A sync to a worker that has not reported yet has neither
+ * anchor nor lease: it only fences earlier owners and asks for a report. */
 static void
 worker_sync_send(struct gb_core *core, struct worker *w)
 {
 	struct gb_action *action = core_action_add(core, GB_ACT_SYNC);
-	bool known = w->evidence == EVIDENCE_FENCED && w->anchor != 0;
+	bool reported = w->evidence == EVIDENCE_FENCED && w->anchor != 0;
 	gb_sync *sync;
 
-	if (known) {
+	if (reported) {
 		gb_time until = worker_lease_end(core, w->anchor_local);
 
 		if (until > w->lapse_at)
@@ -489,9 +503,9 @@
 	sync->owner = core->cfg.incarnation;
 	sync->epoch = w->shard->epoch;
 	sync->seq = ++w->seq;
-	sync->incarnation = known ? w->incarnation : 0;
-	sync->anchor = known ? w->anchor : 0;
-	sync->lease_us = known ? core->cfg.lease_us : 0;
+	sync->incarnation = reported ? w->incarnation : 0;
+	sync->anchor = reported ? w->anchor : 0;
+	sync->lease_us = reported ? core->cfg.lease_us : 0;
 	action->worker = w->handle;
 	action->id = w->seq;
 	snprintf(action->addr, sizeof(action->addr), "%s", w->addr);
@@ -500,8 +514,8 @@
 	core->stats.syncs++;
 }
 
-/** Take back the starts that have not been sent: the worker takes no new work
- * any more. */
+/** Drop the starts that have not been sent, because the worker may not get new
+ * work any more, and queue their tasks again. */
 static void
 worker_starts_withdraw(struct gb_core *core, struct worker *w)
 {
@@ -534,7 +548,9 @@
 	worker_sync_send(core, w);
 }
 
-/** Compare what a worker lists with what it was given. */
+/** Compare the tasks that a report lists with those attached to the worker.
+ * Listed tasks that are not attached are stopped or acknowledged; attached
+ * tasks that should be listed and are not are lost. */
 static void
 worker_report(struct gb_core *core, struct worker *w, const gb_sync_res *res)
 {
@@ -574,6 +590,8 @@
 		if (task->last_report == report ||
 		    task->state == TASK_COMMITTING || task->seq > res->seq)
 			continue;
+		/* A worker lists every task that it started until its end is
+		 * acknowledged. */
 		job_task_lost(core, ref.job, ref.index,
 		    task->state == TASK_STARTING ||
 			(task->state == TASK_UNCERTAIN &&
@@ -581,6 +599,7 @@
 	}
 }
 
+/** Log the name of a worker, which gets work once the record is committed. */
 static void
 worker_addition_log(struct gb_core *core, struct worker *w)
 {
@@ -603,6 +622,7 @@
 	log_append(core, w->shard, &rec, 0);
 }
 
+/** The worker rejected a sync: it knows a newer owner, or it restarted. */
 static void
 worker_sync_rejected(
     struct gb_core *core, struct worker *w, const gb_sync_res *res)
@@ -650,6 +670,7 @@
 	w->shard->dirty = true;
 }
 
+/** The lease of a worker has expired, so it has stopped its tasks. */
 static void
 worker_lapsed(struct gb_core *core, struct worker *w)
 {
