--- a/libgooseberry/process/job.c
+++ b/libgooseberry/process/job.c
@@ -12,7 +12,7 @@
 #include "core.h"
 
 #define RETRY_BASE (200 * GB_MSEC)
-#define RETRY_MOST (60 * GB_SEC)
+#define RETRY_MAX (60 * GB_SEC)
 /** A job is removed this long after its end. */
 #define ENDED_KEEP (3600 * GB_SEC)
 /** The epoch is in the high bits of an attempt's number, so that an owner never
@@ -88,7 +88,7 @@
 job_back_off(struct gb_core *core, struct job *job, unsigned int failures)
 {
 	gb_time delay =
-	    gb_retry_delay(&core->retry, failures, RETRY_BASE, RETRY_MOST);
+	    gb_retry_delay(&core->retry, failures, RETRY_BASE, RETRY_MAX);
 
 	job_dequeue(job);
 	if (!job->backing_off)
--- a/libgooseberry/process/log.c
+++ b/libgooseberry/process/log.c
@@ -1,12 +1,13 @@
 /**
  * @file log.c
- * A shard's log in the table service: immutable batches of records under
- * (shard, sequence), one write at a time, several records in each.
+ * A shard's log in the table service: immutable batches of records, one row
+ * each, under the shard and a sequence number.  One write is in flight at a
+ * time.
  *
- * Every write holds only while the shard's row is as this owner left it, so a
- * late owner is fenced by the service.  When the answer to a write is lost,
- * the key is read back; the same batch is written again only under the same
- * key, where it can take effect once.
+ * Every write has the condition that the shard's row is as this owner wrote it,
+ * so the service rejects the writes of an earlier owner.  When the answer to a
+ * write is lost, its row is read back.  The same batch is written again only
+ * under the same key, where it can take effect only once.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -15,9 +16,12 @@
 #include "core.h"
 
 #define LOG_RETRY_BASE (20 * GB_MSEC)
-#define LOG_RETRY_MOST GB_SEC
+#define LOG_RETRY_MAX GB_SEC
+/** A batch with this many records is written without further delay. */
 #define LOG_BATCH_MAX 4096
-#define LOG_WINDOW_LEAST (2 * GB_MSEC)
+/** Shortest time for which records are collected. */
+#define LOG_WINDOW_MIN (2 * GB_MSEC)
+/** Most log rows that the write of a snapshot removes. */
 #define SNAPSHOT_TRIM_MAX 2000
 
 void
@@ -99,12 +103,13 @@
 	return true;
 }
 
-/** A write has taken effect. */
+/** The batch in flight has been written: apply its records and answer the
+ * commands that wait for them. */
 static void
 log_committed(struct gb_core *core, struct shard *shard)
 {
 	struct log *log = &shard->log;
-	struct log_entry *done = log->in_flight;
+	struct log_entry *committed = log->in_flight;
 	u_int count = log->in_flight_count;
 	uint64_t serial = shard->serial;
 	u_int i;
@@ -117,9 +122,9 @@
 	core->stats.log_writes++;
 	core->stats.log_records += count;
 	for (i = 0; i < count && shard->serial == serial; i++) {
-		uint64_t answer = done[i].answer;
+		uint64_t answer = committed[i].answer;
 
-		job_commit(core, shard, &done[i].record, false);
+		job_commit(core, shard, &committed[i].record, false);
 		if (answer != 0) {
 			struct command_wait *wait;
 
@@ -129,16 +134,17 @@
 				HASH_DEL(core->commands, wait);
 				free(wait);
 				job_answer_record(
-				    core, shard, answer, &done[i].record);
+				    core, shard, answer, &committed[i].record);
 			}
 		}
 	}
 	shard->dirty = true;
-	entries_free(done, count);
+	entries_free(committed, count);
 }
 
 static void log_batch_write(struct gb_core *, struct shard *);
 
+/** Write the batch in flight again after a delay. */
 static void
 log_retry_later(struct gb_core *core, struct shard *shard)
 {
@@ -146,9 +152,10 @@
 
 	log->phase = LOG_WAITING;
 	log->retry_at = core->now + gb_retry_delay(&core->retry, log->tries++,
-					LOG_RETRY_BASE, LOG_RETRY_MOST);
+					LOG_RETRY_BASE, LOG_RETRY_MAX);
 }
 
+/** Decide from the row that was read back whether the write took effect. */
 static void
 log_checked(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
@@ -156,7 +163,7 @@
 	struct shard *shard = &core->shards[op->shard];
 	gb_batch found;
 	gb_body body;
-	bool mine;
+	bool own;
 
 	if (shard_serial_stale(core, op))
 		return;
@@ -165,6 +172,7 @@
 		return;
 	}
 	if (result->count == 0) {
+		/* Without a row, a conflict can only be on the shard's row. */
 		if (op->ref == GB_STORE_CONFLICT)
 			shard_lose(core, shard, "its row changed");
 		else
@@ -173,24 +181,25 @@
 	}
 	memset(&found, 0, sizeof(found));
 	body = result->rows[0].value;
-	mine = gb_xdr_decode((xdrproc_t)xdr_gb_batch, &body, &found) &&
-	       found.owner == core->cfg.incarnation &&
-	       found.epoch == shard->epoch;
+	own = gb_xdr_decode((xdrproc_t)xdr_gb_batch, &body, &found) &&
+	      found.owner == core->cfg.incarnation &&
+	      found.epoch == shard->epoch;
 	xdr_free((xdrproc_t)xdr_gb_batch, (char *)&found);
-	if (mine)
+	if (own)
 		log_committed(core, shard);
 	else
 		shard_lose(core, shard, "another owner wrote its log");
 }
 
+/** Read the row of a write with an unknown result or a conflict back. */
 static void
-log_check(struct gb_core *core, struct shard *shard, gb_store_status why)
+log_check(struct gb_core *core, struct shard *shard, gb_store_status status)
 {
 	char key[GB_KEY_MAX + 1];
 
 	shard->log.phase = LOG_CHECKING;
 	log_key(key, sizeof(key), shard->id, shard->log.seq + 1);
-	store_op_scan(core, key, "", 1, log_checked, shard->id, why);
+	store_op_scan(core, key, "", 1, log_checked, shard->id, status);
 }
 
 static void
@@ -237,7 +246,7 @@
 	ok = gb_xdr_encode((xdrproc_t)xdr_gb_batch, &batch, &body);
 	free(batch.records.records_val);
 	if (!ok) {
-		shard_lose(core, shard, "a record cannot be coded");
+		shard_lose(core, shard, "a record cannot be encoded");
 		return;
 	}
 	core->stats.log_bytes += body.gb_body_len;
@@ -251,8 +260,8 @@
 	store_op_txn(core, &txn, log_written, shard->id, 0);
 }
 
-/* Snapshots go through the same single slot as the log's writes, so that
- * they cover exactly what is written. */
+/* Only one batch or snapshot is in flight at a time, so that a snapshot covers
+ * exactly the batches that have been written. */
 
 static void
 snapshot_done(struct gb_core *core, const struct store_op *op,
@@ -272,7 +281,8 @@
 		break;
 	case GB_STORE_REFUSED:
 	case GB_STORE_UNKNOWN:
-		/* The log goes on either way; a later one takes its place. */
+		/* The log goes on in both cases; a later snapshot replaces this
+		 * one. */
 		log->unconfirmed_snapshot = log->seq;
 		log->no_snapshot_before =
 		    log->seq + core->cfg.snapshot_every / 4 + 1;
@@ -283,6 +293,7 @@
 	}
 }
 
+/** Add the removal of an older snapshot's object, 0: none. */
 static void
 snapshot_remove(gb_txn *txn, uint32_t shard, uint64_t seq)
 {
@@ -294,6 +305,8 @@
 	store_txn_remove(txn, key);
 }
 
+/** Write a snapshot, and remove the one before it and the batches that it
+ * covers. */
 static void
 log_snapshot(struct gb_core *core, struct shard *shard)
 {
@@ -327,8 +340,8 @@
 	store_op_txn(core, &txn, snapshot_done, shard->id, 0);
 }
 
-/** How long records are collected: each shard has its part of the writes
- * that the platform allows the whole cell. */
+/** Time for which records are collected into a batch, so that each shard keeps
+ * to an equal part of the writes per second that the whole cell may make. */
 static gb_time
 log_window(const struct gb_core *core)
 {
@@ -336,7 +349,7 @@
 	    (gb_time)core->shard_count * GB_SEC /
 	    (core->cfg.write_budget == 0 ? 1 : core->cfg.write_budget);
 
-	return window < LOG_WINDOW_LEAST ? LOG_WINDOW_LEAST : window;
+	return window < LOG_WINDOW_MIN ? LOG_WINDOW_MIN : window;
 }
 
 void
--- a/libgooseberry/process/recover.c
+++ b/libgooseberry/process/recover.c
@@ -1,6 +1,6 @@
 /**
  * @file recover.c
- * Rebuilds a shard from its snapshot and log, and writes the snapshot.
+ * Loads an acquired shard from its snapshot and log, and encodes snapshots.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -11,7 +11,7 @@
 
 static void recover_page(struct gb_core *, struct shard *);
 
-/** A read failed: ask again a little later. */
+/** Retry a failed read after a delay. */
 static void
 recover_later(struct gb_core *core, struct shard *shard)
 {
@@ -29,6 +29,7 @@
 		job_commit(core, shard, &batch->records.records_val[i], true);
 }
 
+/** Apply the records of a snapshot's object or of a log row. */
 static void
 recover_row(struct gb_core *core, struct shard *shard, const gb_row *row)
 {
@@ -45,6 +46,7 @@
 	xdr_free((xdrproc_t)xdr_gb_batch, (char *)&batch);
 }
 
+/** All has been read: make the shard active. */
 static void
 recover_end(struct gb_core *core, struct shard *shard)
 {
@@ -56,6 +58,7 @@
 	shard->dirty = true;
 }
 
+/** A page of log rows has been read. */
 static void
 recover_paged(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
@@ -79,6 +82,7 @@
 		recover_end(core, shard);
 }
 
+/** Read the next page of log rows. */
 static void
 recover_page(struct gb_core *core, struct shard *shard)
 {
@@ -91,6 +95,7 @@
 	    core, prefix, after, SCAN_PAGE, recover_paged, shard->id, 0);
 }
 
+/** The object with the records of the snapshot has been read. */
 static void
 recover_object_read(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
@@ -108,6 +113,7 @@
 	recover_page(core, shard);
 }
 
+/** The row that names the last snapshot has been read. */
 static void
 recover_snapshot_read(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
@@ -162,6 +168,7 @@
 
 /* Snapshot */
 
+/** Append an empty record; the array grows at each power of two. */
 static gb_record *
 batch_add(gb_batch *batch, gb_record_type type)
 {
@@ -179,6 +186,7 @@
 	return record;
 }
 
+/** Add the records that restore a job.  They borrow its strings and lists. */
 static void
 snapshot_job(struct gb_core *core, gb_batch *batch, const struct job *job)
 {
@@ -216,6 +224,7 @@
 	}
 }
 
+/** Add the record that names a worker.  It borrows the worker's strings. */
 static void
 snapshot_worker(gb_batch *batch, struct worker *w)
 {
