--- a/libgooseberry/process/sched.c
+++ b/libgooseberry/process/sched.c
@@ -1,6 +1,6 @@
 /**
  * @file sched.c
- * The scheduler's process: carries events into the core and its actions out.
+ * The scheduler process: passes events to the core and carries out its actions.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,19 +13,20 @@
 #define TICK_MS 5
 #define BEAT_TIMEOUT GB_SEC
 #define SYNC_TIMEOUT GB_SEC
-#define EXEC_GRACE (50 * GB_MSEC)
+/** A worker's answer is awaited this long after the deadline of a request. */
+#define EXEC_ANSWER_GRACE (50 * GB_MSEC)
 
-/** A caller whose answer is due. */
+/** A request or command that has not been answered. */
 struct sched_caller {
 	UT_hash_handle hh;
 	uint64_t id;
 	struct gb_rpc_call *call;
-	gb_body body;
+	gb_body body; /**< of the request; the core gets it without */
 	gb_time started;
-	char parent[GB_TRACE_MAX];
-	char own[GB_TRACE_MAX];
-	const char *hop;
-	bool request;
+	char parent[GB_TRACE_MAX]; /**< trace context of the caller */
+	char own[GB_TRACE_MAX];	   /**< trace context of the span here */
+	const char *span;	   /**< name of that span */
+	bool is_request;
 };
 
 struct gb_sched {
@@ -38,28 +39,28 @@
 	struct gb_rpc_server *server;
 	struct gb_platform platform;
 	struct sched_caller *callers;
-	uint64_t next_caller;
+	uint64_t last_caller_id; /**< id of the last caller */
 	uint64_t seed;
-	bool listing;
-	gb_time list_at;
+	bool list_pending; /**< the list of instances has been asked for */
+	gb_time list_at;   /**< when it is asked for next */
 	void (*stopped)(void *);
 	void *stopped_data;
 	struct gb_histogram request_us;
 	struct gb_histogram command_us;
-	char addr[GB_NAME_MAX + 1];
+	char addr[GB_NAME_MAX + 1]; /**< address with the actual port */
 };
 
-/** What an action needs to know when it ends. */
+/** Context of an action that waits for its result. */
 struct sched_op {
 	struct gb_sched *sched;
-	uint64_t id;
+	uint64_t id; /**< id of the action; of an exec its rid */
 	uint32_t worker;
 	gb_time sent;
 	char own[GB_TRACE_MAX];
 	char parent[GB_TRACE_MAX];
 };
 
-static void sched_pump(struct gb_sched *);
+static void sched_run_actions(struct gb_sched *);
 
 static struct sched_op *
 op_new(struct gb_sched *sched, const struct gb_action *action)
@@ -79,7 +80,7 @@
 	struct sched_op *op = data;
 
 	gb_core_txn_done(op->sched->core, gb_clock_boot(), op->id, res);
-	sched_pump(op->sched);
+	sched_run_actions(op->sched);
 	free(op);
 }
 
@@ -89,7 +90,7 @@
 	struct sched_op *op = data;
 
 	gb_core_scan_done(op->sched->core, gb_clock_boot(), op->id, res);
-	sched_pump(op->sched);
+	sched_run_actions(op->sched);
 	free(op);
 }
 
@@ -100,7 +101,7 @@
 
 	gb_core_sync_done(
 	    op->sched->core, gb_clock_boot(), op->worker, op->id, res);
-	sched_pump(op->sched);
+	sched_run_actions(op->sched);
 	free(op);
 }
 
@@ -112,7 +113,7 @@
 	gb_trace_span(&op->sched->env, op->own, op->parent, "worker", op->sent,
 	    gb_clock_boot(), gb_verdict_name(res->verdict));
 	gb_core_exec_done(op->sched->core, gb_clock_boot(), op->id, res);
-	sched_pump(op->sched);
+	sched_run_actions(op->sched);
 	free(op);
 }
 
@@ -124,13 +125,13 @@
 	if (verdict == GB_RUN) {
 		gb_core_beat_done(
 		    op->sched->core, gb_clock_boot(), op->sent, res);
-		sched_pump(op->sched);
+		sched_run_actions(op->sched);
 	}
 	free(op);
 }
 
-/** The messages about loans answer each other; the call's own end says
- * nothing. */
+/** Messages about loans are answered by other such messages; the result of the
+ * call carries nothing. */
 static void
 lend_done(void *data, gb_verdict verdict, void *res)
 {
@@ -144,12 +145,12 @@
 {
 	struct gb_sched *sched = data;
 
-	sched->listing = false;
+	sched->list_pending = false;
 	sched->list_at = gb_clock_boot() + sched->settings.list_ms * GB_MSEC;
 	if (list == NULL)
 		return;
 	gb_core_instances(sched->core, gb_clock_boot(), list);
-	sched_pump(sched);
+	sched_run_actions(sched);
 }
 
 /* Actions */
@@ -163,8 +164,9 @@
 	return c;
 }
 
+/** Send a request to a worker, with the body that the caller sent. */
 static void
-act_exec(struct gb_sched *sched, struct gb_action *action)
+sched_action_exec(struct gb_sched *sched, struct gb_action *action)
 {
 	struct sched_caller *c = caller_find(sched, action->id);
 	struct sched_op *op = op_new(sched, action);
@@ -179,13 +181,13 @@
 		exec->trace = gb_strdup(op->own);
 	}
 	sched->platform.exec(sched->platform.data, action->addr, exec,
-	    exec->remaining_us + EXEC_GRACE, exec_done, op);
+	    exec->remaining_us + EXEC_ANSWER_GRACE, exec_done, op);
 	exec->body.gb_body_val = NULL;
 	exec->body.gb_body_len = 0;
 }
 
 static void
-act_answer(struct gb_sched *sched, struct gb_action *action)
+sched_action_answer(struct gb_sched *sched, struct gb_action *action)
 {
 	struct sched_caller *c = caller_find(sched, action->id);
 	gb_time now = gb_clock_boot();
@@ -193,17 +195,19 @@
 	if (c == NULL)
 		return;
 	HASH_DEL(sched->callers, c);
-	gb_histogram_add(c->request ? &sched->request_us : &sched->command_us,
+	gb_histogram_add(
+	    c->is_request ? &sched->request_us : &sched->command_us,
 	    now - c->started);
-	gb_trace_span(&sched->env, c->own, c->parent, c->hop, c->started, now,
+	gb_trace_span(&sched->env, c->own, c->parent, c->span, c->started, now,
 	    gb_verdict_name(action->u.answer.verdict));
 	gb_rpc_call_reply(c->call, &action->u.answer);
 	free(c->body.gb_body_val);
 	free(c);
 }
 
+/** Carry out one action. */
 static void
-act(struct gb_sched *sched, struct gb_action *action)
+sched_action(struct gb_sched *sched, struct gb_action *action)
 {
 	gb_time timeout = sched->settings.op_timeout_ms * GB_MSEC;
 
@@ -222,10 +226,10 @@
 		    op_new(sched, action));
 		break;
 	case GB_ACT_EXEC:
-		act_exec(sched, action);
+		sched_action_exec(sched, action);
 		break;
 	case GB_ACT_ANSWER:
-		act_answer(sched, action);
+		sched_action_answer(sched, action);
 		break;
 	case GB_ACT_BEAT:
 		gb_rpc_client_call(gb_rpc_pool_get(sched->pool, action->addr),
@@ -244,13 +248,14 @@
 	}
 }
 
+/** Carry out the actions that the core has issued. */
 static void
-sched_pump(struct gb_sched *sched)
+sched_run_actions(struct gb_sched *sched)
 {
 	struct gb_action action;
 
 	while (gb_core_next(sched->core, &action)) {
-		act(sched, &action);
+		sched_action(sched, &action);
 		gb_action_clear(&action);
 	}
 }
@@ -261,25 +266,25 @@
 	struct gb_sched *sched = timer->data;
 	gb_time now = gb_clock_boot();
 
-	if (!sched->listing && now >= sched->list_at) {
-		sched->listing = true;
+	if (!sched->list_pending && now >= sched->list_at) {
+		sched->list_pending = true;
 		sched->platform.instances(
 		    sched->platform.data, GB_SEC, list_done, sched);
 	}
 	gb_core_tick(sched->core, now);
-	sched_pump(sched);
+	sched_run_actions(sched);
 }
 
-/* Serving */
+/* Calls */
 
 static struct sched_caller *
-caller_new(struct gb_sched *sched, struct gb_rpc_call *call, const char *hop)
+caller_new(struct gb_sched *sched, struct gb_rpc_call *call, const char *span)
 {
 	struct sched_caller *c = gb_calloc(1, sizeof(*c));
 
-	c->id = ++sched->next_caller;
+	c->id = ++sched->last_caller_id;
 	c->call = call;
-	c->hop = hop;
+	c->span = span;
 	c->started = gb_clock_boot();
 	HASH_ADD(hh, sched->callers, id, sizeof(c->id), c);
 	return c;
@@ -290,14 +295,14 @@
 {
 	struct sched_caller *c = caller_new(sched, call, "shard");
 
-	c->request = true;
+	c->is_request = true;
 	snprintf(c->parent, sizeof(c->parent), "%s", req->trace);
 	gb_trace_child(c->own, req->trace, &sched->seed, 0);
 	c->body = req->body;
 	gb_core_request(sched->core, c->started, c->id, req);
 	req->body.gb_body_val = NULL;
 	req->body.gb_body_len = 0;
-	sched_pump(sched);
+	sched_run_actions(sched);
 }
 
 static void
@@ -400,11 +405,12 @@
 	}
 	c = caller_new(sched, call, "command");
 	gb_core_command(sched->core, c->started, c->id, cmd);
-	sched_pump(sched);
+	sched_run_actions(sched);
 }
 
+/** Answer a call that only stand-ins serve: the injection of a fault. */
 static void
-serve_refuse(struct gb_rpc_call *call)
+serve_reject(struct gb_rpc_call *call)
 {
 	gb_answer answer = {.verdict = GB_NOT_RUN,
 	    .status = 400,
@@ -413,6 +419,7 @@
 	gb_rpc_call_reply(call, &answer);
 }
 
+/** Serve a call of a peer or an entry. */
 static void
 sched_serve(void *data, struct gb_rpc_call *call, uint32_t proc, void *arg)
 {
@@ -427,7 +434,7 @@
 		gb_core_beat_make(sched->core, &beat);
 		gb_rpc_call_reply(call, &beat);
 		xdr_free((xdrproc_t)xdr_gb_beat, (char *)&beat);
-		sched_pump(sched);
+		sched_run_actions(sched);
 		break;
 	case GB_PROC_VIEW:
 		gb_core_view_make(sched->core, gb_clock_boot(), &view);
@@ -444,10 +451,10 @@
 		gb_core_lend(sched->core, gb_clock_boot(), arg);
 		memset(&loan, 0, sizeof(loan));
 		gb_rpc_call_reply(call, &loan);
-		sched_pump(sched);
+		sched_run_actions(sched);
 		break;
 	case GB_PROC_FAULT:
-		serve_refuse(call);
+		serve_reject(call);
 		break;
 	default:
 		gb_rpc_call_refuse(call);
@@ -455,8 +462,9 @@
 	}
 }
 
-/* Life */
+/* Start and stop */
 
+/** Convert the settings to the core's parameters, in microseconds. */
 static void
 sched_config(struct gb_sched *sched, struct gb_core_config *cfg)
 {
--- a/libgooseberry/process/service.c
+++ b/libgooseberry/process/service.c
@@ -1,19 +1,20 @@
 /**
  * @file service.c
- * Replicas of services: each shard keeps its part of what the documents
- * declare.  They are derived from the documents and never logged.
+ * Replicas of services: each shard runs its part of the replicas that the
+ * documents declare.  They are derived from the documents and never logged.
  */
 #include <string.h>
 
 #include "core.h"
 
-/** Part of a service's replicas that one shard keeps. */
+/** Number of a service's replicas that run in one shard: an equal part, with
+ * the remainder in the first allowed shards. */
 static uint32_t
-service_share(
+service_replica_count(
     const struct gb_core *core, const struct gb_doc *doc, uint32_t shard)
 {
 	uint32_t allowed = 0;
-	uint32_t place = 0;
+	uint32_t rank = 0;
 	uint32_t i;
 
 	for (i = 0; i < core->shard_count; i++) {
@@ -22,16 +23,17 @@
 		if (doc->dcs != 0 && (doc->dcs & (1u << dc)) == 0)
 			continue;
 		if (i == shard)
-			place = allowed + 1;
+			rank = allowed + 1;
 		allowed++;
 	}
-	if (place == 0)
+	if (rank == 0)
 		return 0;
 	return doc->replicas / allowed +
-	       (place <= doc->replicas % allowed ? 1 : 0);
+	       (rank <= doc->replicas % allowed ? 1 : 0);
 }
 
-/** The replicas that one shard keeps are a job of their own. */
+/** Fill in the job that stands for a service's replicas in one shard.  It
+ * borrows the document's strings. */
 static void
 service_spec(
     const struct gb_doc *doc, uint32_t shard, uint32_t tasks, gb_job_spec *spec)
@@ -51,7 +53,8 @@
 	spec->id = gb_hash_pair(doc->service, doc->team) + shard;
 }
 
-/** Grow or shrink a service's tasks to what its document declares. */
+/** Change the number of a service's replicas in a shard.  A replica that is
+ * removed is stopped and counts as foreign until its worker reports again. */
 static void
 service_resize(struct gb_core *core, struct shard *shard, struct job *job,
     const gb_job_spec *spec)
@@ -82,14 +85,14 @@
 	}
 	job->rolling = 0;
 	if (spec->tasks < old) {
-		uint32_t keep = 0;
+		uint32_t kept = 0;
 
 		for (i = 0; i < job->ready_count; i++) {
 			if (job->ready[i] < spec->tasks)
-				job->ready[keep++] = job->ready[i];
+				job->ready[kept++] = job->ready[i];
 		}
-		job->ready_count = keep;
-		if (keep == 0)
+		job->ready_count = kept;
+		if (kept == 0)
 			job_dequeue(job);
 	}
 	job->spec.tasks = spec->tasks;
@@ -97,23 +100,26 @@
 		job_task_ready(core, job, i);
 }
 
+/** Bring the replicas of one service in a shard in line with its document.
+ * While the shard is not reconciled, new replicas are uncertain: a worker may
+ * already run them for an earlier owner. */
 static void
 service_sync(
     struct gb_core *core, struct shard *shard, const struct gb_doc *doc)
 {
-	uint32_t share = service_share(core, doc, shard->id);
+	uint32_t count = service_replica_count(core, doc, shard->id);
 	gb_job_spec spec;
 	struct job *job;
 	uint32_t i;
 
-	service_spec(doc, shard->id, share, &spec);
+	service_spec(doc, shard->id, count, &spec);
 	job = job_find(shard, spec.id);
 	if (job == NULL) {
-		if (share == 0)
+		if (count == 0)
 			return;
 		job = job_new(core, shard, &spec);
 		job->derived = true;
-		for (i = 0; i < share; i++) {
+		for (i = 0; i < count; i++) {
 			if (shard->reconciled)
 				job_task_ready(core, job, i);
 			else
@@ -121,7 +127,7 @@
 		}
 		return;
 	}
-	if (job->spec.tasks != share)
+	if (job->spec.tasks != count)
 		service_resize(core, shard, job, &spec);
 	job->spec.vers = spec.vers;
 }
@@ -140,7 +146,6 @@
 	}
 }
 
-/** Replace the tasks of an older document one after the other. */
 void
 service_task_reported(
     struct gb_core *core, struct job *job, uint32_t index, uint64_t vers)
--- a/libgooseberry/process/store_op.c
+++ b/libgooseberry/process/store_op.c
@@ -1,12 +1,13 @@
 /**
  * @file store_op.c
- * Operations on the platform's table service that wait for their answer.
+ * Operations on the platform's table service that are in flight.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core.h"
 
+/** Remember an operation until its result arrives or it times out. */
 static struct store_op *
 op_add(struct gb_core *core, store_done_fn done, uint32_t shard, uint64_t ref)
 {
@@ -131,7 +132,7 @@
 	static const struct store_result unknown = {.status = GB_STORE_UNKNOWN};
 	struct store_op *op;
 
-	/* Operations stand in the order in which they were sent. */
+	/* The hash table iterates in the order in which they were sent. */
 	while ((op = core->ops) != NULL &&
 	       core->now - op->started >= core->cfg.op_timeout_us)
 		op_finish(core, op, &unknown);
