--- a/libgooseberry/process/entry.c
+++ b/libgooseberry/process/entry.c
@@ -1,7 +1,7 @@
 /**
  * @file entry.c
- * The entry's process: checks who calls, picks the shard, relays the whole
- * answer.  It keeps nothing that must last.
+ * The entry process: authorizes HTTP calls, picks a shard and relays the call
+ * to its owner and the answer back.  It has no durable state.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -11,17 +11,17 @@
 #include "process/entry.h"
 
 #define VIEW_TIMEOUT GB_SEC
-#define PATH_PARTS 8
+#define PATH_SEGMENTS 8
 #define STOP_POLL_MS 20
 
-/** A path split at its slashes. */
+/** Segments of an HTTP path. */
 struct path {
 	char text[512];
-	const char *part[PATH_PARTS];
+	const char *segment[PATH_SEGMENTS];
 	unsigned int count;
 };
 
-/* From HTTP */
+/* HTTP calls */
 
 static void
 path_split(struct path *path, const char *text)
@@ -32,12 +32,12 @@
 	snprintf(path->text, sizeof(path->text), "%s", text);
 	path->count = 0;
 	for (at = strtok_r(path->text, "/", &save);
-	     at != NULL && path->count < PATH_PARTS;
+	     at != NULL && path->count < PATH_SEGMENTS;
 	     at = strtok_r(NULL, "/", &save))
-		path->part[path->count++] = at;
+		path->segment[path->count++] = at;
 }
 
-/** Equal in a time that does not depend on where they differ. */
+/** Compare in a time that does not depend on where the strings differ. */
 static bool
 token_equal(const char *a, const char *b)
 {
@@ -50,7 +50,8 @@
 	return differ == 0;
 }
 
-/** Whether the caller's token lets it act for a team; "*" for operators. */
+/** Whether the caller's bearer token is valid for a team, or is an operator's;
+ * team "*" asks for an operator's. */
 static bool
 authorized(
     struct gb_entry *entry, const struct http_call *call, const char *team)
@@ -73,7 +74,8 @@
 	return ok;
 }
 
-/** Name the caller goes by in the history: its token's team. */
+/** Name of the caller in the history of documents: the team of its token, or
+ * "operator". */
 static const char *
 caller_name(
     struct gb_entry *entry, const struct http_call *call, const char *team)
@@ -125,7 +127,8 @@
 	relay_start(relay);
 }
 
-/** Version that an If-Match header or a query names. */
+/** Read the version that an If-Match header or the query names; 0 for
+ * If-None-Match: *.  Returns false if there is none. */
 static bool
 version_read(const struct http_call *call, uint64_t *out)
 {
@@ -142,6 +145,7 @@
 	return sscanf(call->query, "version=%" SCNu64, out) == 1;
 }
 
+/** Relay of a command, at first one that every scheduler can serve. */
 static struct relay *
 command_new(struct gb_entry *entry, struct http_call *call, gb_verb verb,
     const char *team, const char *name)
@@ -165,12 +169,12 @@
 {
 	bool put = strcmp(call->method, "PUT") == 0;
 	bool history = path->count == 6;
-	const char *service = path->count >= 5 ? path->part[4] : "";
+	const char *service = path->count >= 5 ? path->segment[4] : "";
 	struct relay *relay;
 	uint64_t vers;
-	bool named = version_read(call, &vers);
+	bool has_version = version_read(call, &vers);
 
-	if (put && !named) {
+	if (put && !has_version) {
 		relay_problem(call, 428, GB_NOT_RUN, 0,
 		    "If-Match: name the version to replace, or "
 		    "If-None-Match: * for a new document");
@@ -181,7 +185,7 @@
 	    : history	       ? GB_VERB_HISTORY
 	    : path->count == 4 ? GB_VERB_DOCS
 			       : GB_VERB_GET,
-	    path->part[2], service);
+	    path->segment[2], service);
 	relay->arg.command.vers = vers;
 	relay_start(relay);
 }
@@ -190,17 +194,17 @@
 serve_job(
     struct gb_entry *entry, struct http_call *call, const struct path *path)
 {
-	const char *team = path->part[2];
+	const char *team = path->segment[2];
 	bool list = path->count == 4;
-	char made[GB_NAME_MAX + 1];
-	const char *name = list ? "" : path->part[4];
+	char generated[GB_NAME_MAX + 1];
+	const char *name = list ? "" : path->segment[4];
 	struct relay *relay;
 	gb_verb verb = list ? GB_VERB_JOBS : GB_VERB_JOB;
 
 	if (strcmp(call->method, "POST") == 0 && list) {
-		snprintf(made, sizeof(made), "job-%016" PRIx64,
+		snprintf(generated, sizeof(generated), "job-%016" PRIx64,
 		    gb_random_next(&entry->seed));
-		name = made;
+		name = generated;
 		verb = GB_VERB_SUBMIT;
 	} else if (strcmp(call->method, "PUT") == 0) {
 		verb = GB_VERB_SUBMIT;
@@ -223,20 +227,20 @@
 serve_team(
     struct gb_entry *entry, struct http_call *call, const struct path *path)
 {
-	const char *what = path->count > 3 ? path->part[3] : "";
+	const char *what = path->count > 3 ? path->segment[3] : "";
 
-	if (!name_valid(path->part[2]) ||
-	    (path->count > 4 && !name_valid(path->part[4]))) {
+	if (!name_valid(path->segment[2]) ||
+	    (path->count > 4 && !name_valid(path->segment[4]))) {
 		relay_problem(call, 400, GB_NOT_RUN, 0,
 		    "names are 1 to 63 letters, digits, '-', '_' or '.'");
-	} else if (!authorized(entry, call, path->part[2])) {
+	} else if (!authorized(entry, call, path->segment[2])) {
 		entry->unauthorized++;
 		relay_problem(call, 401, GB_NOT_RUN, 0,
 		    "the bearer token does not open this team");
 	} else if (strcmp(what, "services") == 0 && path->count == 6 &&
-		   strcmp(path->part[5], "requests") == 0 &&
+		   strcmp(path->segment[5], "requests") == 0 &&
 		   strcmp(call->method, "POST") == 0) {
-		serve_request(entry, call, path->part[2], path->part[4]);
+		serve_request(entry, call, path->segment[2], path->segment[4]);
 	} else if (strcmp(what, "documents") == 0 && path->count <= 6) {
 		serve_document(entry, call, path);
 	} else if (strcmp(what, "jobs") == 0 && path->count <= 6) {
@@ -290,7 +294,7 @@
     struct gb_entry *entry, struct http_call *call, const struct path *path)
 {
 	struct relay *relay = NULL;
-	const char *what = path->part[1];
+	const char *what = path->segment[1];
 
 	if (!authorized(entry, call, "*")) {
 		entry->unauthorized++;
@@ -309,9 +313,9 @@
 	} else if (strcmp(what, "workers") == 0 && path->count == 4 &&
 		   strcmp(call->method, "POST") == 0) {
 		relay = command_new(entry, call,
-		    strcmp(path->part[3], "drain") == 0 ? GB_VERB_DRAIN
-							: GB_VERB_UNDRAIN,
-		    "", path->part[2]);
+		    strcmp(path->segment[3], "drain") == 0 ? GB_VERB_DRAIN
+							   : GB_VERB_UNDRAIN,
+		    "", path->segment[2]);
 	}
 	if (relay == NULL)
 		relay_problem(call, 404, GB_NOT_RUN, 0, "no such path");
@@ -326,21 +330,21 @@
 	struct path path;
 
 	path_split(&path, call->path);
-	if (path.count == 1 && strcmp(path.part[0], "healthz") == 0) {
+	if (path.count == 1 && strcmp(path.segment[0], "healthz") == 0) {
 		bool leaving = entry->stopped != NULL;
 
 		http_call_answer(call, leaving ? 503 : 200, "text/plain",
 		    leaving ? "leaving\n" : "ok\n", leaving ? 8 : 3);
-	} else if (path.count == 1 && strcmp(path.part[0], "metrics") == 0) {
+	} else if (path.count == 1 && strcmp(path.segment[0], "metrics") == 0) {
 		entry_metrics(entry, call);
-	} else if (path.count < 2 || strcmp(path.part[0], "v1") != 0) {
+	} else if (path.count < 2 || strcmp(path.segment[0], "v1") != 0) {
 		relay_problem(call, 404, GB_NOT_RUN, 0, "no such path");
 	} else if (http_server_in_flight(entry->http) >
 		   (unsigned int)entry->settings.in_flight_limit) {
 		entry->refused++;
 		relay_problem(call, 503, GB_NOT_RUN, RETRY_AFTER_MS,
 		    "too many requests in hand");
-	} else if (strcmp(path.part[1], "teams") == 0 && path.count >= 4) {
+	} else if (strcmp(path.segment[1], "teams") == 0 && path.count >= 4) {
 		serve_team(entry, call, &path);
 	} else {
 		serve_operator(entry, call, &path);
@@ -349,6 +353,8 @@
 
 /* View of the cell */
 
+/** End of a call for a view.  If it failed, the next call asks another
+ * scheduler. */
 static void
 view_done(void *data, gb_verdict verdict, void *res)
 {
@@ -363,13 +369,15 @@
 	gb_route_view(entry->route, entry->view_received, res);
 }
 
+/** Ask a scheduler for its view: one of the settings, or after each round of
+ * them one that an earlier view named. */
 static void
 entry_view_tick(uv_timer_t *timer)
 {
 	struct gb_entry *entry = timer->data;
 	const struct gb_list *scheds = &entry->settings.scheds;
 	const char *addr = scheds->item[0];
-	gb_beat who = {.member = "", .addr = "", .dc = ""};
+	gb_beat arg = {.member = "", .addr = "", .dc = ""};
 
 	if (entry->view_pending)
 		return;
@@ -380,10 +388,10 @@
 		addr = scheds->item[0];
 	entry->view_pending = true;
 	gb_rpc_client_call(gb_rpc_pool_get(entry->pool, addr), GB_PROC_VIEW,
-	    &who, VIEW_TIMEOUT, view_done, entry);
+	    &arg, VIEW_TIMEOUT, view_done, entry);
 }
 
-/* Life */
+/* Start and stop */
 
 struct gb_entry *
 gb_entry_new(struct uv_loop_s *loop, const struct gb_env *env,
@@ -434,6 +442,8 @@
 	entry->settings.log_level = settings->log_level;
 }
 
+/** Close a leaving entry once it may, and report when its last call has been
+ * answered. */
 static void
 stop_poll(uv_timer_t *timer)
 {
--- a/libgooseberry/process/entry.h
+++ b/libgooseberry/process/entry.h
@@ -1,6 +1,6 @@
 /**
  * @file entry.h
- * State of an entry, shared by its process and its relays.
+ * State of an entry process and of the calls that it relays to schedulers.
  */
 #ifndef GB_ENTRY_H
 #define GB_ENTRY_H
@@ -10,6 +10,7 @@
 #include "connection/http.h"
 #include "gooseberry.h"
 
+/** When a caller should retry a call that the entry itself refused. */
 #define RETRY_AFTER_MS 200
 
 struct gb_entry {
@@ -23,47 +24,50 @@
 	struct gb_route *route;
 	struct gb_retry retry;
 	uint64_t seed;
-	unsigned int view_next; /**< which scheduler is asked next */
-	bool view_pending;
-	gb_time view_received;
-	gb_time accept_until; /**< a leaving entry accepts until then */
+	/** Scheduler to ask for the next view, as a growing number: first the
+	 * configured ones, then one of the view, and so on. */
+	unsigned int view_next;
+	bool view_pending;     /**< a view has been asked for */
+	gb_time view_received; /**< time of the last view */
+	gb_time accept_until;  /**< a leaving entry accepts until then */
 	void (*stopped)(void *);
 	void *stopped_data;
 	uint64_t requests, commands, refused, retries, hedges, unauthorized;
 	struct gb_histogram request_us;
 };
 
-/** A caller's request or command on its way through. */
+/** A caller's request or command that is being relayed to a scheduler. */
 struct relay {
 	struct gb_entry *entry;
 	struct http_call *call;
-	uint32_t proc;
+	uint32_t proc; /**< GB_PROC_REQUEST or GB_PROC_COMMAND */
 	union {
 		gb_request request;
 		gb_command command;
 	} arg;
-	uint32_t shard;
-	bool any_shard; /**< a command that every scheduler can serve */
-	bool gather;	/**< a list that every shard has a part of */
-	struct gb_text list;
+	uint32_t shard;	     /**< shard that it is sent to */
+	bool any_shard;	     /**< a command that every scheduler can serve */
+	bool gather;	     /**< a list of which every shard has a part */
+	struct gb_text list; /**< parts of that list received so far */
 	unsigned int tries;
-	unsigned int refs; /**< tries that are out, timers, and its own */
+	unsigned int refs; /**< tries in flight, timers, and its own */
 	bool maybe;	   /**< an earlier try may have run */
-	bool ended;	   /**< the caller has its answer */
-	bool hedged;
+	bool ended;	   /**< the caller has been answered */
+	bool hedged;	   /**< not used */
 	gb_time started;
 	gb_time deadline;
-	char parent[GB_TRACE_MAX];
-	char own[GB_TRACE_MAX];
+	char parent[GB_TRACE_MAX]; /**< trace context of the caller */
+	char own[GB_TRACE_MAX];	   /**< trace context of the span here */
 };
 
 /* relay.c */
 struct relay *relay_new(struct gb_entry *, struct http_call *, uint32_t proc);
-/** Send it on; the caller gets exactly one answer. */
+/** Send a call to a scheduler.  The caller gets exactly one answer. */
 void relay_start(struct relay *);
+/** Answer a call with problem details, and end it. */
 void relay_refuse(struct relay *, gb_verdict, unsigned int status,
     unsigned int retry_ms, const char *reason);
-/** Answer a call with problem details. */
+/** Answer an HTTP call with problem details. */
 void relay_problem(struct http_call *, unsigned int status, gb_verdict,
     unsigned int retry_ms, const char *detail);
 
--- a/libgooseberry/process/index.c
+++ b/libgooseberry/process/index.c
@@ -1,8 +1,8 @@
 /**
  * @file index.c
- * Workers by free capacity: a grid of processor and memory steps, each step a
- * quarter of a power of two, so that a search meets workers that fit without
- * looking at those that do not.
+ * Placement index: workers by free capacity, in a grid of processor and memory
+ * steps.  There are four steps to a power of two.  A search visits only the
+ * cells whose workers may fit.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,6 +14,7 @@
 #define MEM_STEPS 128
 #define MEM_WORDS (MEM_STEPS / 64)
 #define CLASSES 2 /* without and with a free accelerator */
+/** A search ends when this many workers that fit have been scored. */
 #define CANDIDATES 12
 
 /** Workers whose free capacity falls into one step of each dimension. */
@@ -23,23 +24,26 @@
 	uint32_t size;
 };
 
+/** A worker in the index. */
 struct entry {
 	gb_res free;
 	gb_res capacity;
-	uint32_t place; /**< in its cell */
-	uint16_t cpu;
-	uint8_t mem;
-	uint8_t class;
+	uint32_t position; /**< in its cell */
+	uint16_t cpu;	   /**< processor step of its cell */
+	uint8_t mem;	   /**< memory step of its cell */
+	uint8_t class;	   /**< class of its cell */
 	bool present;
 };
 
 struct gb_index {
 	struct cell cells[CLASSES][CPU_STEPS][MEM_STEPS];
+	/** A bit for each cell, set if it has workers. */
 	uint64_t filled[CLASSES][CPU_STEPS][MEM_WORDS];
-	struct entry *entries;
+	struct entry *entries; /**< by worker */
 	uint32_t entry_count;
 };
 
+/** Step that an amount falls into, at most steps - 1; 0 for none. */
 static unsigned int
 step_of(int value, unsigned int steps)
 {
@@ -89,8 +93,9 @@
 		return;
 	entry = &index->entries[worker];
 	cell = entry_cell(index, entry);
-	cell->worker[entry->place] = cell->worker[--cell->count];
-	index->entries[cell->worker[entry->place]].place = entry->place;
+	cell->worker[entry->position] = cell->worker[--cell->count];
+	index->entries[cell->worker[entry->position]].position =
+	    entry->position;
 	entry->present = false;
 	if (cell->count == 0)
 		index->filled[entry->class][entry->cpu][entry->mem / 64] &=
@@ -145,7 +150,7 @@
 		cell->worker =
 		    gb_realloc(cell->worker, cell->size * sizeof(uint32_t));
 	}
-	entry->place = cell->count;
+	entry->position = cell->count;
 	cell->worker[cell->count++] = worker;
 	index->filled[class][cpu][mem / 64] |= 1ULL << (mem % 64);
 }
@@ -159,16 +164,17 @@
 	const struct gb_filter *filter;
 	uint32_t best;
 	int64_t best_score;
-	unsigned int met;
+	unsigned int scored; /**< workers that fit and have been scored */
 };
 
-/** Rate the workers of one cell; true when enough were met. */
+/** Score the workers of one cell that fit.  Returns true when enough have been
+ * scored. */
 static bool
 search_cell(struct search *s, const struct cell *cell)
 {
 	uint32_t i;
 
-	for (i = cell->count; i > 0 && s->met < CANDIDATES; i--) {
+	for (i = cell->count; i > 0 && s->scored < CANDIDATES; i--) {
 		uint32_t worker = cell->worker[i - 1];
 		const struct entry *entry = &s->index->entries[worker];
 		const struct gb_filter *f = s->filter;
@@ -184,27 +190,28 @@
 			same = f->same_rack(f->data, worker);
 		score = s->scorer->score(
 		    &entry->free, &entry->capacity, s->need, same);
-		s->met++;
+		s->scored++;
 		if (s->best == GB_NONE || score < s->best_score) {
 			s->best = worker;
 			s->best_score = score;
 		}
 	}
-	return s->met >= CANDIDATES;
+	return s->scored >= CANDIDATES;
 }
 
+/** Search the cells of one processor step, in the order of their memory. */
 static bool
-search_row(
-    struct search *s, unsigned int class, unsigned int cpu, unsigned int least)
+search_row(struct search *s, unsigned int class, unsigned int cpu,
+    unsigned int mem_min)
 {
 	const uint64_t *filled = s->index->filled[class][cpu];
 	unsigned int word;
 
-	for (word = least / 64; word < MEM_WORDS; word++) {
+	for (word = mem_min / 64; word < MEM_WORDS; word++) {
 		uint64_t bits = filled[word];
 
-		if (word == least / 64)
-			bits &= ~0ULL << (least % 64);
+		if (word == mem_min / 64)
+			bits &= ~0ULL << (mem_min % 64);
 		while (bits != 0) {
 			unsigned int bit = (unsigned int)__builtin_ctzll(bits);
 
@@ -217,19 +224,21 @@
 	return false;
 }
 
+/** Search a class: the processor step with the least free first, or the one
+ * with the most free if the scorer wants that. */
 static bool
 search_class(struct search *s, unsigned int class)
 {
-	unsigned int cpu_least = step_of(s->need->cpu, CPU_STEPS);
-	unsigned int mem_least = step_of(s->need->mem, MEM_STEPS);
+	unsigned int cpu_min = step_of(s->need->cpu, CPU_STEPS);
+	unsigned int mem_min = step_of(s->need->mem, MEM_STEPS);
 	unsigned int i;
 
-	for (i = cpu_least; i < CPU_STEPS; i++) {
+	for (i = cpu_min; i < CPU_STEPS; i++) {
 		unsigned int cpu = s->scorer->roomiest_first
-				       ? CPU_STEPS - 1 - (i - cpu_least)
+				       ? CPU_STEPS - 1 - (i - cpu_min)
 				       : i;
 
-		if (search_row(s, class, cpu, mem_least))
+		if (search_row(s, class, cpu, mem_min))
 			return true;
 	}
 	return false;
@@ -241,7 +250,8 @@
 {
 	struct search s = {index, need, scorer, filter, GB_NONE, 0, 0};
 
-	/* Accelerators are kept for those who need them. */
+	/* Work without need of an accelerator goes to a worker with a free one
+	 * only if no other worker fits. */
 	if (need->accel == 0)
 		search_class(&s, 0);
 	if (s.best == GB_NONE)
