--- a/libgooseberry/process/counter.c
+++ b/libgooseberry/process/counter.c
@@ -1,6 +1,7 @@
 /**
  * @file counter.c
- * Counters, latency histograms and the text they are read in.
+ * Counters and latency histograms, printed in the Prometheus text format, and
+ * the growing text buffer that they are printed into.
  */
 #include <inttypes.h>
 #include <stdarg.h>
@@ -13,19 +14,19 @@
 gb_text_add(struct gb_text *text, const char *fmt, ...)
 {
 	va_list ap;
-	va_list again;
+	va_list ap_copy;
 	int n;
 
 	va_start(ap, fmt);
-	va_copy(again, ap);
+	va_copy(ap_copy, ap);
 	n = vsnprintf(NULL, 0, fmt, ap);
 	va_end(ap);
 	if (text->len + (size_t)n + 1 > text->size) {
 		text->size = (text->len + (size_t)n + 1) * 2;
 		text->data = gb_realloc(text->data, text->size);
 	}
-	vsnprintf(text->data + text->len, (size_t)n + 1, fmt, again);
-	va_end(again);
+	vsnprintf(text->data + text->len, (size_t)n + 1, fmt, ap_copy);
+	va_end(ap_copy);
 	text->len += (size_t)n;
 }
 
@@ -38,6 +39,7 @@
 	text->size = 0;
 }
 
+/** Bucket of a duration; bucket i counts durations up to 2^i microseconds. */
 static unsigned int
 histogram_bucket(gb_time us)
 {
@@ -61,13 +63,13 @@
 gb_time
 gb_histogram_quantile(const struct gb_histogram *h, unsigned int per_mille)
 {
-	uint64_t want = (h->count * per_mille + 999) / 1000;
-	uint64_t seen = 0;
+	uint64_t target = (h->count * per_mille + 999) / 1000;
+	uint64_t cumulative = 0;
 	unsigned int i;
 
 	for (i = 0; i < GB_HISTOGRAM_BUCKETS; i++) {
-		seen += h->bucket[i];
-		if (seen >= want)
+		cumulative += h->bucket[i];
+		if (cumulative >= target)
 			return (gb_time)1 << i;
 	}
 	return (gb_time)1 << (GB_HISTOGRAM_BUCKETS - 1);
@@ -88,15 +90,15 @@
 gb_histogram_print(struct gb_text *out, const char *name, const char *help,
     const struct gb_histogram *h)
 {
-	uint64_t seen = 0;
+	uint64_t cumulative = 0;
 	unsigned int i;
 
 	gb_text_add(
 	    out, "# HELP %s %s\n# TYPE %s histogram\n", name, help, name);
 	for (i = 0; i < GB_HISTOGRAM_BUCKETS; i++) {
-		seen += h->bucket[i];
+		cumulative += h->bucket[i];
 		gb_text_add(out, "%s_bucket{le=\"%" PRIu64 "\"} %" PRIu64 "\n",
-		    name, (uint64_t)1 << i, seen);
+		    name, (uint64_t)1 << i, cumulative);
 	}
 	gb_text_add(
 	    out, "%s_bucket{le=\"+Inf\"} %" PRIu64 "\n", name, h->count);
--- a/libgooseberry/process/link.c
+++ b/libgooseberry/process/link.c
@@ -1,32 +1,33 @@
 /**
  * @file link.c
- * What a node sends and receives, by kind of message, and how long what it has
- * sent waits on its link.
+ * Counts the bytes that a node sends and receives, by kind of message, and
+ * estimates for how long the bytes sent keep its link busy.
  *
- * Load: an instance with a link of 2 Mbit/s owns a pool of 85 workers that
- * makes 91 starts a second.  Starts, looks at workers and store calls come to
- * more than the link carries; answers to holds then come seconds late, leases
- * lapse, and work is done again, which is sent too.  So the bytes that are sent
- * are counted against the bandwidth that the settings name, and whoever has
- * something to send that can wait asks first how long the link is busy.
+ * An owner with a slow link can send more than the link carries.  For example,
+ * on a link of 2 Mbit/s the starts, heartbeats and store calls for a pool of 85
+ * workers with 91 starts per second do not fit.  Answers to heartbeats then
+ * arrive seconds late, leases lapse, and tasks run again, which adds to the
+ * load.  So the bytes sent are counted against the bandwidth in the settings,
+ * and a sender whose message can wait first asks for how long the link is busy.
  */
 #include <stdlib.h>
 
 #include "gooseberry.h"
 
-/** Headers of TCP and IP, and the acknowledgement, of a message that fits into
- * one packet. */
-#define LINK_MESSAGE_OVERHEAD 80
-/** Weight of what is sent in a second against the average before it. */
-#define LINK_USE_EVERY (200 * GB_MSEC)
+/** Bytes of the TCP and IP headers and of the acknowledgement of a message that
+ * fits into one packet. */
+#define LINK_OVERHEAD_BYTES 80
+/** Interval at which the use of the link is averaged. */
+#define LINK_USE_INTERVAL (200 * GB_MSEC)
+/** Weight of the use in the last interval in the moving average. */
 #define LINK_USE_WEIGHT 0.2
 
 struct gb_link {
 	uint64_t bytes_per_s; /**< 0: not limited */
-	gb_time free_at;      /**< what was sent so far is on its way by then */
-	gb_time use_at;	      /**< the use is averaged next */
-	uint64_t use_bytes;   /**< sent since it was averaged */
-	double use;	      /**< share of the bandwidth that is sent */
+	gb_time free_at;      /**< the bytes sent so far have left by then */
+	gb_time use_at;	      /**< time at which the use is averaged next */
+	uint64_t use_bytes;   /**< sent since it was last averaged */
+	double use;	      /**< average share of the bandwidth in use */
 	struct gb_traffic traffic[GB_TRAFFIC_KINDS];
 };
 
@@ -39,6 +40,7 @@
 	return link;
 }
 
+/** Update the average use if an interval has passed. */
 static void
 link_average(struct gb_link *link, gb_time now)
 {
@@ -47,12 +49,12 @@
 
 	if (link->use_at > now)
 		return;
-	span = (double)(now - link->use_at + LINK_USE_EVERY) / GB_SEC;
+	span = (double)(now - link->use_at + LINK_USE_INTERVAL) / GB_SEC;
 	share = (double)link->use_bytes /
 		((double)link->bytes_per_s * (span > 1 ? 1 : span));
 	link->use += LINK_USE_WEIGHT * (share - link->use);
 	link->use_bytes = 0;
-	link->use_at = now + LINK_USE_EVERY;
+	link->use_at = now + LINK_USE_INTERVAL;
 }
 
 void
@@ -66,7 +68,7 @@
 	link->traffic[kind].out += bytes;
 	if (link->bytes_per_s == 0)
 		return;
-	bytes += LINK_MESSAGE_OVERHEAD;
+	bytes += LINK_OVERHEAD_BYTES;
 	from = link->free_at > now ? link->free_at : now;
 	link->free_at =
 	    from + (gb_time)(bytes * GB_SEC / (gb_time)link->bytes_per_s);
--- a/libgooseberry/process/logger.c
+++ b/libgooseberry/process/logger.c
@@ -1,26 +1,29 @@
 /**
  * @file logger.c
- * Lines on standard error in the manner of syslog.
+ * Log lines on standard error, with the syslog priority in front.
  */
 #include <stdio.h>
 #include <string.h>
 
 #include "gooseberry.h"
 
+/** A line that repeats the last one within this time is only counted. */
 #define REPEAT_WINDOW GB_SEC
+/** Parts of the program whose repeats are counted apart; others share one. */
 #define LAST_LINES 16
 
-/** The last line of a part, to count repeats. */
+/** Last line of a part of the program, to count its repeats. */
 struct last_line {
 	const char *part;
 	char text[256];
 	gb_time since;
-	unsigned int repeats;
+	unsigned int repeats; /**< not printed yet */
 };
 
 static enum gb_level logger_level = GB_LOG_INFO;
 static struct last_line logger_last[LAST_LINES];
 
+/** Last line of a part, which is added if it is new. */
 static struct last_line *
 last_line_find(const char *part)
 {
--- a/libgooseberry/process/report.c
+++ b/libgooseberry/process/report.c
@@ -1,6 +1,6 @@
 /**
  * @file report.c
- * What operators read of members, shards and workers, as JSON.
+ * State of members, shards and workers as JSON, for operators.
  */
 #include <inttypes.h>
 #include <string.h>
--- a/libgooseberry/process/settings.c
+++ b/libgooseberry/process/settings.c
@@ -1,8 +1,8 @@
 /**
  * @file settings.c
- * Settings of the programs: every field's type, unit, range and default stand
- * in one table, from which the check, the error texts and docs/SETTINGS.md
- * come.
+ * Settings of the programs.  One table for each program has the type, unit,
+ * range and default of every setting; the check, the error texts and
+ * docs/SETTINGS.md are made from it.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -13,8 +13,8 @@
 #include "core.h"
 #include "json_text.h"
 
-#define SETTINGS_MOST (1024 * 1024)
-#define TRACE_FILE_MOST 255
+#define SETTINGS_BYTES_MAX (1024 * 1024)
+#define TRACE_FILE_LEN_MAX 255
 
 #define SCHED(member) offsetof(struct gb_sched_settings, member)
 #define ENTRY(member) offsetof(struct gb_entry_settings, member)
@@ -64,7 +64,7 @@
 	SCHED(list_ms)},
     {"trace_per_mille", GB_SET_INT, "per mille", 0, 1000, "0",
 	"Share of new traces that are kept.", SCHED(trace_per_mille)},
-    {"trace_file", GB_SET_STRING, "path", 0, TRACE_FILE_MOST, "\"\"",
+    {"trace_file", GB_SET_STRING, "path", 0, TRACE_FILE_LEN_MAX, "\"\"",
 	"File for spans; empty: standard error.", SCHED(trace_file)},
     {"log_level", GB_SET_INT, "severity", 3, 7, "6",
 	"Least severe syslog level that is logged.", SCHED(log_level)},
@@ -109,7 +109,7 @@
 	"Requests in hand at once; more are refused.", ENTRY(in_flight_limit)},
     {"trace_per_mille", GB_SET_INT, "per mille", 0, 1000, "0",
 	"Share of new traces that are kept.", ENTRY(trace_per_mille)},
-    {"trace_file", GB_SET_STRING, "path", 0, TRACE_FILE_MOST, "\"\"",
+    {"trace_file", GB_SET_STRING, "path", 0, TRACE_FILE_LEN_MAX, "\"\"",
 	"File for spans; empty: standard error.", ENTRY(trace_file)},
     {"log_level", GB_SET_INT, "severity", 3, 7, "6",
 	"Least severe syslog level that is logged.", ENTRY(log_level)},
@@ -118,7 +118,7 @@
 const size_t gb_entry_settings_count =
     sizeof(gb_entry_settings_table) / sizeof(gb_entry_settings_table[0]);
 
-/** What a check needs to name the place of a fault. */
+/** Context of a check, for the position in an error text. */
 struct check {
 	const char *file;
 	const char *text;
@@ -126,8 +126,9 @@
 	struct gb_error *err;
 };
 
+/** Set the error for a setting, with its line and column in the file. */
 static void
-fault(const struct check *check, const char *name, const char *what)
+setting_error(const struct check *check, const char *name, const char *what)
 {
 	int line;
 	int col;
@@ -137,6 +138,7 @@
 	    line, col, name, what);
 }
 
+/** Whether a text is an IPv4 address and port. */
 static bool
 addr_valid(const char *addr)
 {
@@ -152,7 +154,7 @@
 }
 
 static bool
-take_int(const struct check *check, const struct gb_setting *set,
+setting_read_int(const struct check *check, const struct gb_setting *set,
     const json_t *value, int64_t *out)
 {
 	char what[128];
@@ -165,12 +167,12 @@
 	snprintf(what, sizeof(what),
 	    "must be a whole number from %" PRId64 " to %" PRId64 " (%s)",
 	    set->least, set->most, set->unit);
-	fault(check, set->name, what);
+	setting_error(check, set->name, what);
 	return false;
 }
 
 static bool
-take_string(const struct check *check, const struct gb_setting *set,
+setting_read_string(const struct check *check, const struct gb_setting *set,
     const json_t *value, char *out)
 {
 	char what[128];
@@ -187,12 +189,12 @@
 	snprintf(what, sizeof(what),
 	    "must be a %s of %" PRId64 " to %" PRId64 " characters", set->unit,
 	    set->least, set->most);
-	fault(check, set->name, what);
+	setting_error(check, set->name, what);
 	return false;
 }
 
 static bool
-take_list(const struct check *check, const struct gb_setting *set,
+setting_read_list(const struct check *check, const struct gb_setting *set,
     const json_t *value, struct gb_list *out)
 {
 	bool addrs = strcmp(set->unit, "IP:port") == 0;
@@ -207,7 +209,7 @@
 		snprintf(what, sizeof(what),
 		    "must be a list of %" PRId64 " to %" PRId64 " %s",
 		    set->least, set->most, set->unit);
-		fault(check, set->name, what);
+		setting_error(check, set->name, what);
 		return false;
 	}
 	out->count = 0;
@@ -216,7 +218,7 @@
 		const char *text = json_string_value(item);
 
 		if (addrs ? !addr_valid(text) : !name_valid(text)) {
-			fault(check, set->name,
+			setting_error(check, set->name,
 			    addrs ? "must hold addresses such as 10.0.0.1:7000"
 				  : "must hold names of letters, digits, "
 				    "'-', '_' or '.'");
@@ -228,7 +230,7 @@
 }
 
 static bool
-take_tokens(const struct check *check, const struct gb_setting *set,
+setting_read_tokens(const struct check *check, const struct gb_setting *set,
     json_t *value, struct gb_tokens *out)
 {
 	const char *team;
@@ -237,7 +239,8 @@
 	out->count = 0;
 	if (!json_is_object(value) ||
 	    (int64_t)json_object_size(value) > set->most) {
-		fault(check, set->name, "must be an object of team and token");
+		setting_error(
+		    check, set->name, "must be an object of team and token");
 		return false;
 	}
 	json_object_foreach(value, team, token)
@@ -248,7 +251,7 @@
 
 		if ((strcmp(team, "*") != 0 && !name_valid(team)) || len < 8 ||
 		    len > GB_NAME_MAX) {
-			fault(check, set->name,
+			setting_error(check, set->name,
 			    "must hold names of teams, and tokens of 8 to 63 "
 			    "characters");
 			return false;
@@ -261,26 +264,27 @@
 	return true;
 }
 
+/** Check the JSON value of a setting and store it in the settings struct. */
 static bool
-take(const struct check *check, const struct gb_setting *set, json_t *value,
-    void *settings)
+setting_read(const struct check *check, const struct gb_setting *set,
+    json_t *value, void *settings)
 {
 	void *out = (char *)settings + set->offset;
 
 	switch (set->type) {
 	case GB_SET_INT:
-		return take_int(check, set, value, out);
+		return setting_read_int(check, set, value, out);
 	case GB_SET_STRING:
-		return take_string(check, set, value, out);
+		return setting_read_string(check, set, value, out);
 	case GB_SET_LIST:
-		return take_list(check, set, value, out);
+		return setting_read_list(check, set, value, out);
 	case GB_SET_TOKENS:
-		return take_tokens(check, set, value, out);
+		return setting_read_tokens(check, set, value, out);
 	case GB_SET_ADDR:
 		break;
 	}
 	if (!addr_valid(json_string_value(value))) {
-		fault(check, set->name,
+		setting_error(check, set->name,
 		    "must be an address such as 10.0.0.1:7000");
 		return false;
 	}
@@ -289,18 +293,18 @@
 }
 
 static bool
-take_default(
+setting_read_default(
     const struct check *check, const struct gb_setting *set, void *settings)
 {
 	json_t *value;
 	bool ok;
 
 	if (set->fallback == NULL) {
-		fault(check, set->name, "is missing");
+		setting_error(check, set->name, "is missing");
 		return false;
 	}
 	value = json_loads(set->fallback, JSON_DECODE_ANY, NULL);
-	ok = take(check, set, value, settings);
+	ok = setting_read(check, set, value, settings);
 	json_decref(value);
 	return ok;
 }
@@ -322,8 +326,8 @@
     const char *file, const char *text, size_t len, struct gb_error *err)
 {
 	struct check check = {file, text, len, err};
-	json_error_t bad;
-	json_t *root = json_loadb(text, len, JSON_REJECT_DUPLICATES, &bad);
+	json_error_t json_err;
+	json_t *root = json_loadb(text, len, JSON_REJECT_DUPLICATES, &json_err);
 	const char *key;
 	json_t *value;
 	size_t i;
@@ -331,28 +335,31 @@
 
 	if (!json_is_object(root)) {
 		gb_error_set(err, GB_E_INVALID, "%s:%d:%d: %s", file,
-		    root == NULL ? bad.line : 1, root == NULL ? bad.column : 1,
-		    root == NULL ? bad.text : "settings must be an object");
+		    root == NULL ? json_err.line : 1,
+		    root == NULL ? json_err.column : 1,
+		    root == NULL ? json_err.text
+				 : "settings must be an object");
 		json_decref(root);
 		return false;
 	}
 	json_object_foreach(root, key, value)
 	{
 		if (ok && setting_find(table, count, key) == NULL) {
-			fault(&check, key, "is not a setting");
+			setting_error(&check, key, "is not a setting");
 			ok = false;
 		}
 	}
 	for (i = 0; i < count && ok; i++) {
 		value = json_object_get(root, table[i].name);
-		ok = value == NULL ? take_default(&check, &table[i], out)
-				   : take(&check, &table[i], value, out);
+		ok = value == NULL
+			 ? setting_read_default(&check, &table[i], out)
+			 : setting_read(&check, &table[i], value, out);
 	}
 	json_decref(root);
 	return ok;
 }
 
-/** Whole text of a file; the caller frees it. */
+/** Read a file, at most SETTINGS_BYTES_MAX of it; the caller frees the text. */
 static char *
 file_read(const char *file, size_t *len, struct gb_error *err)
 {
@@ -363,8 +370,8 @@
 		gb_error_set(err, GB_E_MISSING, "%s: cannot be opened", file);
 		return NULL;
 	}
-	text = gb_calloc(1, SETTINGS_MOST);
-	*len = fread(text, 1, SETTINGS_MOST, f);
+	text = gb_calloc(1, SETTINGS_BYTES_MAX);
+	*len = fread(text, 1, SETTINGS_BYTES_MAX, f);
 	fclose(f);
 	return text;
 }
