--- a/libgooseberry/process/action.c
+++ b/libgooseberry/process/action.c
@@ -1,12 +1,13 @@
 /**
  * @file action.c
- * Actions that wait to be taken by the owner of a core.
+ * Queue of the actions that a core has issued and its process has not taken.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core.h"
 
+/** Coder of each type of action, to release what an action owns. */
 static const struct {
 	xdrproc_t code;
 } action_kinds[] = {
--- a/libgooseberry/process/clock.c
+++ b/libgooseberry/process/clock.c
@@ -1,7 +1,7 @@
 /**
  * @file clock.c
- * Clocks of a process.  Only the programs read them: the core takes the time
- * as a parameter.
+ * Clocks of the process.  The core does not read them; it gets the time as a
+ * parameter.
  */
 #include <time.h>
 
--- a/libgooseberry/process/env.c
+++ b/libgooseberry/process/env.c
@@ -1,12 +1,13 @@
 /**
  * @file env.c
- * Callbacks that every handle carries.
+ * Access to the callbacks and the link of an environment.
  */
 #include <stdarg.h>
 #include <stdio.h>
 
 #include "gooseberry.h"
 
+/** Longer log lines are cut, in bytes. */
 #define LINE_MAX_LEN 512
 
 struct gb_link *
--- a/libgooseberry/process/error.c
+++ b/libgooseberry/process/error.c
@@ -1,6 +1,6 @@
 /**
  * @file error.c
- * The error struct that callers pass down.
+ * Errors with a code and a text, and the HTTP status of each code.
  */
 #include <stdarg.h>
 #include <stdio.h>
--- a/libgooseberry/process/json_text.c
+++ b/libgooseberry/process/json_text.c
@@ -1,25 +1,26 @@
 /**
  * @file json_text.c
- * Where something stands in a JSON text, for messages.
+ * Position of a key in a JSON text, for error messages.
  */
 #include <stdio.h>
 #include <string.h>
 
 #include "json_text.h"
 
-#define KEY_SHOWN 60
+/** Only this many bytes of a key are searched for. */
+#define KEY_SEARCH_MAX 60
 
 void
 json_text_place(
     const char *text, size_t len, const char *key, int *line, int *col)
 {
-	char quoted[KEY_SHOWN + 3];
+	char quoted[KEY_SEARCH_MAX + 3];
 	const char *found;
 	const char *p;
 
 	*line = 1;
 	*col = 1;
-	snprintf(quoted, sizeof(quoted), "\"%.*s\"", KEY_SHOWN, key);
+	snprintf(quoted, sizeof(quoted), "\"%.*s\"", KEY_SEARCH_MAX, key);
 	found = memmem(text, len, quoted, strlen(quoted));
 	if (found == NULL)
 		return;
--- a/libgooseberry/process/memory.c
+++ b/libgooseberry/process/memory.c
@@ -1,7 +1,7 @@
 /**
  * @file memory.c
- * Allocation that does not fail: a process without memory stops, and its
- * shards are taken over.
+ * Memory allocation that does not fail: a process without memory aborts, and
+ * other members take its shards over.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/libgooseberry/process/name.c
+++ b/libgooseberry/process/name.c
@@ -1,6 +1,6 @@
 /**
  * @file name.c
- * Names of teams, services, jobs and workers.
+ * Check of the names of teams, services, jobs and workers.
  */
 #include <ctype.h>
 #include <string.h>
--- a/libgooseberry/process/random.c
+++ b/libgooseberry/process/random.c
@@ -1,11 +1,13 @@
 /**
  * @file random.c
- * Seeded random numbers and hashes.
+ * Pseudorandom numbers from a seed (splitmix64), and hashes (64-bit FNV-1a with
+ * the same mixer at the end).
  */
 #include <string.h>
 
 #include "gooseberry.h"
 
+/** Mixer of splitmix64. */
 static uint64_t
 random_mix(uint64_t z)
 {
--- a/libgooseberry/process/resources.c
+++ b/libgooseberry/process/resources.c
@@ -5,11 +5,11 @@
 #include "gooseberry.h"
 
 bool
-gb_res_fits(const gb_res *need, const gb_res *room)
+gb_res_fits(const gb_res *need, const gb_res *free_res)
 {
-	return need->cpu <= room->cpu && need->mem <= room->mem &&
-	       need->accel <= room->accel && need->slots <= room->slots &&
-	       need->conns <= room->conns;
+	return need->cpu <= free_res->cpu && need->mem <= free_res->mem &&
+	       need->accel <= free_res->accel &&
+	       need->slots <= free_res->slots && need->conns <= free_res->conns;
 }
 
 void
--- a/libgooseberry/process/usage.c
+++ b/libgooseberry/process/usage.c
@@ -1,6 +1,6 @@
 /**
  * @file usage.c
- * What the process itself costs.
+ * Processor time and memory that the process itself uses.
  */
 #include <uv.h>
 
--- a/libgooseberry/process/xdr.c
+++ b/libgooseberry/process/xdr.c
@@ -1,6 +1,6 @@
 /**
  * @file xdr.c
- * Coding of messages to and from memory.
+ * XDR encoding and decoding of messages in memory.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -42,24 +42,26 @@
 	return ok;
 }
 
+/* The missing fields at the end are tried as zero bytes, one unit more at a
+ * time. */
 bool
 gb_xdr_decode_older(xdrproc_t proc, const gb_body *row, void *out, size_t size,
-    unsigned int missing_most)
+    unsigned int missing_max)
 {
-	gb_body longer = *row;
+	gb_body padded = *row;
 	bool ok = false;
 	unsigned int i;
 
-	longer.gb_body_val =
-	    gb_calloc(1, row->gb_body_len + missing_most * BYTES_PER_XDR_UNIT);
+	padded.gb_body_val =
+	    gb_calloc(1, row->gb_body_len + missing_max * BYTES_PER_XDR_UNIT);
 	if (row->gb_body_len > 0)
-		memcpy(longer.gb_body_val, row->gb_body_val, row->gb_body_len);
-	for (i = 0; i <= missing_most && !ok; i++) {
+		memcpy(padded.gb_body_val, row->gb_body_val, row->gb_body_len);
+	for (i = 0; i <= missing_max && !ok; i++) {
 		memset(out, 0, size);
-		ok = gb_xdr_decode(proc, &longer, out);
-		longer.gb_body_len += BYTES_PER_XDR_UNIT;
+		ok = gb_xdr_decode(proc, &padded, out);
+		padded.gb_body_len += BYTES_PER_XDR_UNIT;
 	}
-	free(longer.gb_body_val);
+	free(padded.gb_body_val);
 	return ok;
 }
 
