--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -595,6 +595,7 @@
 struct shard *shard_get(struct gb_core *, uint32_t);
 /** Whether the shard was lost or acquired since an operation was sent. */
 bool shard_serial_stale(const struct gb_core *, const struct store_op *);
+/** Key of a shard's row in the table service. */
 void shard_key(char *out, size_t, uint32_t shard);
 
 /* log.c */
@@ -606,8 +607,11 @@
 /** Drop the record that this caller waits for, if it has not been sent.
  * Returns whether it may have been written. */
 bool log_withdraw(struct gb_core *, struct shard *, uint64_t answer);
+/** Key of the batch with a sequence number. */
 void log_key(char *out, size_t, uint32_t shard, uint64_t seq);
+/** Key of the row that names the last snapshot. */
 void snapshot_key(char *out, size_t, uint32_t shard);
+/** Key of the object with the records of a snapshot. */
 void object_key(char *out, size_t, uint32_t shard, uint64_t seq);
 
 /* recover.c */
@@ -660,6 +664,7 @@
 void workers_free(struct gb_core *);
 
 /* job.c */
+/** Add a job to a shard, with a copy of its specification. */
 struct job *job_new(struct gb_core *, struct shard *, const gb_job_spec *);
 void job_free(struct gb_core *, struct job *);
 struct job *job_find(struct shard *, uint64_t id);
--- a/libgooseberry/process/dispatch.c
+++ b/libgooseberry/process/dispatch.c
@@ -10,7 +10,8 @@
 
 #include "core.h"
 
-/** Most attempts to start a task or gang in one run; the next tick goes on. */
+/** Most attempts to start a task or gang in one run.  If they are used up, the
+ * next tick runs dispatch again. */
 #define DECISIONS_PER_RUN 4096
 /** Jobs at the head of a team's queue of which one may start, so that jobs that
  * cannot start do not block those behind them. */
--- a/libgooseberry/process/job.c
+++ b/libgooseberry/process/job.c
@@ -448,6 +448,7 @@
 	if (task->state == TASK_ENDING)
 		return;
 	if (task->state == TASK_UNCERTAIN) {
+		/* An earlier owner started it on this worker. */
 		task->attempt = held->id.attempt;
 		if (task->worker == GB_NONE)
 			job_task_assign(core, job, index, w);
@@ -464,6 +465,7 @@
 	}
 	if (job->cancelled || job->restarting)
 		job_task_stop(core, job, index);
+	/* The sync with the stop may have been lost: send it again. */
 	if (task->state == TASK_STOPPING &&
 	    core->now - task->since > core->cfg.sync_us) {
 		task->since = core->now;
--- a/libgooseberry/process/job_record.c
+++ b/libgooseberry/process/job_record.c
@@ -7,6 +7,8 @@
 
 /* Records */
 
+/** A job was accepted.  When recovering, an idempotent task may run on any
+ * worker, because its start is not logged. */
 static void
 commit_job(struct gb_core *core, struct shard *shard, const gb_job_spec *spec,
     bool recovering)
@@ -49,6 +51,9 @@
 	}
 }
 
+/** The start of a task that is not idempotent has been logged.  It is sent to
+ * the worker unless that restarted or may not get work any more.  When
+ * recovering, the task may run on that worker. */
 static void
 commit_start(struct gb_core *core, struct shard *shard, const gb_rec_task *rec,
     bool recovering)
@@ -84,6 +89,7 @@
 	worker_start(w, job, rec->id.index);
 }
 
+/** The end of a task has been logged, so the worker may drop the task. */
 static void
 commit_end(struct gb_core *core, struct shard *shard, const gb_rec_task *rec,
     bool recovering)
--- a/libgooseberry/process/link.c
+++ b/libgooseberry/process/link.c
@@ -40,7 +40,8 @@
 	return link;
 }
 
-/** Update the average use if an interval has passed. */
+/** Update the average use if an interval has passed.  After a pause in sending,
+ * the bytes count as sent within the last second. */
 static void
 link_average(struct gb_link *link, gb_time now)
 {
--- a/libgooseberry/process/loan.c
+++ b/libgooseberry/process/loan.c
@@ -231,6 +231,7 @@
 		    job->tasks[index].state != TASK_ENDED)
 			job->tasks[index].state = TASK_LENT;
 	}
+	/* Counted anew, because when recovering the tasks were not lending. */
 	for (i = 0; i < job->spec.tasks; i++)
 		job->lent += job->tasks[i].state == TASK_LENDING ||
 			     job->tasks[i].state == TASK_LENT;
@@ -382,6 +383,7 @@
 		log_append(core, shard, &record, 0);
 }
 
+/** Log the cancellation of a child job whose home job was cancelled. */
 static void
 child_cancelled(struct gb_core *core, struct shard *shard, const gb_lend *lend)
 {
@@ -428,6 +430,7 @@
 		job_task_end(core, job, i, GB_OUTCOME_RETURNED);
 }
 
+/** Send a child job's result, or give back a job that has not started. */
 static void
 child_tick(struct gb_core *core, struct job *job)
 {
--- a/libgooseberry/process/settings.c
+++ b/libgooseberry/process/settings.c
@@ -171,6 +171,7 @@
 	return false;
 }
 
+/** Read a string; one that may have up to GB_NAME_MAX characters is a name. */
 static bool
 setting_read_string(const struct check *check, const struct gb_setting *set,
     const json_t *value, char *out)
--- a/libgooseberry/process/shard.c
+++ b/libgooseberry/process/shard.c
@@ -282,6 +282,7 @@
 	return before;
 }
 
+/** End of the write that claims a shard: load it if the write took effect. */
 static void
 shard_acquired(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
@@ -315,6 +316,8 @@
 	recover_start(core, shard);
 }
 
+/** Claim a shard with the next epoch, if neither its row nor the view has
+ * changed. */
 static void
 shard_acquire(struct gb_core *core, struct shard *shard)
 {
@@ -336,6 +339,8 @@
 	store_op_txn(core, &txn, shard_acquired, shard->id, 0);
 }
 
+/** Claim a vacant shard once the members that rank before this one have had
+ * time to do so. */
 static void
 shard_try_acquire(struct gb_core *core, struct shard *shard)
 {
@@ -354,6 +359,7 @@
 
 /* Handover of a shard */
 
+/** End of the write that hands a shard over. */
 static void
 shard_handover_written(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
@@ -376,6 +382,8 @@
 	}
 }
 
+/** Remove the owner from a shard's row once no record and no request of the
+ * shard is pending or in flight. */
 static void
 shard_handover_write(struct gb_core *core, struct shard *shard)
 {
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -525,6 +525,7 @@
 		xdr_free((xdrproc_t)xdr_gb_start,
 		    (char *)&w->next_sync.starts.starts_val[i]);
 	w->next_sync.starts.starts_len = 0;
+	/* Backwards, because the last task moves into a lost one's place. */
 	for (i = w->task_count; i > 0; i--) {
 		struct task_ref ref;
 		struct task *task;
@@ -579,6 +580,7 @@
 	foreign.slots += requests;
 	foreign.conns += requests;
 	w->foreign = foreign;
+	/* Backwards, because the last task moves into a lost one's place. */
 	for (i = w->task_count; i > 0; i--) {
 		struct task_ref ref;
 		struct task *task;
