--- a/libgooseberry/process/core.c
+++ b/libgooseberry/process/core.c
@@ -141,7 +141,7 @@
 	for (i = 0; i < core->worker_count; i++) {
 		const struct worker *w = core->workers[i];
 
-		if (w->evidence != EVIDENCE_GONE)
+		if (w->evidence != EVIDENCE_TERMINATED)
 			gb_res_add(&w->shard->total, &w->capacity);
 	}
 	for (i = 0; i < core->shard_count; i++) {
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -230,11 +230,11 @@
 /** What is known about the tasks that earlier owners of the shard started on a
  * worker. */
 enum evidence {
-	EVIDENCE_UNKNOWN, /**< they may still run */
-	EVIDENCE_FENCED,  /**< it reported to this owner, earlier ones are
-			   * fenced */
-	EVIDENCE_LAPSED,  /**< its lease has lapsed, so it runs none */
-	EVIDENCE_GONE	  /**< its instance has terminated */
+	EVIDENCE_UNKNOWN,   /**< they may still run */
+	EVIDENCE_FENCED,    /**< it reported to this owner, earlier ones are
+			     * fenced */
+	EVIDENCE_LAPSED,    /**< its lease has lapsed, so it runs none */
+	EVIDENCE_TERMINATED /**< its instance has terminated */
 };
 
 /** A task that counts against a worker. */
@@ -388,7 +388,7 @@
 	struct spread claim; /**< members that know of the acquisition */
 	/** Time at which the last lease that an earlier owner gave has expired,
 	 * 0: not known yet. */
-	gb_time prior_leases_end;
+	gb_time leases_end;
 	struct log log;
 	struct gb_index *index; /**< placement index, while it is owned */
 	struct job *jobs;
@@ -649,7 +649,7 @@
  * worker on which several different jobs in a row have failed. */
 void worker_outcome_record(
     struct gb_core *, struct worker *, uint64_t job, bool failed);
-/** Apply the shard's prior_leases_end to workers that have not reported. */
+/** Apply the shard's leases_end to its workers that have not reported yet. */
 void worker_prior_leases_bound(struct gb_core *, struct shard *);
 /** Called when the snapshot and log of a shard have been read. */
 void worker_shard_loaded(struct gb_core *, struct shard *);
--- a/libgooseberry/process/job_command.c
+++ b/libgooseberry/process/job_command.c
@@ -136,7 +136,7 @@
 	for (i = 0; i < core->worker_count; i++) {
 		const struct worker *w = core->workers[i];
 
-		if (w->evidence != EVIDENCE_GONE &&
+		if (w->evidence != EVIDENCE_TERMINATED &&
 		    (spec->pool[0] == '\0' ||
 			strcmp(spec->pool, w->pool) == 0) &&
 		    gb_res_fits(&spec->res, &w->capacity))
--- a/libgooseberry/process/job_record.c
+++ b/libgooseberry/process/job_record.c
@@ -181,7 +181,7 @@
 			else if (task->state == TASK_PENDING)
 				job_task_ready(core, job, i);
 			else if (task->state == TASK_UNCERTAIN && w != NULL &&
-				 w->evidence == EVIDENCE_GONE)
+				 w->evidence == EVIDENCE_TERMINATED)
 				job_task_lost(core, job, i, false);
 		}
 	}
--- a/libgooseberry/process/shard.c
+++ b/libgooseberry/process/shard.c
@@ -305,7 +305,7 @@
 	snprintf(shard->member, sizeof(shard->member), "%s", core->cfg.member);
 	shard->claim.vers = result->vers;
 	shard->claim.known_at = 0;
-	shard->prior_leases_end = 0;
+	shard->leases_end = 0;
 	shard->index = gb_index_new();
 	shard->state = SHARD_LOADING;
 	core->stats.takeovers++;
@@ -467,12 +467,10 @@
 {
 	gb_time lease = core->cfg.lease_us;
 
-	if (shard->prior_leases_end != 0 ||
-	    !member_spread_known(core, &shard->claim))
+	if (shard->leases_end != 0 || !member_spread_known(core, &shard->claim))
 		return;
-	shard->prior_leases_end = shard->claim.known_at + core->cfg.fresh_us +
-				  lease + lease / CLOCK_DRIFT_PART +
-				  core->cfg.margin_us;
+	shard->leases_end = shard->claim.known_at + core->cfg.fresh_us + lease +
+			    lease / CLOCK_DRIFT_PART + core->cfg.margin_us;
 	worker_prior_leases_bound(core, shard);
 }
 
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -248,7 +248,7 @@
 	gb_record rec;
 
 	worker_process_ended(core, w, w->seq + 1, false);
-	worker_evidence(core, w, EVIDENCE_GONE);
+	worker_evidence(core, w, EVIDENCE_TERMINATED);
 	if (!w->durable || shard->state != SHARD_ACTIVE)
 		return;
 	memset(&rec, 0, sizeof(rec));
@@ -297,8 +297,7 @@
 static gb_time
 worker_prior_lease_end(const struct shard *shard)
 {
-	return shard->prior_leases_end == 0 ? INT64_MAX
-					    : shard->prior_leases_end;
+	return shard->leases_end == 0 ? INT64_MAX : shard->leases_end;
 }
 
 /** Latest end, on this process's clock, of a lease whose anchor is the worker's
@@ -325,7 +324,7 @@
 		w->lapse_at = worker_prior_lease_end(w->shard);
 		w->shard->reconciled = false;
 	}
-	if (w->evidence == EVIDENCE_GONE)
+	if (w->evidence == EVIDENCE_TERMINATED)
 		return;
 	snprintf(w->addr, sizeof(w->addr), "%s", in->addr);
 	w->platform = in->state;
@@ -366,7 +365,7 @@
 		return;
 	w->durable = false;
 	w->platform = GB_INSTANCE_GONE;
-	w->evidence = EVIDENCE_GONE;
+	w->evidence = EVIDENCE_TERMINATED;
 }
 
 void
@@ -380,7 +379,7 @@
 
 		w->lapse_at = worker_prior_lease_end(shard);
 		if (w->platform == GB_INSTANCE_GONE &&
-		    w->evidence != EVIDENCE_GONE)
+		    w->evidence != EVIDENCE_TERMINATED)
 			worker_removed(core, w);
 		worker_index(core, w);
 	}
@@ -395,7 +394,7 @@
 		struct worker *w = core->workers[shard->workers[i]];
 
 		if (w->evidence == EVIDENCE_UNKNOWN)
-			w->lapse_at = shard->prior_leases_end;
+			w->lapse_at = shard->leases_end;
 	}
 }
 
@@ -423,7 +422,7 @@
 		w->add_pending = false;
 		w->quarantined = false;
 		w->failures = 0;
-		if (w->evidence != EVIDENCE_GONE)
+		if (w->evidence != EVIDENCE_TERMINATED)
 			w->evidence = EVIDENCE_UNKNOWN;
 		worker_next_sync_clear(w);
 	}
@@ -441,7 +440,7 @@
 	for (i = 0; i < w->shard->worker_count; i++) {
 		const struct worker *o = core->workers[w->shard->workers[i]];
 
-		if (o->evidence == EVIDENCE_GONE)
+		if (o->evidence == EVIDENCE_TERMINATED)
 			continue;
 		present++;
 		if (o->quarantined)
@@ -650,7 +649,7 @@
 	if (w == NULL || !w->syncing || w->seq != seq)
 		return;
 	w->syncing = false;
-	if (res == NULL || w->evidence == EVIDENCE_GONE)
+	if (res == NULL || w->evidence == EVIDENCE_TERMINATED)
 		return;
 	if (res->refused || res->epoch != w->shard->epoch) {
 		worker_sync_rejected(core, w, res);
@@ -690,7 +689,7 @@
 
 	if (shard->state != SHARD_ACTIVE && shard->state != SHARD_HANDING)
 		return;
-	if (w->evidence == EVIDENCE_GONE)
+	if (w->evidence == EVIDENCE_TERMINATED)
 		return;
 	if (w->quarantined && core->now >= w->probe_at) {
 		w->quarantined = false;
