--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -13,6 +13,7 @@
 
 #include "gooseberry.h"
 
+/* Keys of rows in the table service, and their prefixes. */
 #define CELL_PREFIX "cell/"
 #define HEAD_KEY "cell/head"
 #define VIEW_KEY "cell/view"
@@ -462,8 +463,8 @@
 	bool rows_stale;    /**< the next poll reads all rows */
 	bool poll_again;    /**< poll again at once when this poll ends */
 	gb_time view_due_since; /**< time since which a new view is due */
-	bool
-	    row_pending; /**< a write of a view or a row to join is in flight */
+	/** A write of a view, or of the row that asks to join, is in flight. */
+	bool row_pending;
 	gb_time row_retry_at;
 	uint64_t head_seen; /**< version of the head row at the last poll */
 	/** Version of the head row that the poll in progress has read. */
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -105,7 +105,7 @@
 	}
 }
 
-/** Make room for one more item in an array. */
+/** Grow an array if it has no space for one more item. */
 static void *
 array_grow(void *list, u_int count, u_int *size, size_t item)
 {
@@ -301,7 +301,7 @@
 }
 
 /** Latest end, on this process's clock, of a lease whose anchor is the worker's
- * clock in a report that arrived now or earlier. */
+ * clock in a report that arrived at the time now. */
 static gb_time
 worker_lease_end(const struct gb_core *core, gb_time now)
 {
@@ -430,6 +430,7 @@
 
 /* Quarantine */
 
+/** Whether one more worker of this worker's shard may be quarantined. */
 static bool
 worker_may_quarantine(struct gb_core *core, const struct worker *w)
 {
