--- a/libgooseberry/process/job.c
+++ b/libgooseberry/process/job.c
@@ -1,10 +1,10 @@
 /**
  * @file job.c
- * Jobs and their tasks: what waits, what is placed, what workers report.
+ * State of jobs and their tasks: queue, placement, reports of workers.
  *
- * An idempotent task starts as soon as it is placed, and where it runs is
- * learned from the workers after a takeover.  A non-idempotent task starts
- * only after its start is in the log, so that it is never started twice.
+ * An idempotent task starts as soon as it is placed; after a takeover the
+ * reports of the workers show where it runs.  A non-idempotent task starts only
+ * after its start has been committed to the log, so that it never starts twice.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,8 +12,11 @@
 #include "core.h"
 
 #define RETRY_BASE (200 * GB_MSEC)
-#define RETRY_MOST (60 * GB_SEC)
+#define RETRY_MAX (60 * GB_SEC)
+/** A job is removed this long after its end. */
 #define ENDED_KEEP (3600 * GB_SEC)
+/** The epoch is in the high bits of an attempt's number, so that an owner never
+ * uses a number of an earlier owner. */
 #define ATTEMPT_EPOCH_SHIFT 12
 
 uint64_t
@@ -45,7 +48,7 @@
 	job->queued = false;
 }
 
-/** Latest moment at which a gang may start and still end in time. */
+/** Latest time at which a gang can start and still meet its deadline. */
 static int64_t
 job_latest_start(const struct job *job)
 {
@@ -54,6 +57,7 @@
 	return job->spec.deadline_us - job->spec.run_us;
 }
 
+/** Add a job to its team's queue, gangs in the order of their latest start. */
 static void
 job_enqueue(struct gb_core *core, struct job *job)
 {
@@ -79,11 +83,12 @@
 	TAILQ_INSERT_TAIL(queue, job, queue);
 }
 
+/** Keep a job out of the queue for a random, exponentially growing time. */
 static void
 job_back_off(struct gb_core *core, struct job *job, unsigned int failures)
 {
 	gb_time delay =
-	    gb_retry_delay(&core->retry, failures, RETRY_BASE, RETRY_MOST);
+	    gb_retry_delay(&core->retry, failures, RETRY_BASE, RETRY_MAX);
 
 	job_dequeue(job);
 	if (!job->backing_off)
@@ -105,7 +110,7 @@
 	job_enqueue(core, job);
 }
 
-/* Life of a job */
+/* Creation and end of a job */
 
 struct job *
 job_new(struct gb_core *core, struct shard *shard, const gb_job_spec *spec)
@@ -121,13 +126,13 @@
 	job->tasks = gb_calloc(spec->tasks, sizeof(struct task));
 	job->ready = gb_calloc(spec->tasks, sizeof(uint32_t));
 	job->accepted_at = core->now;
-	job->lend_at = core->now;
+	job->lend_not_before = core->now;
 	TAILQ_INIT(&job->loans);
 	for (i = 0; i < spec->tasks; i++)
 		job->tasks[i].worker = GB_NONE;
 	HASH_ADD(hh, shard->jobs, id, sizeof(job->id), job);
 	if (spec->parent != 0)
-		shard->lending++;
+		shard->loan_count++;
 	return job;
 }
 
@@ -150,10 +155,10 @@
 		TAILQ_REMOVE(&job->shard->backoff, job, backoff);
 	if (job->ended_at != 0)
 		TAILQ_REMOVE(&job->shard->ended, job, queue);
-	if (job->shard->holder == job)
-		job->shard->holder = NULL;
+	if (job->shard->reserved_gang == job)
+		job->shard->reserved_gang = NULL;
 	if (job->spec.parent != 0)
-		job->shard->lending--;
+		job->shard->loan_count--;
 	HASH_DEL(job->shard->jobs, job);
 	xdr_free((xdrproc_t)xdr_gb_job_spec, (char *)&job->spec);
 	free(job->tasks);
@@ -175,15 +180,14 @@
 	if (job->backing_off)
 		TAILQ_REMOVE(&job->shard->backoff, job, backoff);
 	job->backing_off = false;
-	if (job->shard->holder == job)
-		job->shard->holder = NULL;
+	if (job->shard->reserved_gang == job)
+		job->shard->reserved_gang = NULL;
 	job->ended_at = core->now;
 	TAILQ_INSERT_TAIL(&job->shard->ended, job, queue);
 }
 
 /* Tasks */
 
-/** Stop counting a task's resources against its worker and team. */
 void
 job_task_release(struct gb_core *core, struct job *job, uint32_t index)
 {
@@ -199,7 +203,7 @@
 }
 
 void
-job_task_hold(
+job_task_assign(
     struct gb_core *core, struct job *job, uint32_t index, struct worker *w)
 {
 	job->tasks[index].worker = w->handle;
@@ -209,7 +213,8 @@
 	job->active++;
 }
 
-/** A gang whose part is lost starts anew as a whole, once all has stopped. */
+/** Stop all tasks of a gang that has lost one; when the last has stopped, the
+ * whole gang starts again. */
 static void
 gang_restart(struct gb_core *core, struct job *job)
 {
@@ -218,14 +223,15 @@
 	job->restarting = true;
 	job_dequeue(job);
 	for (i = 0; i < job->spec.tasks; i++)
-		job_stop_task(core, job, i);
+		job_task_stop(core, job, i);
 }
 
+/** Queue a restarting gang again if none of its tasks may still run. */
 static void
-gang_settle(struct gb_core *core, struct job *job)
+gang_requeue_if_stopped(struct gb_core *core, struct job *job)
 {
 	uint32_t i;
-	uint32_t still = 0;
+	uint32_t not_stopped = 0;
 
 	if (!job->restarting)
 		return;
@@ -234,9 +240,9 @@
 
 		if (state != TASK_PENDING && state != TASK_ENDED &&
 		    state != TASK_ENDING)
-			still++;
+			not_stopped++;
 	}
-	if (still > 0)
+	if (not_stopped > 0)
 		return;
 	job->restarting = false;
 	job_enqueue(core, job);
@@ -264,12 +270,11 @@
 	rec->incarnation = task->incarnation;
 	rec->outcome = outcome;
 	log_append(core, job->shard, &record, 0);
-	gang_settle(core, job);
+	gang_requeue_if_stopped(core, job);
 }
 
-/** A task may start anew, or must end because nothing may run it again. */
 void
-job_task_again(
+job_task_retry_or_end(
     struct gb_core *core, struct job *job, uint32_t index, bool never_started)
 {
 	if (job->cancelled) {
@@ -278,7 +283,7 @@
 		job_task_ready(core, job, index);
 		if (job->spec.gang && !job->restarting && job->active > 0)
 			gang_restart(core, job);
-		gang_settle(core, job);
+		gang_requeue_if_stopped(core, job);
 	} else {
 		job_task_end(core, job, index, GB_OUTCOME_MAYBE_RUN);
 	}
@@ -294,11 +299,11 @@
 	job_task_release(core, job, index);
 	if (stopping && job->shard->preempting > 0)
 		job->shard->preempting--;
-	job_task_again(core, job, index, never_started);
+	job_task_retry_or_end(core, job, index, never_started);
 }
 
 void
-job_stop_task(struct gb_core *core, struct job *job, uint32_t index)
+job_task_stop(struct gb_core *core, struct job *job, uint32_t index)
 {
 	struct task *task = &job->tasks[index];
 	struct worker *w = worker_get(core, task->worker);
@@ -312,18 +317,19 @@
 }
 
 void
-job_place(
+job_task_place(
     struct gb_core *core, struct job *job, uint32_t index, struct worker *w)
 {
 	struct task *task = &job->tasks[index];
-	uint32_t least =
+	uint32_t attempt_min =
 	    (uint32_t)(job->shard->epoch << ATTEMPT_EPOCH_SHIFT) + 1;
 	gb_record record;
 	gb_rec_task *rec;
 
-	task->attempt = task->attempt < least ? least : task->attempt + 1;
+	task->attempt =
+	    task->attempt < attempt_min ? attempt_min : task->attempt + 1;
 	task->since = core->now;
-	job_task_hold(core, job, index, w);
+	job_task_assign(core, job, index, w);
 	core->stats.starts++;
 	if (job->first_start == 0)
 		job->first_start = core->now;
@@ -357,9 +363,9 @@
 	if (job == NULL || held->id.index >= job->spec.tasks)
 		return NULL;
 	task = &job->tasks[held->id.index];
-	/* An attempt that has stopped here says nothing of a later one that
-	 * may run elsewhere. */
-	if (task->state == TASK_UNSURE && task->worker == GB_NONE &&
+	/* That an attempt has stopped on this worker does not show that no
+	 * later attempt runs on another. */
+	if (task->state == TASK_UNCERTAIN && task->worker == GB_NONE &&
 	    (held->state == GB_HELD_RUNNING || held->state == GB_HELD_OK))
 		return task;
 	if (task->worker != w->handle || task->attempt != held->id.attempt ||
@@ -368,7 +374,7 @@
 	return task;
 }
 
-/** Count a failed attempt; true when it was the last. */
+/** Count a failed attempt.  Returns true if the task has ended. */
 static bool
 task_failed(struct gb_core *core, struct job *job, uint32_t index)
 {
@@ -384,8 +390,9 @@
 	return false;
 }
 
-/* A task that takes its worker down would be started for ever, and end what
- * else runs there each time: a restart counts as an attempt. */
+/* A restart of the worker counts as a failed attempt.  Otherwise a task that
+ * crashes its worker would be started forever, and would end the other tasks of
+ * a worker each time. */
 void
 job_task_crashed(struct gb_core *core, struct job *job, uint32_t index)
 {
@@ -398,9 +405,10 @@
 	}
 	job_task_release(core, job, index);
 	if (!task_failed(core, job, index))
-		job_task_again(core, job, index, false);
+		job_task_retry_or_end(core, job, index, false);
 }
 
+/** Apply a worker's report that an attempt has ended. */
 static void
 task_reported_end(struct gb_core *core, struct job *job, uint32_t index,
     struct worker *w, const gb_held *held)
@@ -414,11 +422,11 @@
 		job->shard->preempting--;
 	switch (held->state) {
 	case GB_HELD_OK:
-		worker_blame(core, w, job->id, false);
+		worker_outcome_record(core, w, job->id, false);
 		job_task_end(core, job, index, GB_OUTCOME_OK);
 		return;
 	case GB_HELD_FAILED:
-		worker_blame(core, w, job->id, true);
+		worker_outcome_record(core, w, job->id, true);
 		if (task_failed(core, job, index))
 			return;
 		break;
@@ -428,7 +436,7 @@
 		break;
 	}
 	worker_ack(w, &held->id);
-	job_task_again(core, job, index, held->state == GB_HELD_REFUSED);
+	job_task_retry_or_end(core, job, index, held->state == GB_HELD_REFUSED);
 }
 
 void
@@ -439,12 +447,13 @@
 
 	if (task->state == TASK_ENDING)
 		return;
-	if (task->state == TASK_UNSURE) {
+	if (task->state == TASK_UNCERTAIN) {
+		/* An earlier owner started it on this worker. */
 		task->attempt = held->id.attempt;
 		if (task->worker == GB_NONE)
-			job_task_hold(core, job, index, w);
+			job_task_assign(core, job, index, w);
 		task->state = TASK_RUNNING;
-		task->seen = w->reports;
+		task->last_report = w->reports;
 	}
 	if (held->state != GB_HELD_RUNNING) {
 		task_reported_end(core, job, index, w, held);
@@ -455,20 +464,24 @@
 		task->since = core->now;
 	}
 	if (job->cancelled || job->restarting)
-		job_stop_task(core, job, index);
+		job_task_stop(core, job, index);
+	/* The sync with the stop may have been lost: send it again. */
 	if (task->state == TASK_STOPPING &&
 	    core->now - task->since > core->cfg.sync_us) {
 		task->since = core->now;
 		worker_stop(w, job, index);
 	}
 	if (job->derived)
-		service_task_seen(core, job, index, held->vers);
+		service_task_reported(core, job, index, held->vers);
 }
 
-/* Time */
+/* Periodic work */
 
+/** Log the removal of the job that ended first, if it has been kept long
+ * enough.  The job moves to the end of the list, so that its removal is not
+ * logged again while the record is in flight. */
 static void
-job_forget_old(struct gb_core *core, struct shard *shard)
+job_remove_old(struct gb_core *core, struct shard *shard)
 {
 	struct job *job = TAILQ_FIRST(&shard->ended);
 	gb_record record;
@@ -500,5 +513,5 @@
 		job_enqueue(core, job);
 	}
 	loan_tick(core, shard);
-	job_forget_old(core, shard);
+	job_remove_old(core, shard);
 }
--- a/libgooseberry/process/job_record.c
+++ b/libgooseberry/process/job_record.c
@@ -1,12 +1,14 @@
 /**
  * @file job_record.c
- * What the records of a shard's log do to its jobs, when they are committed
+ * Applies the records of a shard's log to its jobs, when they are committed
  * and when they are read again after a takeover.
  */
 #include "core.h"
 
 /* Records */
 
+/** A job was accepted.  When recovering, an idempotent task may run on any
+ * worker, because its start is not logged. */
 static void
 commit_job(struct gb_core *core, struct shard *shard, const gb_job_spec *spec,
     bool recovering)
@@ -21,12 +23,12 @@
 		if (!recovering)
 			job_task_ready(core, job, i);
 		else if (spec->idempotent)
-			job->tasks[i].state = TASK_UNSURE;
+			job->tasks[i].state = TASK_UNCERTAIN;
 	}
 }
 
-/** Cancelling costs each task that waits a record, and each that runs a
- * stop. */
+/** Cancel a job.  Each waiting task needs a record of its end, each running one
+ * a stop. */
 static void
 commit_cancel(
     struct gb_core *core, struct shard *shard, uint64_t id, bool recovering)
@@ -45,10 +47,13 @@
 		if (job->tasks[i].state == TASK_PENDING)
 			job_task_end(core, job, i, GB_OUTCOME_CANCELLED);
 		else
-			job_stop_task(core, job, i);
+			job_task_stop(core, job, i);
 	}
 }
 
+/** The start of a task that is not idempotent has been logged.  It is sent to
+ * the worker unless that restarted or may not get work any more.  When
+ * recovering, the task may run on that worker. */
 static void
 commit_start(struct gb_core *core, struct shard *shard, const gb_rec_task *rec,
     bool recovering)
@@ -64,12 +69,12 @@
 	if (recovering) {
 		if (task->worker != GB_NONE)
 			job_task_release(core, job, rec->id.index);
-		task->state = TASK_UNSURE;
+		task->state = TASK_UNCERTAIN;
 		task->attempt = rec->id.attempt;
 		task->incarnation = rec->incarnation;
 		task->worker = GB_NONE;
 		if (w != NULL)
-			job_task_hold(core, job, rec->id.index, w);
+			job_task_assign(core, job, rec->id.index, w);
 		return;
 	}
 	if (task->state != TASK_COMMITTING ||
@@ -84,6 +89,7 @@
 	worker_start(w, job, rec->id.index);
 }
 
+/** The end of a task has been logged, so the worker may drop the task. */
 static void
 commit_end(struct gb_core *core, struct shard *shard, const gb_rec_task *rec,
     bool recovering)
@@ -134,10 +140,11 @@
 		commit_end(core, shard, &record->gb_record_u.end, recovering);
 		break;
 	case GB_REC_WORKER:
-		worker_durable(core, shard, &record->gb_record_u.worker);
+		worker_addition_committed(
+		    core, shard, &record->gb_record_u.worker);
 		break;
 	case GB_REC_WORKER_GONE:
-		worker_gone_committed(core, shard, record->gb_record_u.gone);
+		worker_removal_committed(core, shard, record->gb_record_u.gone);
 		break;
 	case GB_REC_LEND:
 		loan_commit(core, shard, &record->gb_record_u.lend);
@@ -173,14 +180,15 @@
 				    core, job, i, GB_OUTCOME_CANCELLED);
 			else if (task->state == TASK_PENDING)
 				job_task_ready(core, job, i);
-			else if (task->state == TASK_UNSURE && w != NULL &&
-				 w->evidence == EVIDENCE_GONE)
+			else if (task->state == TASK_UNCERTAIN && w != NULL &&
+				 w->evidence == EVIDENCE_TERMINATED)
 				job_task_lost(core, job, i, false);
 		}
 	}
 }
 
-/** Whether no worker of the shard can still hold a task unseen. */
+/** Whether there is evidence on every worker of the shard, so that none can
+ * still run a task that it has not reported. */
 static bool
 shard_reconciled(struct gb_core *core, const struct shard *shard)
 {
@@ -195,7 +203,7 @@
 }
 
 void
-job_settle(struct gb_core *core, struct shard *shard)
+job_reconcile(struct gb_core *core, struct shard *shard)
 {
 	struct job *job;
 	struct job *next;
@@ -207,9 +215,9 @@
 	HASH_ITER(hh, shard->jobs, job, next)
 	{
 		for (i = 0; i < job->spec.tasks; i++) {
-			if (job->tasks[i].state == TASK_UNSURE &&
+			if (job->tasks[i].state == TASK_UNCERTAIN &&
 			    job->tasks[i].worker == GB_NONE)
-				job_task_again(
+				job_task_retry_or_end(
 				    core, job, i, job->spec.idempotent);
 		}
 	}
--- a/libgooseberry/process/loan.c
+++ b/libgooseberry/process/loan.c
@@ -1,31 +1,36 @@
 /**
  * @file loan.c
- * Work that crosses shards.  A job's home shard lends tasks that find no room
- * to a shard that has some.  Both sides log what they agree before they tell
- * each other: the home logs the loan before the offer, the other shard logs a
- * child job before it answers, logs its end before the result, and the home
- * logs that before it settles.  Every message follows from a committed record,
- * so it does no harm if it comes late, twice, or from an owner that has been
- * fenced; whatever is not answered is sent again.
+ * Loans of tasks between shards.  The home shard of a job lends tasks that find
+ * no worker there to a shard with free capacity, which runs them as a child
+ * job.
+ *
+ * Each side commits a step to its log before it sends the message for it: the
+ * home logs the loan before it sends the offer, the other shard logs the child
+ * job before it accepts and the job's end before it sends the result, and the
+ * home logs the result before it acknowledges it.  Every message follows from a
+ * committed record, so it is harmless if it arrives late, twice, or from an
+ * owner that has been fenced.  A message without an answer is sent again.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "core.h"
 
-/** A job waits this long for its home shard before its tasks are lent. */
+/** A job without free capacity waits this long in its home shard before its
+ * tasks are lent. */
 #define LEND_AFTER (300 * GB_MSEC)
-/** A child that has not started by then is given back. */
-#define RETURN_AFTER (3 * GB_SEC)
-/** Tasks that came back are not lent again before. */
-#define LEND_AGAIN (2 * GB_SEC)
-#define TELL_EVERY (500 * GB_MSEC)
-/** An offer this old may be of a loan that is settled and forgotten. */
-#define OFFER_OLD (600 * GB_SEC)
+/** A child job of which no task has started after this time is given back. */
+#define CHILD_RETURN_AFTER (3 * GB_SEC)
+/** A job's tasks are not lent again within this time after a loan or return. */
+#define LEND_RETRY (2 * GB_SEC)
+/** A message about a loan is repeated at this interval until it is answered. */
+#define LEND_RESEND_INTERVAL (500 * GB_MSEC)
+/** Older offers are ignored: the loan may have ended and been removed since. */
+#define OFFER_AGE_MAX (600 * GB_SEC)
 
 /* Messages */
 
-/** Address of the live owner of a shard, or null. */
+/** Address of the owner of a shard, or null if none is known. */
 static const char *
 shard_owner_addr(struct gb_core *core, uint32_t shard)
 {
@@ -48,8 +53,10 @@
 	return addr;
 }
 
+/** Send a message about a loan to the owner of a shard.  Returns the message,
+ * to be filled in further, or null if the shard has no known owner. */
 static gb_lend *
-lend_tell(struct gb_core *core, gb_lend_kind kind, uint32_t from, uint32_t to,
+lend_send(struct gb_core *core, gb_lend_kind kind, uint32_t from, uint32_t to,
     uint64_t parent, uint64_t child)
 {
 	const char *addr = shard_owner_addr(core, to);
@@ -80,7 +87,7 @@
 loan_free(struct job *job, struct loan *loan)
 {
 	TAILQ_REMOVE(&job->loans, loan, next);
-	job->shard->lending--;
+	job->shard->loan_count--;
 	free(loan->tasks);
 	free(loan);
 }
@@ -108,8 +115,9 @@
 	return NULL;
 }
 
+/** Whether tasks of a job may be lent to a shard. */
 static bool
-lender_allowed(
+borrower_allowed(
     const struct gb_core *core, const struct job *job, uint32_t shard)
 {
 	uint32_t dc = shard / core->cfg.shards_per_dc;
@@ -118,33 +126,34 @@
 	       (job->spec.dcs == 0 || (job->spec.dcs & (1u << dc)) != 0);
 }
 
-/** What is known of the best shard to lend to. */
-struct lender {
+/** Shard that may borrow tasks, with its free slots. */
+struct borrower {
 	uint32_t shard;
 	uint32_t slots;
 };
 
 static void
-lender_rate(const struct gb_core *core, const struct job *job, uint32_t shard,
-    uint32_t slots, struct lender *best)
+borrower_consider(const struct gb_core *core, const struct job *job,
+    uint32_t shard, uint32_t slots, struct borrower *best)
 {
-	if (slots > best->slots && lender_allowed(core, job, shard)) {
+	if (slots > best->slots && borrower_allowed(core, job, shard)) {
 		best->shard = shard;
 		best->slots = slots;
 	}
 }
 
-static struct lender
-lender_find(struct gb_core *core, const struct job *job)
+/** Allowed shard with the most free slots; 0 slots if there is none. */
+static struct borrower
+borrower_find(struct gb_core *core, const struct job *job)
 {
-	struct lender best = {GB_NONE, 0};
+	struct borrower best = {GB_NONE, 0};
 	struct member *m;
 	uint32_t i;
 	u_int n;
 
 	for (i = 0; i < core->shard_count; i++) {
 		if (core->shards[i].state == SHARD_ACTIVE)
-			lender_rate(
+			borrower_consider(
 			    core, job, i, core->shards[i].free_slots, &best);
 	}
 	for (m = core->members; m != NULL; m = m->hh.next) {
@@ -152,7 +161,7 @@
 			continue;
 		for (n = 0; n < m->claim_count; n++) {
 			if (m->claims[n].active)
-				lender_rate(core, job, m->claims[n].shard,
+				borrower_consider(core, job, m->claims[n].shard,
 				    m->claims[n].free_slots, &best);
 		}
 	}
@@ -160,9 +169,9 @@
 }
 
 void
-loan_consider(struct gb_core *core, struct shard *shard, struct job *job)
+loan_try(struct gb_core *core, struct shard *shard, struct job *job)
 {
-	struct lender lender;
+	struct borrower borrower;
 	gb_record record;
 	gb_loan *loan = &record.gb_record_u.lend;
 	uint32_t count = job->ready_count;
@@ -172,18 +181,18 @@
 	    (job->reason != WAIT_CAPACITY && job->reason != WAIT_PLACEMENT) ||
 	    (job->reason == WAIT_CAPACITY &&
 		core->now - job->accepted_at < LEND_AFTER) ||
-	    core->now < job->lend_at || !member_store_fresh(core))
+	    core->now < job->lend_not_before || !member_store_fresh(core))
 		return;
-	lender = lender_find(core, job);
-	if (lender.slots == 0 || (job->spec.gang && lender.slots < count))
+	borrower = borrower_find(core, job);
+	if (borrower.slots == 0 || (job->spec.gang && borrower.slots < count))
 		return;
-	if (count > lender.slots)
-		count = lender.slots;
+	if (count > borrower.slots)
+		count = borrower.slots;
 	memset(&record, 0, sizeof(record));
 	record.type = GB_REC_LEND;
 	loan->job = job->id;
 	loan->child = gb_random_next(&core->seed);
-	loan->shard = lender.shard;
+	loan->shard = borrower.shard;
 	loan->tasks.tasks_len = count;
 	loan->tasks.tasks_val = gb_calloc(count, sizeof(uint32_t));
 	for (i = 0; i < count; i++) {
@@ -192,7 +201,7 @@
 		loan->tasks.tasks_val[i] = index;
 		job->tasks[index].state = TASK_LENDING;
 	}
-	job->lend_at = core->now + LEND_AGAIN;
+	job->lend_not_before = core->now + LEND_RETRY;
 	job->lent += count;
 	core->stats.lent += count;
 	log_append(core, shard, &record, 0);
@@ -222,16 +231,17 @@
 		    job->tasks[index].state != TASK_ENDED)
 			job->tasks[index].state = TASK_LENT;
 	}
+	/* Counted anew, because when recovering the tasks were not lending. */
 	for (i = 0; i < job->spec.tasks; i++)
 		job->lent += job->tasks[i].state == TASK_LENDING ||
 			     job->tasks[i].state == TASK_LENT;
 	TAILQ_INSERT_TAIL(&job->loans, loan, next);
-	shard->lending++;
+	shard->loan_count++;
 }
 
-/** Whether nothing of a loan is out any more. */
+/** Whether no task of a loan is lent any more. */
 static bool
-loan_over(const struct job *job, const struct loan *loan)
+loan_finished(const struct job *job, const struct loan *loan)
 {
 	u_int i;
 
@@ -249,12 +259,12 @@
 	struct loan *next;
 
 	(void)core;
-	/* Not lent from now on; the caller gives it its last state. */
+	/* It is no longer lent; the caller sets its final state. */
 	job->tasks[index].state = TASK_ENDING;
 	job->lent--;
 	for (loan = TAILQ_FIRST(&job->loans); loan != NULL; loan = next) {
 		next = TAILQ_NEXT(loan, next);
-		if (loan_over(job, loan))
+		if (loan_finished(job, loan))
 			loan_free(job, loan);
 	}
 }
@@ -283,21 +293,22 @@
 			job_task_ready(core, job, index);
 	}
 	loan_free(job, loan);
-	job->lend_at = core->now + LEND_AGAIN;
+	job->lend_not_before = core->now + LEND_RETRY;
 }
 
+/** Send the offer of a loan until it is accepted, or its cancellation. */
 static void
-loan_tell(struct gb_core *core, struct job *job, struct loan *loan)
+loan_send(struct gb_core *core, struct job *job, struct loan *loan)
 {
 	gb_job_spec spec = job->spec;
 	gb_lend *lend;
 
-	if (core->now < loan->tell_at || (loan->taken && !job->cancelled))
+	if (core->now < loan->send_at || (loan->accepted && !job->cancelled))
 		return;
-	loan->tell_at = core->now + TELL_EVERY;
-	lend = lend_tell(core, loan->taken ? GB_LEND_CANCEL : GB_LEND_OFFER,
+	loan->send_at = core->now + LEND_RESEND_INTERVAL;
+	lend = lend_send(core, loan->accepted ? GB_LEND_CANCEL : GB_LEND_OFFER,
 	    job->shard->id, loan->shard, job->id, loan->child);
-	if (lend == NULL || loan->taken)
+	if (lend == NULL || loan->accepted)
 		return;
 	xdr_free((xdrproc_t)xdr_gb_job_spec, (char *)&lend->spec);
 	spec.id = loan->child;
@@ -308,7 +319,8 @@
 	    (xdrproc_t)xdr_gb_job_spec, &spec, &lend->spec, sizeof(spec));
 }
 
-/** The other shard's tasks have ended, or it gives them back. */
+/** Log the result of a loan: the outcomes of its tasks, or that the other shard
+ * gives them back. */
 static void
 loan_result(struct gb_core *core, struct shard *shard, const gb_lend *lend)
 {
@@ -318,15 +330,15 @@
 	u_int i;
 
 	if (loan == NULL) {
-		/* It was logged before, or the job is long forgotten. */
-		lend_tell(core, GB_LEND_SETTLED, shard->id, lend->from,
+		/* The result has been logged, or the job has been removed. */
+		lend_send(core, GB_LEND_SETTLED, shard->id, lend->from,
 		    lend->parent, lend->child);
 		return;
 	}
-	if (loan->result || lend->outcomes.outcomes_len != loan->count)
+	if (loan->result_pending || lend->outcomes.outcomes_len != loan->count)
 		return;
-	loan->result = true;
-	loan->taken = true;
+	loan->result_pending = true;
+	loan->accepted = true;
 	if (lend->outcomes.outcomes_val[0] == GB_OUTCOME_RETURNED) {
 		memset(&record, 0, sizeof(record));
 		record.type = GB_REC_UNLEND;
@@ -342,12 +354,14 @@
 			continue;
 		job_task_end(core, job, loan->tasks[i],
 		    (enum gb_outcome)lend->outcomes.outcomes_val[i]);
+		/* It stays lent until the record of its end is committed. */
 		task->state = TASK_LENT;
 	}
 }
 
-/* The other shard */
+/* Shard that borrows */
 
+/** Accept an offered loan, or confirm one that was accepted before. */
 static void
 child_offered(struct gb_core *core, struct shard *shard, const gb_lend *lend)
 {
@@ -355,11 +369,11 @@
 	gb_record record;
 
 	if (job_find(shard, lend->child) != NULL) {
-		lend_tell(core, GB_LEND_TAKEN, shard->id, lend->from,
+		lend_send(core, GB_LEND_TAKEN, shard->id, lend->from,
 		    lend->parent, lend->child);
 		return;
 	}
-	if (age > OFFER_OLD || lend->spec.id != lend->child ||
+	if (age > OFFER_AGE_MAX || lend->spec.id != lend->child ||
 	    lend->spec.tasks == 0)
 		return;
 	memset(&record, 0, sizeof(record));
@@ -369,6 +383,7 @@
 		log_append(core, shard, &record, 0);
 }
 
+/** Log the cancellation of a child job whose home job was cancelled. */
 static void
 child_cancelled(struct gb_core *core, struct shard *shard, const gb_lend *lend)
 {
@@ -383,14 +398,15 @@
 	log_append(core, shard, &record, 0);
 }
 
+/** Send the outcomes of an ended child job to its home shard. */
 static void
-child_tell(struct gb_core *core, struct job *job)
+child_result_send(struct gb_core *core, struct job *job)
 {
 	gb_lend *lend;
 	uint32_t i;
 
-	job->tell_at = core->now + TELL_EVERY;
-	lend = lend_tell(core, GB_LEND_RESULT, job->shard->id,
+	job->send_at = core->now + LEND_RESEND_INTERVAL;
+	lend = lend_send(core, GB_LEND_RESULT, job->shard->id,
 	    job->spec.parent_shard, job->spec.parent, job->id);
 	if (lend == NULL)
 		return;
@@ -401,7 +417,8 @@
 		lend->outcomes.outcomes_val[i] = job->tasks[i].outcome;
 }
 
-/** Give back a child of which nothing has started. */
+/** End a child job of which no task has started, so that its tasks go back to
+ * the home shard. */
 static void
 child_return(struct gb_core *core, struct job *job)
 {
@@ -413,15 +430,16 @@
 		job_task_end(core, job, i, GB_OUTCOME_RETURNED);
 }
 
+/** Send a child job's result, or give back a job that has not started. */
 static void
 child_tick(struct gb_core *core, struct job *job)
 {
-	if (job->settled || core->now < job->tell_at)
+	if (job->result_acked || core->now < job->send_at)
 		return;
 	if (job->ended_at != 0)
-		child_tell(core, job);
+		child_result_send(core, job);
 	else if (job->ready_count == job->spec.tasks && !job->cancelled &&
-		 core->now - job->accepted_at > RETURN_AFTER)
+		 core->now - job->accepted_at > CHILD_RETURN_AFTER)
 		child_return(core, job);
 }
 
@@ -443,7 +461,7 @@
 		job = job_find(shard, lend->parent);
 		loan = job == NULL ? NULL : loan_find(job, lend->child);
 		if (loan != NULL)
-			loan->taken = true;
+			loan->accepted = true;
 		break;
 	case GB_LEND_RESULT:
 		loan_result(core, shard, lend);
@@ -451,7 +469,7 @@
 	case GB_LEND_SETTLED:
 		job = job_find(shard, lend->child);
 		if (job != NULL)
-			job->settled = true;
+			job->result_acked = true;
 		break;
 	case GB_LEND_CANCEL:
 		child_cancelled(core, shard, lend);
@@ -466,17 +484,17 @@
 	struct job *next;
 	struct loan *loan;
 
-	if (shard->lending == 0 || core->now < shard->loans_at ||
+	if (shard->loan_count == 0 || core->now < shard->loans_due_at ||
 	    !gb_core_fresh(core, core->now))
 		return;
-	shard->loans_at = core->now + TELL_EVERY / 5;
+	shard->loans_due_at = core->now + LEND_RESEND_INTERVAL / 5;
 	HASH_ITER(hh, shard->jobs, job, next)
 	{
 		if (job->spec.parent != 0)
 			child_tick(core, job);
 		TAILQ_FOREACH(loan, &job->loans, next)
 		{
-			loan_tell(core, job, loan);
+			loan_send(core, job, loan);
 		}
 	}
 }
--- a/libgooseberry/process/log.c
+++ b/libgooseberry/process/log.c
@@ -1,12 +1,13 @@
 /**
  * @file log.c
- * A shard's log in the table service: immutable batches of records under
- * (shard, sequence), one write at a time, several records in each.
+ * A shard's log in the table service: immutable batches of records, one row
+ * each, under the shard and a sequence number.  One write is in flight at a
+ * time.
  *
- * Every write holds only while the shard's row is as this owner left it, so a
- * late owner is fenced by the service.  When the answer to a write is lost,
- * the key is read back; the same batch is written again only under the same
- * key, where it can take effect once.
+ * Every write has the condition that the shard's row is as this owner wrote it,
+ * so the service rejects the writes of an earlier owner.  When the answer to a
+ * write is lost, its row is read back.  The same batch is written again only
+ * under the same key, where it can take effect only once.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -15,9 +16,12 @@
 #include "core.h"
 
 #define LOG_RETRY_BASE (20 * GB_MSEC)
-#define LOG_RETRY_MOST GB_SEC
+#define LOG_RETRY_MAX GB_SEC
+/** A batch with this many records is written without further delay. */
 #define LOG_BATCH_MAX 4096
-#define LOG_WINDOW_LEAST (2 * GB_MSEC)
+/** Shortest time for which records are collected. */
+#define LOG_WINDOW_MIN (2 * GB_MSEC)
+/** Most log rows that the write of a snapshot removes. */
 #define SNAPSHOT_TRIM_MAX 2000
 
 void
@@ -55,8 +59,8 @@
 	struct log *log = &shard->log;
 
 	(void)core;
-	entries_free(log->next, log->next_count);
-	entries_free(log->flight, log->flight_count);
+	entries_free(log->pending, log->pending_count);
+	entries_free(log->in_flight, log->in_flight_count);
 	memset(log, 0, sizeof(*log));
 }
 
@@ -66,16 +70,16 @@
 {
 	struct log *log = &shard->log;
 
-	if (log->next_count == log->next_size) {
-		log->next_size = log->next_size * 2 + 16;
-		log->next = gb_realloc(
-		    log->next, log->next_size * sizeof(struct log_entry));
+	if (log->pending_count == log->pending_size) {
+		log->pending_size = log->pending_size * 2 + 16;
+		log->pending = gb_realloc(
+		    log->pending, log->pending_size * sizeof(struct log_entry));
 	}
-	if (log->next_count == 0)
-		log->opened = core->now;
-	log->next[log->next_count].record = *record;
-	log->next[log->next_count].answer = answer;
-	log->next_count++;
+	if (log->pending_count == 0)
+		log->first_appended_at = core->now;
+	log->pending[log->pending_count].record = *record;
+	log->pending[log->pending_count].answer = answer;
+	log->pending_count++;
 	memset(record, 0, sizeof(*record));
 }
 
@@ -86,40 +90,41 @@
 	u_int i;
 
 	(void)core;
-	for (i = 0; i < log->next_count; i++) {
-		if (log->next[i].answer != answer)
+	for (i = 0; i < log->pending_count; i++) {
+		if (log->pending[i].answer != answer)
 			continue;
 		xdr_free(
-		    (xdrproc_t)xdr_gb_record, (char *)&log->next[i].record);
-		log->next_count--;
-		memmove(&log->next[i], &log->next[i + 1],
-		    (log->next_count - i) * sizeof(struct log_entry));
+		    (xdrproc_t)xdr_gb_record, (char *)&log->pending[i].record);
+		log->pending_count--;
+		memmove(&log->pending[i], &log->pending[i + 1],
+		    (log->pending_count - i) * sizeof(struct log_entry));
 		return false;
 	}
 	return true;
 }
 
-/** A write has taken effect. */
+/** The batch in flight has been written: apply its records and answer the
+ * commands that wait for them. */
 static void
 log_committed(struct gb_core *core, struct shard *shard)
 {
 	struct log *log = &shard->log;
-	struct log_entry *done = log->flight;
-	u_int count = log->flight_count;
+	struct log_entry *committed = log->in_flight;
+	u_int count = log->in_flight_count;
 	uint64_t serial = shard->serial;
 	u_int i;
 
 	log->phase = LOG_IDLE;
 	log->tries = 0;
 	log->seq++;
-	log->flight = NULL;
-	log->flight_count = 0;
+	log->in_flight = NULL;
+	log->in_flight_count = 0;
 	core->stats.log_writes++;
 	core->stats.log_records += count;
 	for (i = 0; i < count && shard->serial == serial; i++) {
-		uint64_t answer = done[i].answer;
+		uint64_t answer = committed[i].answer;
 
-		job_commit(core, shard, &done[i].record, false);
+		job_commit(core, shard, &committed[i].record, false);
 		if (answer != 0) {
 			struct command_wait *wait;
 
@@ -129,16 +134,17 @@
 				HASH_DEL(core->commands, wait);
 				free(wait);
 				job_answer_record(
-				    core, shard, answer, &done[i].record);
+				    core, shard, answer, &committed[i].record);
 			}
 		}
 	}
 	shard->dirty = true;
-	entries_free(done, count);
+	entries_free(committed, count);
 }
 
-static void log_flight_write(struct gb_core *, struct shard *);
+static void log_batch_write(struct gb_core *, struct shard *);
 
+/** Write the batch in flight again after a delay. */
 static void
 log_retry_later(struct gb_core *core, struct shard *shard)
 {
@@ -146,9 +152,10 @@
 
 	log->phase = LOG_WAITING;
 	log->retry_at = core->now + gb_retry_delay(&core->retry, log->tries++,
-					LOG_RETRY_BASE, LOG_RETRY_MOST);
+					LOG_RETRY_BASE, LOG_RETRY_MAX);
 }
 
+/** Decide from the row that was read back whether the write took effect. */
 static void
 log_checked(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
@@ -156,7 +163,7 @@
 	struct shard *shard = &core->shards[op->shard];
 	gb_batch found;
 	gb_body body;
-	bool mine;
+	bool own;
 
 	if (shard_serial_stale(core, op))
 		return;
@@ -165,6 +172,7 @@
 		return;
 	}
 	if (result->count == 0) {
+		/* Without a row, a conflict can only be on the shard's row. */
 		if (op->ref == GB_STORE_CONFLICT)
 			shard_lose(core, shard, "its row changed");
 		else
@@ -173,24 +181,25 @@
 	}
 	memset(&found, 0, sizeof(found));
 	body = result->rows[0].value;
-	mine = gb_xdr_decode((xdrproc_t)xdr_gb_batch, &body, &found) &&
-	       found.owner == core->cfg.incarnation &&
-	       found.epoch == shard->epoch;
+	own = gb_xdr_decode((xdrproc_t)xdr_gb_batch, &body, &found) &&
+	      found.owner == core->cfg.incarnation &&
+	      found.epoch == shard->epoch;
 	xdr_free((xdrproc_t)xdr_gb_batch, (char *)&found);
-	if (mine)
+	if (own)
 		log_committed(core, shard);
 	else
 		shard_lose(core, shard, "another owner wrote its log");
 }
 
+/** Read the row of a write with an unknown result or a conflict back. */
 static void
-log_check(struct gb_core *core, struct shard *shard, gb_store_status why)
+log_check(struct gb_core *core, struct shard *shard, gb_store_status status)
 {
 	char key[GB_KEY_MAX + 1];
 
 	shard->log.phase = LOG_CHECKING;
 	log_key(key, sizeof(key), shard->id, shard->log.seq + 1);
-	store_op_scan(core, key, "", 1, log_checked, shard->id, why);
+	store_op_scan(core, key, "", 1, log_checked, shard->id, status);
 }
 
 static void
@@ -216,7 +225,7 @@
 }
 
 static void
-log_flight_write(struct gb_core *core, struct shard *shard)
+log_batch_write(struct gb_core *core, struct shard *shard)
 {
 	struct log *log = &shard->log;
 	char row[GB_KEY_MAX + 1];
@@ -229,15 +238,15 @@
 
 	batch.epoch = shard->epoch;
 	batch.owner = core->cfg.incarnation;
-	batch.records.records_len = log->flight_count;
+	batch.records.records_len = log->in_flight_count;
 	batch.records.records_val =
-	    gb_calloc(log->flight_count, sizeof(gb_record));
-	for (i = 0; i < log->flight_count; i++)
-		batch.records.records_val[i] = log->flight[i].record;
+	    gb_calloc(log->in_flight_count, sizeof(gb_record));
+	for (i = 0; i < log->in_flight_count; i++)
+		batch.records.records_val[i] = log->in_flight[i].record;
 	ok = gb_xdr_encode((xdrproc_t)xdr_gb_batch, &batch, &body);
 	free(batch.records.records_val);
 	if (!ok) {
-		shard_lose(core, shard, "a record cannot be coded");
+		shard_lose(core, shard, "a record cannot be encoded");
 		return;
 	}
 	core->stats.log_bytes += body.gb_body_len;
@@ -251,8 +260,8 @@
 	store_op_txn(core, &txn, log_written, shard->id, 0);
 }
 
-/* Snapshots go through the same single slot as the log's writes, so that
- * they cover exactly what is written. */
+/* Only one batch or snapshot is in flight at a time, so that a snapshot covers
+ * exactly the batches that have been written. */
 
 static void
 snapshot_done(struct gb_core *core, const struct store_op *op,
@@ -267,14 +276,16 @@
 	switch (result->status) {
 	case GB_STORE_OK:
 		log->snapshot = log->seq;
-		log->unsure = 0;
+		log->unconfirmed_snapshot = 0;
 		core->stats.snapshots++;
 		break;
 	case GB_STORE_REFUSED:
 	case GB_STORE_UNKNOWN:
-		/* The log goes on either way; a later one takes its place. */
-		log->unsure = log->seq;
-		log->skip_until = log->seq + core->cfg.snapshot_every / 4 + 1;
+		/* The log goes on in both cases; a later snapshot replaces this
+		 * one. */
+		log->unconfirmed_snapshot = log->seq;
+		log->no_snapshot_before =
+		    log->seq + core->cfg.snapshot_every / 4 + 1;
 		break;
 	case GB_STORE_CONFLICT:
 		shard_lose(core, shard, "its row changed");
@@ -282,6 +293,7 @@
 	}
 }
 
+/** Add the removal of an older snapshot's object, 0: none. */
 static void
 snapshot_remove(gb_txn *txn, uint32_t shard, uint64_t seq)
 {
@@ -293,6 +305,8 @@
 	store_txn_remove(txn, key);
 }
 
+/** Write a snapshot, and remove the one before it and the batches that it
+ * covers. */
 static void
 log_snapshot(struct gb_core *core, struct shard *shard)
 {
@@ -313,7 +327,7 @@
 	snapshot_key(key, sizeof(key), shard->id);
 	store_txn_put(&txn, key, body);
 	snapshot_remove(&txn, shard->id, log->snapshot);
-	snapshot_remove(&txn, shard->id, log->unsure);
+	snapshot_remove(&txn, shard->id, log->unconfirmed_snapshot);
 	object_key(key, sizeof(key), shard->id, log->seq);
 	store_txn_put(&txn, key, object);
 	for (seq = log->snapshot + 1;
@@ -326,8 +340,8 @@
 	store_op_txn(core, &txn, snapshot_done, shard->id, 0);
 }
 
-/** How long records are collected: each shard has its part of the writes
- * that the platform allows the whole cell. */
+/** Time for which records are collected into a batch, so that each shard keeps
+ * to an equal part of the writes per second that the whole cell may make. */
 static gb_time
 log_window(const struct gb_core *core)
 {
@@ -335,7 +349,7 @@
 	    (gb_time)core->shard_count * GB_SEC /
 	    (core->cfg.write_budget == 0 ? 1 : core->cfg.write_budget);
 
-	return window < LOG_WINDOW_LEAST ? LOG_WINDOW_LEAST : window;
+	return window < LOG_WINDOW_MIN ? LOG_WINDOW_MIN : window;
 }
 
 void
@@ -344,22 +358,23 @@
 	struct log *log = &shard->log;
 
 	if (log->phase == LOG_WAITING && core->now >= log->retry_at)
-		log_flight_write(core, shard);
+		log_batch_write(core, shard);
 	if (log->phase != LOG_IDLE)
 		return;
 	if (log->seq - log->snapshot >= core->cfg.snapshot_every &&
-	    log->seq >= log->skip_until && shard->state == SHARD_ACTIVE) {
+	    log->seq >= log->no_snapshot_before &&
+	    shard->state == SHARD_ACTIVE) {
 		log_snapshot(core, shard);
 		return;
 	}
-	if (log->next_count == 0 ||
-	    (core->now - log->opened < log_window(core) &&
-		log->next_count < LOG_BATCH_MAX))
+	if (log->pending_count == 0 ||
+	    (core->now - log->first_appended_at < log_window(core) &&
+		log->pending_count < LOG_BATCH_MAX))
 		return;
-	log->flight = log->next;
-	log->flight_count = log->next_count;
-	log->next = NULL;
-	log->next_count = 0;
-	log->next_size = 0;
-	log_flight_write(core, shard);
+	log->in_flight = log->pending;
+	log->in_flight_count = log->pending_count;
+	log->pending = NULL;
+	log->pending_count = 0;
+	log->pending_size = 0;
+	log_batch_write(core, shard);
 }
--- a/libgooseberry/process/shard.c
+++ b/libgooseberry/process/shard.c
@@ -1,7 +1,7 @@
 /**
  * @file shard.c
- * Ownership of shards: a compare-and-set on the shard's row decides, and the
- * epoch in the row fences whoever owned it before.
+ * Ownership of shards.  A shard is acquired by a compare-and-set on its row,
+ * and the epoch in the row fences earlier owners.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -9,15 +9,17 @@
 
 #include "core.h"
 
-/** Wait for each better-placed candidate before trying in its stead. */
-#define CANDIDATE_STEP GB_SEC
+/** A member waits this long for each live member that ranks before it, before
+ * it tries to acquire a vacant shard. */
+#define CANDIDATE_DELAY GB_SEC
+/** Time between two dispatch runs of a shard in which nothing has changed. */
 #define DISPATCH_RETRY (200 * GB_MSEC)
-#define DIGEST_EVERY (100 * GB_MSEC)
-/** Time between two handovers for balance. */
-#define REBALANCE_EVERY GB_SEC
-/** A handover for balance that takes longer is given up. */
-#define REBALANCE_MOST (2 * GB_SEC)
-#define HAND_RETRY (100 * GB_MSEC)
+#define DIGEST_INTERVAL (100 * GB_MSEC)
+/** Time between two handovers that balance the load of the members. */
+#define REBALANCE_INTERVAL GB_SEC
+/** A handover that balances load is given up after this time. */
+#define REBALANCE_TIMEOUT (2 * GB_SEC)
+#define HANDOVER_RETRY (100 * GB_MSEC)
 
 uint32_t
 gb_shard_count(const struct gb_core_config *cfg)
@@ -84,7 +86,7 @@
 	return gb_xdr_encode((xdrproc_t)xdr_gb_shard_row, &row, out);
 }
 
-/** Drop all state of a shard that is no longer this member's. */
+/** Drop all state of a shard that this member no longer owns. */
 static void
 shard_drop(struct gb_core *core, struct shard *shard)
 {
@@ -104,11 +106,11 @@
 	{
 		job_free(core, job);
 	}
-	dispatch_forget(shard);
-	shard->holder = NULL;
+	dispatch_usage_reset(shard);
+	shard->reserved_gang = NULL;
 	shard->free_slots = 0;
 	shard->preempting = 0;
-	shard->hand_busy = false;
+	shard->handover_pending = false;
 	shard->reconciled = false;
 	shard->vacant_since = core->now;
 }
@@ -171,8 +173,10 @@
 		shard_lose(core, shard, "a peer owns a newer epoch");
 }
 
-/* Taking a shard over */
+/* Acquiring a shard */
 
+/** Whether a shard may be acquired: its row names no owner, this member, or
+ * one that has terminated, restarted or been silent for suspect_us. */
 static bool
 shard_vacant(struct gb_core *core, struct shard *shard)
 {
@@ -194,8 +198,9 @@
 	return core->cfg.dcs.name[shard->id / core->cfg.shards_per_dc];
 }
 
+/** Number of shards that this member owns or acquires. */
 static uint32_t
-own_claims(const struct gb_core *core)
+owned_shard_count(const struct gb_core *core)
 {
 	uint32_t i;
 	uint32_t n = 0;
@@ -207,39 +212,41 @@
 	return n;
 }
 
-/** Order of candidates: same data centre, then fewest shards, then hash. */
+/** Rank of a member as the owner of a shard, lowest first: members in the
+ * shard's data centre, then fewest shards, then a hash of the name. */
 static uint64_t
 candidate_rank(const struct gb_core *core, const struct shard *shard,
     const char *name, const char *dc, uint32_t claims)
 {
-	uint64_t far = strcmp(dc, shard_dc(core, shard)) != 0;
+	uint64_t other_dc = strcmp(dc, shard_dc(core, shard)) != 0;
 	uint64_t hash = gb_hash(name, strlen(name)) ^
 			(0x9e3779b97f4a7c15ULL * (shard->id + 1));
 
-	return far << 63 | (uint64_t)(claims & 0xffff) << 40 | hash >> 24;
+	return other_dc << 63 | (uint64_t)(claims & 0xffff) << 40 | hash >> 24;
 }
 
-/** Whether a member would serve a shard better than this one does, so much
- * better that it is worth a handover: the shard's own data centre, or two
- * shards fewer. */
+/** Whether a handover of a shard to a member is worthwhile.  It is if only that
+ * member is in the shard's data centre and owns no more shards than this one,
+ * or if both are equally near and it owns at least two shards fewer. */
 static bool
 candidate_better(const struct gb_core *core, const struct shard *shard,
     const struct member *m)
 {
 	const char *dc = shard_dc(core, shard);
-	uint32_t own = own_claims(core);
-	bool near = strcmp(core->cfg.dc, dc) == 0;
-	bool other_near = strcmp(m->dc, dc) == 0;
+	uint32_t own = owned_shard_count(core);
+	bool in_dc = strcmp(core->cfg.dc, dc) == 0;
+	bool other_in_dc = strcmp(m->dc, dc) == 0;
 
 	if (!m->listed || !m->informed || !member_live(core, m) ||
 	    core->now - m->echoed > core->cfg.suspect_us)
 		return false;
-	if (other_near && !near)
+	if (other_in_dc && !in_dc)
 		return m->claim_count <= own;
-	return other_near == near && m->claim_count + 1 < own;
+	return other_in_dc == in_dc && m->claim_count + 1 < own;
 }
 
-/** Give a shard to a member that is better placed, one at a time. */
+/** Start to hand a shard over if another member is a better owner, one shard
+ * at a time. */
 static void
 shard_rebalance(struct gb_core *core, struct shard *shard)
 {
@@ -250,19 +257,19 @@
 	for (m = core->members; m != NULL; m = m->hh.next) {
 		if (!candidate_better(core, shard, m))
 			continue;
-		core->rebalance_at = core->now + REBALANCE_EVERY;
-		shard->handing_since = core->now;
+		core->rebalance_at = core->now + REBALANCE_INTERVAL;
+		shard->handover_since = core->now;
 		shard->state = SHARD_HANDING;
 		return;
 	}
 }
 
-/** How many live members are better placed than this one. */
+/** Number of live members that rank before this one for a shard. */
 static uint32_t
-candidates_before(struct gb_core *core, const struct shard *shard)
+candidates_ranked_before(struct gb_core *core, const struct shard *shard)
 {
-	uint64_t own = candidate_rank(
-	    core, shard, core->cfg.member, core->cfg.dc, own_claims(core));
+	uint64_t own = candidate_rank(core, shard, core->cfg.member,
+	    core->cfg.dc, owned_shard_count(core));
 	struct member *m;
 	uint32_t before = 0;
 
@@ -275,8 +282,9 @@
 	return before;
 }
 
+/** End of the write that claims a shard: load it if the write took effect. */
 static void
-shard_taken(struct gb_core *core, const struct store_op *op,
+shard_acquired(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
 	struct shard *shard = &core->shards[op->shard];
@@ -284,8 +292,8 @@
 	if (shard_serial_stale(core, op))
 		return;
 	if (result->status != GB_STORE_OK) {
-		/* If the write took effect after all, the next look at the
-		 * rows shows a shard of ours that nobody serves. */
+		/* If the write took effect after all, the next poll finds this
+		 * member in the row, and the shard counts as vacant. */
 		shard->state = SHARD_NONE;
 		shard->row_known = false;
 		view_poll_now(core);
@@ -297,19 +305,21 @@
 	snprintf(shard->member, sizeof(shard->member), "%s", core->cfg.member);
 	shard->claim.vers = result->vers;
 	shard->claim.known_at = 0;
-	shard->claim_over = 0;
+	shard->leases_end = 0;
 	shard->index = gb_index_new();
 	shard->state = SHARD_LOADING;
 	core->stats.takeovers++;
 	view_poll_now(core);
 	gb_env_log(&core->cfg.env, GB_LOG_INFO, "shard",
-	    "Took shard %" PRIu32 " with epoch %" PRIu64 ".", shard->id,
+	    "Acquired shard %" PRIu32 " with epoch %" PRIu64 ".", shard->id,
 	    shard->epoch);
 	recover_start(core, shard);
 }
 
+/** Claim a shard with the next epoch, if neither its row nor the view has
+ * changed. */
 static void
-shard_take(struct gb_core *core, struct shard *shard)
+shard_acquire(struct gb_core *core, struct shard *shard)
 {
 	char key[GB_KEY_MAX + 1];
 	gb_body body;
@@ -326,11 +336,13 @@
 	store_txn_cond(&txn, key, shard->row_vers);
 	store_txn_put(&txn, key, body);
 	view_bind(core, &txn);
-	store_op_txn(core, &txn, shard_taken, shard->id, 0);
+	store_op_txn(core, &txn, shard_acquired, shard->id, 0);
 }
 
+/** Claim a vacant shard once the members that rank before this one have had
+ * time to do so. */
 static void
-shard_consider(struct gb_core *core, struct shard *shard)
+shard_try_acquire(struct gb_core *core, struct shard *shard)
 {
 	if (!shard->row_known || !core->joined || core->leaving ||
 	    !member_store_fresh(core))
@@ -340,23 +352,24 @@
 		return;
 	}
 	if (core->now - shard->vacant_since <
-	    (gb_time)candidates_before(core, shard) * CANDIDATE_STEP)
+	    (gb_time)candidates_ranked_before(core, shard) * CANDIDATE_DELAY)
 		return;
-	shard_take(core, shard);
+	shard_acquire(core, shard);
 }
 
-/* Handing a shard over */
+/* Handover of a shard */
 
+/** End of the write that hands a shard over. */
 static void
-shard_handed(struct gb_core *core, const struct store_op *op,
+shard_handover_written(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
 	struct shard *shard = &core->shards[op->shard];
 
 	if (shard_serial_stale(core, op))
 		return;
-	shard->hand_busy = false;
-	shard->hand_at = core->now + HAND_RETRY;
+	shard->handover_pending = false;
+	shard->handover_retry_at = core->now + HANDOVER_RETRY;
 	if (result->status == GB_STORE_OK) {
 		shard->row_vers = result->vers;
 		shard->row.owner = 0;
@@ -369,15 +382,17 @@
 	}
 }
 
+/** Remove the owner from a shard's row once no record and no request of the
+ * shard is pending or in flight. */
 static void
-shard_hand(struct gb_core *core, struct shard *shard)
+shard_handover_write(struct gb_core *core, struct shard *shard)
 {
 	char key[GB_KEY_MAX + 1];
 	gb_body body;
 	gb_txn txn;
 
-	if (shard->hand_busy || core->now < shard->hand_at ||
-	    shard->log.phase != LOG_IDLE || shard->log.next_count > 0 ||
+	if (shard->handover_pending || core->now < shard->handover_retry_at ||
+	    shard->log.phase != LOG_IDLE || shard->log.pending_count > 0 ||
 	    shard->waiting_count + shard->sent_count > 0)
 		return;
 	if (!shard_row_encode(shard->epoch, 0, "", &body))
@@ -387,8 +402,8 @@
 	store_txn_cond(&txn, key, shard->row_vers);
 	store_txn_put(&txn, key, body);
 	view_touch_head(&txn);
-	shard->hand_busy = true;
-	store_op_txn(core, &txn, shard_handed, shard->id, 0);
+	shard->handover_pending = true;
+	store_op_txn(core, &txn, shard_handover_written, shard->id, 0);
 }
 
 void
@@ -423,50 +438,50 @@
 	core_action_add(core, GB_ACT_EXIT);
 }
 
-/** Digest that peers and entries route by. */
+/** Update the free capacity that is sent to peers and entries. */
 static void
-shard_digest(const struct gb_core *core, struct shard *shard)
+shard_digest_update(const struct gb_core *core, struct shard *shard)
 {
 	uint32_t i;
 
-	shard->digest_at = core->now + DIGEST_EVERY;
+	shard->digest_at = core->now + DIGEST_INTERVAL;
 	shard->free_slots = 0;
 	shard->usable = 0;
 	for (i = 0; i < shard->worker_count; i++) {
 		const struct worker *w = core->workers[shard->workers[i]];
-		gb_res room = worker_free(w);
+		gb_res free_res = worker_free(w);
 
 		if (!worker_usable(w))
 			continue;
 		shard->usable++;
-		if (room.slots > 0)
-			shard->free_slots += (uint32_t)room.slots;
+		if (free_res.slots > 0)
+			shard->free_slots += (uint32_t)free_res.slots;
 	}
 }
 
-/** Find out when no lease of an earlier owner can last any longer: it renews
- * while its view is fresh, which ends once enough members know of the new
- * owner. */
+/** Determine when all leases that earlier owners gave have expired.  An earlier
+ * owner renews leases while its view is fresh, that is at most fresh_us after
+ * enough members know of the acquisition. */
 static void
-shard_claim_follow(struct gb_core *core, struct shard *shard)
+shard_prior_leases_update(struct gb_core *core, struct shard *shard)
 {
 	gb_time lease = core->cfg.lease_us;
 
-	if (shard->claim_over != 0 || !member_spread_known(core, &shard->claim))
+	if (shard->leases_end != 0 || !member_spread_known(core, &shard->claim))
 		return;
-	shard->claim_over = shard->claim.known_at + core->cfg.fresh_us + lease +
+	shard->leases_end = shard->claim.known_at + core->cfg.fresh_us + lease +
 			    lease / CLOCK_DRIFT_PART + core->cfg.margin_us;
-	worker_claim_over(core, shard);
+	worker_prior_leases_bound(core, shard);
 }
 
 void
 shard_tick(struct gb_core *core, struct shard *shard)
 {
 	if (shard->state == SHARD_ACTIVE || shard->state == SHARD_HANDING)
-		shard_claim_follow(core, shard);
+		shard_prior_leases_update(core, shard);
 	switch (shard->state) {
 	case SHARD_NONE:
-		shard_consider(core, shard);
+		shard_try_acquire(core, shard);
 		break;
 	case SHARD_ACQUIRING:
 		break;
@@ -477,11 +492,11 @@
 		log_tick(core, shard);
 		if (shard->state != SHARD_HANDING)
 			break;
-		if (!core->leaving && !shard->hand_busy &&
-		    core->now - shard->handing_since > REBALANCE_MOST)
+		if (!core->leaving && !shard->handover_pending &&
+		    core->now - shard->handover_since > REBALANCE_TIMEOUT)
 			shard->state = SHARD_ACTIVE;
 		else
-			shard_hand(core, shard);
+			shard_handover_write(core, shard);
 		break;
 	case SHARD_ACTIVE:
 		log_tick(core, shard);
@@ -491,7 +506,7 @@
 		job_tick(core, shard);
 		request_dispatch(core, shard);
 		if (core->now >= shard->digest_at)
-			shard_digest(core, shard);
+			shard_digest_update(core, shard);
 		if (core->now >= shard->dispatch_at)
 			shard->dirty = true;
 		shard_rebalance(core, shard);
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -1,11 +1,12 @@
 /**
  * @file worker.c
- * Workers of a shard: syncs under a lease, what a worker reports, and the
- * evidence on what it can still be running.
+ * Workers of a shard: syncs that renew their leases, their reports, and the
+ * evidence on which tasks they can still run.
  *
- * A worker's lease ends at anchor + lease on the worker's own clock, where the
- * anchor is a reading that the worker itself sent.  A message that comes late
- * can therefore never make a lease longer than its sender reckons.
+ * A worker's lease ends at anchor + lease_us on the worker's own clock, where
+ * the anchor is a reading of that clock in an earlier report.  A sync that
+ * arrives late can therefore never extend a lease beyond the end that its
+ * sender calculates.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -13,10 +14,14 @@
 
 #include "core.h"
 
-#define BLAME_LIMIT 3
-#define PROBE_AFTER (30 * GB_SEC)
-/** At most one worker in this many is set aside. */
-#define QUARANTINE_SHARE 5
+/** A worker is quarantined after consecutive failures of so many jobs. */
+#define QUARANTINE_FAILURES 3
+/** After this time a quarantined worker gets work again; one more failure
+ * quarantines it again. */
+#define QUARANTINE_TIME (30 * GB_SEC)
+/** At most one worker in this many of a shard is quarantined; in a shard with
+ * at least two workers one always may be. */
+#define QUARANTINE_ONE_IN 5
 
 struct worker *
 worker_get(struct gb_core *core, uint32_t handle)
@@ -54,23 +59,23 @@
 worker_index(struct gb_core *core, struct worker *w)
 {
 	struct shard *shard = w->shard;
-	gb_res room;
+	gb_res free_res;
 
 	(void)core;
 	if (shard->state != SHARD_ACTIVE && shard->state != SHARD_HANDING)
 		return;
 	if (!worker_usable(w)) {
 		if (w->indexed)
-			gb_index_remove(shard->index, w->place);
+			gb_index_remove(shard->index, w->position);
 		w->indexed = false;
 		return;
 	}
-	room = worker_free(w);
-	gb_index_set(shard->index, w->place, &room, &w->capacity);
+	free_res = worker_free(w);
+	gb_index_set(shard->index, w->position, &free_res, &w->capacity);
 	w->indexed = true;
 }
 
-/* What a worker holds */
+/* Tasks of a worker */
 
 void
 worker_attach(struct worker *w, struct job *job, uint32_t index)
@@ -100,8 +105,9 @@
 	}
 }
 
+/** Grow an array if it has no space for one more item. */
 static void *
-list_grow(void *list, u_int count, u_int *size, size_t item)
+array_grow(void *list, u_int count, u_int *size, size_t item)
 {
 	if (count < *size)
 		return list;
@@ -113,10 +119,10 @@
 worker_start(struct worker *w, struct job *job, uint32_t index)
 {
 	struct task *task = &job->tasks[index];
-	gb_sync *out = &w->out;
+	gb_sync *out = &w->next_sync;
 	gb_start *start;
 
-	out->starts.starts_val = list_grow(out->starts.starts_val,
+	out->starts.starts_val = array_grow(out->starts.starts_val,
 	    out->starts.starts_len, &w->start_size, sizeof(gb_start));
 	start = &out->starts.starts_val[out->starts.starts_len++];
 	start->id.job = job->id;
@@ -134,9 +140,9 @@
 worker_stop(struct worker *w, const struct job *job, uint32_t index)
 {
 	gb_task_id id = {job->id, index, job->tasks[index].attempt};
-	gb_sync *out = &w->out;
+	gb_sync *out = &w->next_sync;
 
-	out->stops.stops_val = list_grow(out->stops.stops_val,
+	out->stops.stops_val = array_grow(out->stops.stops_val,
 	    out->stops.stops_len, &w->stop_size, sizeof(gb_task_id));
 	out->stops.stops_val[out->stops.stops_len++] = id;
 }
@@ -144,9 +150,9 @@
 static void
 worker_stop_id(struct worker *w, const gb_task_id *id)
 {
-	gb_sync *out = &w->out;
+	gb_sync *out = &w->next_sync;
 
-	out->stops.stops_val = list_grow(out->stops.stops_val,
+	out->stops.stops_val = array_grow(out->stops.stops_val,
 	    out->stops.stops_len, &w->stop_size, sizeof(gb_task_id));
 	out->stops.stops_val[out->stops.stops_len++] = *id;
 }
@@ -154,52 +160,55 @@
 void
 worker_ack(struct worker *w, const gb_task_id *id)
 {
-	gb_sync *out = &w->out;
+	gb_sync *out = &w->next_sync;
 
-	out->acks.acks_val = list_grow(out->acks.acks_val, out->acks.acks_len,
+	out->acks.acks_val = array_grow(out->acks.acks_val, out->acks.acks_len,
 	    &w->ack_size, sizeof(gb_task_id));
 	out->acks.acks_val[out->acks.acks_len++] = *id;
 }
 
 static void
-worker_out_clear(struct worker *w)
+worker_next_sync_clear(struct worker *w)
 {
-	xdr_free((xdrproc_t)xdr_gb_sync, (char *)&w->out);
-	memset(&w->out, 0, sizeof(w->out));
+	xdr_free((xdrproc_t)xdr_gb_sync, (char *)&w->next_sync);
+	memset(&w->next_sync, 0, sizeof(w->next_sync));
 	w->start_size = 0;
 	w->stop_size = 0;
 	w->ack_size = 0;
 }
 
 static bool
-worker_out_empty(const struct worker *w)
+worker_next_sync_empty(const struct worker *w)
 {
-	return w->out.starts.starts_len == 0 && w->out.stops.stops_len == 0 &&
-	       w->out.acks.acks_len == 0;
+	return w->next_sync.starts.starts_len == 0 &&
+	       w->next_sync.stops.stops_len == 0 &&
+	       w->next_sync.acks.acks_len == 0;
 }
 
-/** Everything attached can no longer run on this worker; it may have crashed
- * under what had been sent. */
+/** None of the tasks attached to a worker run there any more.  Starts from the
+ * sync number unsent on were not sent.  With crashed, the tasks that were sent
+ * may have crashed the worker. */
 static void
-worker_tasks_over(
+worker_tasks_lost(
     struct gb_core *core, struct worker *w, uint64_t unsent, bool crashed)
 {
 	while (w->task_count > 0) {
 		struct task_ref ref = w->tasks[w->task_count - 1];
 		struct task *task = &ref.job->tasks[ref.index];
-		bool never =
+		bool never_started =
 		    task->state == TASK_COMMITTING ||
 		    (task->state == TASK_STARTING && task->seq >= unsent);
 
-		if (crashed && !never)
+		if (crashed && !never_started)
 			job_task_crashed(core, ref.job, ref.index);
 		else
-			job_task_lost(core, ref.job, ref.index, never);
+			job_task_lost(core, ref.job, ref.index, never_started);
 	}
 }
 
 /* Evidence */
 
+/** Set the evidence on a worker, and check whether the shard is reconciled. */
 static void
 worker_evidence(struct gb_core *core, struct worker *w, enum evidence evidence)
 {
@@ -208,36 +217,38 @@
 	w->evidence = evidence;
 	worker_index(core, w);
 	if (w->shard->state == SHARD_ACTIVE || w->shard->state == SHARD_HANDING)
-		job_settle(core, w->shard);
+		job_reconcile(core, w->shard);
 }
 
-/** The worker process that held the tasks has ended. */
+/** The worker process that ran the tasks and requests has ended. */
 static void
-worker_over(
+worker_process_ended(
     struct gb_core *core, struct worker *w, uint64_t unsent, bool crashed)
 {
 	w->incarnation = 0;
 	w->foreign = (gb_res){0};
-	worker_out_clear(w);
+	worker_next_sync_clear(w);
 	request_worker_ended(core, w);
-	worker_tasks_over(core, w, unsent, crashed);
+	worker_tasks_lost(core, w, unsent, crashed);
 }
 
-/** Another process answers in its place. */
+/** Another incarnation of the worker has answered.  A drained worker may have
+ * been restarted by its operator, so that is not counted as a crash. */
 static void
 worker_restarted(struct gb_core *core, struct worker *w, uint64_t unsent)
 {
-	worker_over(core, w, unsent, !w->draining);
+	worker_process_ended(core, w, unsent, !w->draining);
 }
 
+/** The worker's instance has terminated. */
 static void
-worker_gone(struct gb_core *core, struct worker *w)
+worker_removed(struct gb_core *core, struct worker *w)
 {
 	struct shard *shard = w->shard;
 	gb_record rec;
 
-	worker_over(core, w, w->seq + 1, false);
-	worker_evidence(core, w, EVIDENCE_GONE);
+	worker_process_ended(core, w, w->seq + 1, false);
+	worker_evidence(core, w, EVIDENCE_TERMINATED);
 	if (!w->durable || shard->state != SHARD_ACTIVE)
 		return;
 	memset(&rec, 0, sizeof(rec));
@@ -246,6 +257,7 @@
 	log_append(core, shard, &rec, 0);
 }
 
+/** Add a worker to its shard; null if its data centre or name is invalid. */
 static struct worker *
 worker_new(struct gb_core *core, const gb_instance *in)
 {
@@ -276,19 +288,20 @@
 		w->shard->workers = gb_realloc(w->shard->workers,
 		    w->shard->worker_size * sizeof(uint32_t));
 	}
-	w->place = w->shard->worker_count;
+	w->position = w->shard->worker_count;
 	w->shard->workers[w->shard->worker_count++] = w->handle;
 	return w;
 }
 
-/** First moment at which a lease that an earlier owner gave is over. */
+/** Time at which every lease that an earlier owner gave has expired. */
 static gb_time
-worker_first_lapse(const struct shard *shard)
+worker_prior_lease_end(const struct shard *shard)
 {
-	return shard->claim_over == 0 ? INT64_MAX : shard->claim_over;
+	return shard->leases_end == 0 ? INT64_MAX : shard->leases_end;
 }
 
-/** End of a lease that is given or was given on a report of now. */
+/** Latest end, on this process's clock, of a lease whose anchor is the worker's
+ * clock in a report that arrived at the time now. */
 static gb_time
 worker_lease_end(const struct gb_core *core, gb_time now)
 {
@@ -308,23 +321,24 @@
 		w = worker_new(core, in);
 		if (w == NULL)
 			return;
-		w->lapse_at = worker_first_lapse(w->shard);
+		w->lapse_at = worker_prior_lease_end(w->shard);
 		w->shard->reconciled = false;
 	}
-	if (w->evidence == EVIDENCE_GONE)
+	if (w->evidence == EVIDENCE_TERMINATED)
 		return;
 	snprintf(w->addr, sizeof(w->addr), "%s", in->addr);
 	w->platform = in->state;
 	if (in->state == GB_INSTANCE_GONE &&
 	    (w->shard->state == SHARD_ACTIVE ||
 		w->shard->state == SHARD_HANDING))
-		worker_gone(core, w);
+		worker_removed(core, w);
 	else
 		worker_index(core, w);
 }
 
 void
-worker_durable(struct gb_core *core, struct shard *shard, const gb_instance *in)
+worker_addition_committed(
+    struct gb_core *core, struct shard *shard, const gb_instance *in)
 {
 	struct worker *w;
 
@@ -336,12 +350,12 @@
 	if (w->addr[0] == '\0')
 		snprintf(w->addr, sizeof(w->addr), "%s", in->addr);
 	w->durable = true;
-	w->adding = false;
+	w->add_pending = false;
 	worker_index(core, w);
 }
 
 void
-worker_gone_committed(
+worker_removal_committed(
     struct gb_core *core, struct shard *shard, const char *name)
 {
 	struct worker *w;
@@ -351,11 +365,11 @@
 		return;
 	w->durable = false;
 	w->platform = GB_INSTANCE_GONE;
-	w->evidence = EVIDENCE_GONE;
+	w->evidence = EVIDENCE_TERMINATED;
 }
 
 void
-worker_shard_taken(struct gb_core *core, struct shard *shard)
+worker_shard_loaded(struct gb_core *core, struct shard *shard)
 {
 	uint32_t i;
 
@@ -363,16 +377,16 @@
 	for (i = 0; i < shard->worker_count; i++) {
 		struct worker *w = core->workers[shard->workers[i]];
 
-		w->lapse_at = worker_first_lapse(shard);
+		w->lapse_at = worker_prior_lease_end(shard);
 		if (w->platform == GB_INSTANCE_GONE &&
-		    w->evidence != EVIDENCE_GONE)
-			worker_gone(core, w);
+		    w->evidence != EVIDENCE_TERMINATED)
+			worker_removed(core, w);
 		worker_index(core, w);
 	}
 }
 
 void
-worker_claim_over(struct gb_core *core, struct shard *shard)
+worker_prior_leases_bound(struct gb_core *core, struct shard *shard)
 {
 	uint32_t i;
 
@@ -380,7 +394,7 @@
 		struct worker *w = core->workers[shard->workers[i]];
 
 		if (w->evidence == EVIDENCE_UNKNOWN)
-			w->lapse_at = shard->claim_over;
+			w->lapse_at = shard->leases_end;
 	}
 }
 
@@ -393,7 +407,7 @@
 		struct worker *w = core->workers[shard->workers[i]];
 
 		if (w->indexed)
-			gb_index_remove(shard->index, w->place);
+			gb_index_remove(shard->index, w->position);
 		w->indexed = false;
 		w->task_count = 0;
 		w->requests = 0;
@@ -405,39 +419,41 @@
 		w->incarnation = 0;
 		w->anchor = 0;
 		w->durable = false;
-		w->adding = false;
+		w->add_pending = false;
 		w->quarantined = false;
 		w->failures = 0;
-		if (w->evidence != EVIDENCE_GONE)
+		if (w->evidence != EVIDENCE_TERMINATED)
 			w->evidence = EVIDENCE_UNKNOWN;
-		worker_out_clear(w);
+		worker_next_sync_clear(w);
 	}
 }
 
-/* Blame */
+/* Quarantine */
 
+/** Whether one more worker of this worker's shard may be quarantined. */
 static bool
-worker_may_sideline(struct gb_core *core, const struct worker *w)
+worker_may_quarantine(struct gb_core *core, const struct worker *w)
 {
-	uint32_t all = 0;
+	uint32_t present = 0;
 	uint32_t quarantined = 0;
 	uint32_t i;
 
 	for (i = 0; i < w->shard->worker_count; i++) {
 		const struct worker *o = core->workers[w->shard->workers[i]];
 
-		if (o->evidence == EVIDENCE_GONE)
+		if (o->evidence == EVIDENCE_TERMINATED)
 			continue;
-		all++;
+		present++;
 		if (o->quarantined)
 			quarantined++;
 	}
-	return quarantined < all / QUARANTINE_SHARE ||
-	       (quarantined == 0 && all > 1);
+	return quarantined < present / QUARANTINE_ONE_IN ||
+	       (quarantined == 0 && present > 1);
 }
 
 void
-worker_blame(struct gb_core *core, struct worker *w, uint64_t job, bool failed)
+worker_outcome_record(
+    struct gb_core *core, struct worker *w, uint64_t job, bool failed)
 {
 	if (!failed) {
 		w->failures = 0;
@@ -448,34 +464,36 @@
 		return;
 	w->failed_job = job;
 	w->failures++;
-	if (w->failures < BLAME_LIMIT || w->quarantined ||
-	    !worker_may_sideline(core, w))
+	if (w->failures < QUARANTINE_FAILURES || w->quarantined ||
+	    !worker_may_quarantine(core, w))
 		return;
 	w->quarantined = true;
-	w->probe_at = core->now + PROBE_AFTER;
+	w->probe_at = core->now + QUARANTINE_TIME;
 	core->stats.quarantined++;
 	gb_env_log(&core->cfg.env, GB_LOG_WARNING, "worker",
-	    "Set worker %s aside after %" PRIu32 " failures of unlike work.",
+	    "Quarantined worker %s after %" PRIu32 " failures of unlike work.",
 	    w->name, w->failures);
 	worker_index(core, w);
 }
 
 /* Syncs */
 
+/** Send a sync.  A sync to a worker that has not reported yet has neither
+ * anchor nor lease: it only fences earlier owners and asks for a report. */
 static void
 worker_sync_send(struct gb_core *core, struct worker *w)
 {
 	struct gb_action *action = core_action_add(core, GB_ACT_SYNC);
-	bool known = w->evidence == EVIDENCE_FENCED && w->anchor != 0;
+	bool reported = w->evidence == EVIDENCE_FENCED && w->anchor != 0;
 	gb_sync *sync;
 
-	if (known) {
+	if (reported) {
 		gb_time until = worker_lease_end(core, w->anchor_local);
 
 		if (until > w->lapse_at)
 			w->lapse_at = until;
-		action->u.sync = w->out;
-		memset(&w->out, 0, sizeof(w->out));
+		action->u.sync = w->next_sync;
+		memset(&w->next_sync, 0, sizeof(w->next_sync));
 		w->start_size = 0;
 		w->stop_size = 0;
 		w->ack_size = 0;
@@ -485,9 +503,9 @@
 	sync->owner = core->cfg.incarnation;
 	sync->epoch = w->shard->epoch;
 	sync->seq = ++w->seq;
-	sync->incarnation = known ? w->incarnation : 0;
-	sync->anchor = known ? w->anchor : 0;
-	sync->lease_us = known ? core->cfg.lease_us : 0;
+	sync->incarnation = reported ? w->incarnation : 0;
+	sync->anchor = reported ? w->anchor : 0;
+	sync->lease_us = reported ? core->cfg.lease_us : 0;
 	action->worker = w->handle;
 	action->id = w->seq;
 	snprintf(action->addr, sizeof(action->addr), "%s", w->addr);
@@ -496,17 +514,18 @@
 	core->stats.syncs++;
 }
 
-/** Take back the starts that have not been sent: the worker takes no new work
- * any more. */
+/** Drop the starts that have not been sent, because the worker may not get new
+ * work any more, and queue their tasks again. */
 static void
-worker_withdraw(struct gb_core *core, struct worker *w)
+worker_starts_withdraw(struct gb_core *core, struct worker *w)
 {
 	u_int i;
 
-	for (i = 0; i < w->out.starts.starts_len; i++)
+	for (i = 0; i < w->next_sync.starts.starts_len; i++)
 		xdr_free((xdrproc_t)xdr_gb_start,
-		    (char *)&w->out.starts.starts_val[i]);
-	w->out.starts.starts_len = 0;
+		    (char *)&w->next_sync.starts.starts_val[i]);
+	w->next_sync.starts.starts_len = 0;
+	/* Backwards, because the last task moves into a lost one's place. */
 	for (i = w->task_count; i > 0; i--) {
 		struct task_ref ref;
 		struct task *task;
@@ -525,18 +544,20 @@
 static void
 worker_sync(struct gb_core *core, struct worker *w)
 {
-	if (w->out.starts.starts_len > 0 && !worker_usable(w))
-		worker_withdraw(core, w);
+	if (w->next_sync.starts.starts_len > 0 && !worker_usable(w))
+		worker_starts_withdraw(core, w);
 	worker_sync_send(core, w);
 }
 
-/** Compare what a worker lists with what it was given. */
+/** Compare the tasks that a report lists with those attached to the worker.
+ * Listed tasks that are not attached are stopped or acknowledged; attached
+ * tasks that should be listed and are not are lost. */
 static void
 worker_report(struct gb_core *core, struct worker *w, const gb_sync_res *res)
 {
 	gb_res foreign = {0};
 	int requests;
-	uint32_t stamp = ++w->reports;
+	uint32_t report = ++w->reports;
 	uint32_t i;
 	u_int n;
 
@@ -546,7 +567,7 @@
 		struct task *task = job_task_match(w, held, &job);
 
 		if (task != NULL) {
-			task->seen = stamp;
+			task->last_report = report;
 			job_task_report(core, job, held->id.index, w, held);
 		} else if (held->state == GB_HELD_RUNNING) {
 			gb_res_add(&foreign, &held->res);
@@ -559,6 +580,7 @@
 	foreign.slots += requests;
 	foreign.conns += requests;
 	w->foreign = foreign;
+	/* Backwards, because the last task moves into a lost one's place. */
 	for (i = w->task_count; i > 0; i--) {
 		struct task_ref ref;
 		struct task *task;
@@ -567,18 +589,21 @@
 			continue;
 		ref = w->tasks[i - 1];
 		task = &ref.job->tasks[ref.index];
-		if (task->seen == stamp || task->state == TASK_COMMITTING ||
-		    task->seq > res->seq)
+		if (task->last_report == report ||
+		    task->state == TASK_COMMITTING || task->seq > res->seq)
 			continue;
+		/* A worker lists every task that it started until its end is
+		 * acknowledged. */
 		job_task_lost(core, ref.job, ref.index,
 		    task->state == TASK_STARTING ||
-			(task->state == TASK_UNSURE &&
+			(task->state == TASK_UNCERTAIN &&
 			    task->incarnation == res->incarnation));
 	}
 }
 
+/** Log the name of a worker, which gets work once the record is committed. */
 static void
-worker_add_durable(struct gb_core *core, struct worker *w)
+worker_addition_log(struct gb_core *core, struct worker *w)
 {
 	gb_record rec;
 	gb_instance in;
@@ -595,12 +620,14 @@
 	if (!gb_xdr_copy((xdrproc_t)xdr_gb_instance, &in,
 		&rec.gb_record_u.worker, sizeof(in)))
 		return;
-	w->adding = true;
+	w->add_pending = true;
 	log_append(core, w->shard, &rec, 0);
 }
 
+/** The worker rejected a sync: it knows a newer owner, or it restarted. */
 static void
-worker_refused(struct gb_core *core, struct worker *w, const gb_sync_res *res)
+worker_sync_rejected(
+    struct gb_core *core, struct worker *w, const gb_sync_res *res)
 {
 	if (res->epoch > w->shard->epoch) {
 		shard_lose(core, w->shard, "a worker knows a newer epoch");
@@ -623,10 +650,10 @@
 	if (w == NULL || !w->syncing || w->seq != seq)
 		return;
 	w->syncing = false;
-	if (res == NULL || w->evidence == EVIDENCE_GONE)
+	if (res == NULL || w->evidence == EVIDENCE_TERMINATED)
 		return;
 	if (res->refused || res->epoch != w->shard->epoch) {
-		worker_refused(core, w, res);
+		worker_sync_rejected(core, w, res);
 		return;
 	}
 	if (w->incarnation != 0 && w->incarnation != res->incarnation)
@@ -639,19 +666,20 @@
 	worker_report(core, w, res);
 	request_reported(core, w, res);
 	worker_evidence(core, w, EVIDENCE_FENCED);
-	if (!w->durable && !w->adding)
-		worker_add_durable(core, w);
+	if (!w->durable && !w->add_pending)
+		worker_addition_log(core, w);
 	worker_index(core, w);
 	w->shard->dirty = true;
 }
 
+/** The lease of a worker has expired, so it has stopped its tasks. */
 static void
 worker_lapsed(struct gb_core *core, struct worker *w)
 {
 	gb_env_log(&core->cfg.env, GB_LOG_WARNING, "worker",
 	    "The lease of worker %s is over.", w->name);
-	worker_out_clear(w);
-	worker_tasks_over(core, w, w->seq + 1, false);
+	worker_next_sync_clear(w);
+	worker_tasks_lost(core, w, w->seq + 1, false);
 	worker_evidence(core, w, EVIDENCE_LAPSED);
 }
 
@@ -662,11 +690,11 @@
 
 	if (shard->state != SHARD_ACTIVE && shard->state != SHARD_HANDING)
 		return;
-	if (w->evidence == EVIDENCE_GONE)
+	if (w->evidence == EVIDENCE_TERMINATED)
 		return;
 	if (w->quarantined && core->now >= w->probe_at) {
 		w->quarantined = false;
-		w->failures = BLAME_LIMIT - 1;
+		w->failures = QUARANTINE_FAILURES - 1;
 		w->failed_job = 0;
 		worker_index(core, w);
 		shard->dirty = true;
@@ -678,7 +706,7 @@
 	if (w->syncing || !gb_core_fresh(core, core->now))
 		return;
 	if (core->now - w->sent >= core->cfg.sync_us || w->sent == 0 ||
-	    (w->evidence == EVIDENCE_FENCED && !worker_out_empty(w)))
+	    (w->evidence == EVIDENCE_FENCED && !worker_next_sync_empty(w)))
 		worker_sync(core, w);
 }
 
@@ -689,7 +717,7 @@
 
 	HASH_CLEAR(hh, core->workers_by_name);
 	for (i = 0; i < core->worker_count; i++) {
-		worker_out_clear(core->workers[i]);
+		worker_next_sync_clear(core->workers[i]);
 		free(core->workers[i]->tasks);
 		free(core->workers[i]);
 	}
