--- a/tests/cells.c
+++ b/tests/cells.c
@@ -1,6 +1,6 @@
 /**
  * @file cells.c
- * Several cores under a virtual clock, and the oracle.
+ * Simulation of a cell: message delivery, the nodes, and the oracle.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -8,14 +8,20 @@
 
 #include "cells.h"
 
-#define LATENCY GB_MSEC
+#define NETWORK_DELAY GB_MSEC
+/** Default run time of a request. */
 #define SERVICE_TIME (30 * GB_MSEC)
+/** Time after which a sender learns that its connection is lost. */
 #define CONNECTION_TIMEOUT (100 * GB_MSEC)
-#define LEAVE_BOUND (2 * GB_SEC)
-#define LIST_EVERY (200 * GB_MSEC)
-#define REST (60 * GB_SEC)
-/** A larger gang might not fit beside the services. */
-#define GANG_MOST 3
+/** A worker that leaves may get new work for this long, until the cores have
+ * received the new list of instances. */
+#define LEAVE_NOTICE_MAX (2 * GB_SEC)
+/** Interval at which cores receive the list of instances. */
+#define LIST_INTERVAL (200 * GB_MSEC)
+/** Time in which all work ends after the last fault. */
+#define SETTLE_TIME (60 * GB_SEC)
+/** A larger gang might not fit beside the replicas of the services. */
+#define GANG_TASKS_MAX 3
 #define TEAM "byggepas"
 
 enum message_type {
@@ -26,7 +32,7 @@
 	MSG_SYNC,
 	MSG_SYNC_DONE,
 	MSG_EXEC,
-	MSG_EXEC_RUN,
+	MSG_EXEC_RUN, /* a request's end on its worker, not a network message */
 	MSG_EXEC_DONE,
 	MSG_BEAT,
 	MSG_BEAT_DONE,
@@ -39,10 +45,11 @@
 	gb_time at;
 	uint64_t order;
 	uint32_t from, to;
-	uint64_t incarnation; /**< of the core that gets the answer */
+	uint64_t incarnation; /**< of the core that gets the answer, or of the
+				 worker for MSG_EXEC_RUN */
 	uint64_t id;
 	uint32_t worker;
-	gb_time sent;
+	gb_time sent; /**< when the request that it answers was sent */
 	union {
 		gb_txn txn;
 		gb_txn_res txn_res;
@@ -83,13 +90,13 @@
 	free(m);
 }
 
-/** Remember the first promise that was broken. */
+/** Record a violation, if it is the first. */
 static void
-broken(struct cells *c, const char *what, const char *who)
+violation_record(struct cells *c, const char *what, const char *name)
 {
-	if (c->broken[0] == '\0')
-		snprintf(c->broken, sizeof(c->broken),
-		    "%s (%s) at %" PRId64 " ms", what, who, c->now / GB_MSEC);
+	if (c->violation[0] == '\0')
+		snprintf(c->violation, sizeof(c->violation),
+		    "%s (%s) at %" PRId64 " ms", what, name, c->now / GB_MSEC);
 }
 
 static bool
@@ -106,20 +113,22 @@
 	return now + w->offset + now * w->drift / 1000;
 }
 
-/* Strikes of the fault matrix */
+/* Fault matrix */
 
+/** Inject the fault if it is due at this point. */
 static void
-step_reached(
-    struct cells *c, enum cell_step step, uint32_t core, uint32_t worker)
+point_reached(
+    struct cells *c, enum fault_point point, uint32_t core, uint32_t worker)
 {
-	if (c->strike == NULL || c->strike_at != step || c->struck)
+	if (c->inject == NULL || c->fault_at != point || c->injected)
 		return;
-	c->struck = true;
-	c->strike(c, core, worker);
+	c->injected = true;
+	c->inject(c, core, worker);
 }
 
-static enum cell_step
-txn_step(const gb_txn *txn)
+/** Point of the fault matrix that a transaction stands for. */
+static enum fault_point
+txn_point(const gb_txn *txn)
 {
 	u_int i;
 
@@ -136,8 +145,9 @@
 	return AT_NONE;
 }
 
+/** Whether a worker reports a task in a state. */
 static bool
-held_any(const gb_sync_res *res, gb_held_state state)
+sync_reports_state(const gb_sync_res *res, gb_held_state state)
 {
 	u_int i;
 
@@ -171,15 +181,15 @@
 	if (m->from < CORES)
 		delay += c->cores[m->from].delay;
 	if (m->from == STORE_NODE)
-		delay += c->store_slow;
-	m->at = c->now + LATENCY + delay;
+		delay += c->store_delay;
+	m->at = c->now + NETWORK_DELAY + delay;
 	while (*at != NULL && (*at)->at <= m->at)
 		at = &(*at)->next;
 	m->next = *at;
 	*at = m;
 }
 
-/** Answer a message; the caller has filled in the union. */
+/** New answer to a message; the caller fills in the union and sends it. */
 static struct message *
 answer_new(struct cells *c, const struct message *m, enum message_type type)
 {
@@ -203,9 +213,9 @@
 			a->u.txn_res.status = GB_STORE_REFUSED;
 		else
 			store_model_txn(c->store, &m->u.txn, &a->u.txn_res);
-		step_reached(c, txn_step(&m->u.txn), m->from, 0);
-		if (c->store_lose > 0 && !c->store_down) {
-			c->store_lose--;
+		point_reached(c, txn_point(&m->u.txn), m->from, 0);
+		if (c->store_lost_answers > 0 && !c->store_down) {
+			c->store_lost_answers--;
 			message_free(a);
 			return;
 		}
@@ -227,14 +237,14 @@
 
 	if (m->type == MSG_SYNC) {
 		if (m->u.sync.starts.starts_len > 0)
-			step_reached(c, AT_START, m->from, w->index);
+			point_reached(c, AT_START, m->from, w->index);
 		a = answer_new(c, m, MSG_SYNC_DONE);
 		worker_model_sync(
 		    w->model, worker_clock(w), &m->u.sync, &a->u.sync_res);
-		if (held_any(&a->u.sync_res, GB_HELD_RUNNING))
-			step_reached(c, AT_RUN, m->from, w->index);
-		if (held_any(&a->u.sync_res, GB_HELD_OK))
-			step_reached(c, AT_END, m->from, w->index);
+		if (sync_reports_state(&a->u.sync_res, GB_HELD_RUNNING))
+			point_reached(c, AT_RUN, m->from, w->index);
+		if (sync_reports_state(&a->u.sync_res, GB_HELD_OK))
+			point_reached(c, AT_END, m->from, w->index);
 		message_send(c, a, 0);
 		return;
 	}
@@ -256,7 +266,7 @@
 	a->incarnation = m->incarnation;
 	a->u.exec_res.verdict = GB_NOT_RUN;
 	if (worker_model_exec(w->model, worker_clock(w), &m->u.exec)) {
-		/* It runs; the answer follows when it has ended. */
+		/* The request runs; its answer is sent when it has ended. */
 		struct message *run =
 		    message_new(c, MSG_EXEC_RUN, m->from, m->to);
 
@@ -306,7 +316,7 @@
 		break;
 	case MSG_BEAT_DONE:
 		if (m->u.beat.config > gb_core_config_seq(node->core))
-			step_reached(c, AT_SPREAD, m->to, 0);
+			point_reached(c, AT_SPREAD, m->to, 0);
 		if (node->core != NULL)
 			gb_core_beat_done(
 			    node->core, c->now, m->sent, &m->u.beat);
@@ -316,9 +326,9 @@
 	}
 }
 
-/** Time at which a node that is frozen goes on. */
+/** Time at which a paused node continues; in the past: it isn't paused. */
 static gb_time
-node_frozen_until(const struct cells *c, uint32_t node)
+node_paused_until(const struct cells *c, uint32_t node)
 {
 	if (node < CORES)
 		return c->cores[node].paused_until;
@@ -327,8 +337,9 @@
 	return 0;
 }
 
+/** Report to the sender of a request that the request may have run. */
 static void
-connection_ends(
+exec_connection_close(
     struct cells *c, uint32_t core, uint64_t id, uint64_t incarnation)
 {
 	struct message *a = message_new(c, MSG_EXEC_DONE, core, core);
@@ -339,38 +350,38 @@
 	message_send(c, a, CONNECTION_TIMEOUT);
 }
 
-/** What is lost ends its connection, so that the sender of a request learns
- * that it may have run. */
+/** A dropped message closes its connection. */
 static void
-connection_fails(struct cells *c, const struct message *m)
+message_connection_close(struct cells *c, const struct message *m)
 {
 	if (m->type == MSG_EXEC)
-		connection_ends(c, m->from, m->id, m->incarnation);
+		exec_connection_close(c, m->from, m->id, m->incarnation);
 	else if (m->type == MSG_EXEC_DONE)
-		connection_ends(c, m->to, m->id, m->incarnation);
+		exec_connection_close(c, m->to, m->id, m->incarnation);
 }
 
-/** The same for a request that is running. */
+/** Close the connection of a request that is running. */
 static void
-connection_lost(struct cells *c, const struct message *m)
+running_connection_close(struct cells *c, const struct message *m)
 {
-	connection_ends(c, m->from, m->id, m->u.exec.owner);
+	exec_connection_close(c, m->from, m->id, m->u.exec.owner);
 }
 
 static void
-deliver(struct cells *c, struct message *m)
+message_deliver(struct cells *c, struct message *m)
 {
-	gb_time frozen = node_frozen_until(c, m->to);
+	gb_time paused_until = node_paused_until(c, m->to);
 
-	if (c->now < frozen) {
-		/* Waits in the socket of a frozen process. */
+	if (c->now < paused_until) {
+		/* The message stays in the socket of the paused process. */
 		m->next = NULL;
-		message_send(
-		    c, m, frozen == INT64_MAX ? REST : frozen - c->now);
+		message_send(c, m,
+		    paused_until == INT64_MAX ? SETTLE_TIME
+					      : paused_until - c->now);
 		return;
 	}
 	if (c->cut[m->from][m->to] && m->type != MSG_EXEC_RUN) {
-		connection_fails(c, m);
+		message_connection_close(c, m);
 		message_free(m);
 		return;
 	}
@@ -383,33 +394,35 @@
 	message_free(m);
 }
 
-/** The job whose task it is: a child stands for its parent. */
+/** Job that a caller submitted: the parent of a lent job, else the job. */
 static uint64_t
-job_of(const struct cells *c, uint64_t id)
+job_parent(const struct cells *c, uint64_t id)
 {
 	unsigned int i;
 
-	for (i = 0; i < c->child_count; i++) {
-		if (c->children[i].id == id)
-			return c->children[i].parent;
+	for (i = 0; i < c->lent_job_count; i++) {
+		if (c->lent_jobs[i].id == id)
+			return c->lent_jobs[i].parent;
 	}
 	return id;
 }
 
-/** Remember whose tasks an offer lends. */
+/** Record the parent of the job that an offer creates in another shard. */
 static void
-child_note(struct cells *c, const gb_lend *lend)
+lent_job_add(struct cells *c, const gb_lend *lend)
 {
-	if (lend->kind != GB_LEND_OFFER || c->child_count == 4 * TRACKED ||
-	    job_of(c, lend->child) != lend->child)
+	if (lend->kind != GB_LEND_OFFER ||
+	    c->lent_job_count == 4 * TRACKED_MAX ||
+	    job_parent(c, lend->child) != lend->child)
 		return;
-	c->children[c->child_count].id = lend->child;
-	c->children[c->child_count].parent = lend->parent;
-	c->child_count++;
+	c->lent_jobs[c->lent_job_count].id = lend->child;
+	c->lent_jobs[c->lent_job_count].parent = lend->parent;
+	c->lent_job_count++;
 }
 
 /* Actions of cores */
 
+/** Record that an answer's id names, or null. */
 static struct tracked *
 tracked_find(struct cells *c, uint64_t id)
 {
@@ -417,16 +430,16 @@
 }
 
 static uint32_t
-node_of(const char *addr)
+node_from_addr(const char *addr)
 {
 	return (uint32_t)atoi(addr + 2);
 }
 
 static void
-check_answer(struct cells *c, struct tracked *t, const gb_answer *answer)
+answer_check(struct cells *c, struct tracked *t, const gb_answer *answer)
 {
 	if (t->answered) {
-		broken(c, "a caller was answered twice", t->name);
+		violation_record(c, "a caller was answered twice", t->name);
 		return;
 	}
 	t->answered = true;
@@ -436,17 +449,17 @@
 	    (answer->body.gb_body_len != strlen(t->name) ||
 		memcmp(answer->body.gb_body_val, t->name, strlen(t->name)) !=
 		    0))
-		broken(c, "a caller got another's answer", t->name);
+		violation_record(c, "a caller got another's answer", t->name);
 	if (!t->job && !t->apply && answer->verdict == GB_NOT_RUN &&
 	    t->execs > t->execs_before)
-		broken(c, "not run was said of what ran", t->name);
+		violation_record(c, "not run was said of what ran", t->name);
 	if (t->apply && answer->verdict == GB_RUN && answer->status == 200 &&
 	    answer->vers > c->in_force)
 		c->in_force = answer->vers;
 }
 
 static void
-act(struct cells *c, uint32_t i, struct gb_action *action)
+action_execute(struct cells *c, uint32_t i, struct gb_action *action)
 {
 	struct core_node *node = &c->cores[i];
 	struct message *m = NULL;
@@ -462,36 +475,36 @@
 		m->u.scan = action->u.scan;
 		break;
 	case GB_ACT_SYNC:
-		m = message_new(c, MSG_SYNC, i, node_of(action->addr));
+		m = message_new(c, MSG_SYNC, i, node_from_addr(action->addr));
 		m->u.sync = action->u.sync;
 		if (action->u.sync.starts.starts_len > 0)
-			step_reached(c, AT_PLACE, i, m->to - CORES);
+			point_reached(c, AT_PLACE, i, m->to - CORES);
 		break;
 	case GB_ACT_EXEC:
 		t = tracked_find(c, action->id);
 		if (t == NULL)
 			return;
-		m = message_new(c, MSG_EXEC, i, node_of(action->addr));
+		m = message_new(c, MSG_EXEC, i, node_from_addr(action->addr));
 		m->u.exec = action->u.exec;
 		m->u.exec.body.gb_body_val = gb_strdup(t->name);
 		m->u.exec.body.gb_body_len = (u_int)strlen(t->name);
 		action->id = action->u.exec.rid;
 		break;
 	case GB_ACT_BEAT:
-		m = message_new(c, MSG_BEAT, i, node_of(action->addr));
+		m = message_new(c, MSG_BEAT, i, node_from_addr(action->addr));
 		m->u.beat = action->u.beat;
 		break;
 	case GB_ACT_LEND:
-		m = message_new(c, MSG_LEND, i, node_of(action->addr));
+		m = message_new(c, MSG_LEND, i, node_from_addr(action->addr));
 		m->u.lend = action->u.lend;
-		child_note(c, &m->u.lend);
+		lent_job_add(c, &m->u.lend);
 		break;
 	case GB_ACT_ANSWER:
 		t = tracked_find(c, action->id);
-		step_reached(c, AT_ANSWER, i, 0);
-		/* A killed process's answer does not arrive. */
+		point_reached(c, AT_ANSWER, i, 0);
+		/* A fault at AT_ANSWER may have killed the core. */
 		if (t != NULL && node->core != NULL)
-			check_answer(c, t, &action->u.answer);
+			answer_check(c, t, &action->u.answer);
 		gb_action_clear(action);
 		return;
 	case GB_ACT_EXIT:
@@ -504,6 +517,7 @@
 	message_send(c, m, 0);
 }
 
+/** Execute the actions that a core has queued. */
 static void
 core_pump(struct cells *c, uint32_t i)
 {
@@ -511,15 +525,16 @@
 
 	while (c->cores[i].core != NULL &&
 	       gb_core_next(c->cores[i].core, &action)) {
-		/* A kill may come between a decision and its sending. */
-		act(c, i, &action);
+		/* A fault may kill the core here and drop the other actions. */
+		action_execute(c, i, &action);
 	}
 	if (c->cores[i].core != NULL && c->cores[i].leaving)
 		cells_kill(c, i);
 }
 
-/* Ledger of the workers */
+/* What the workers run */
 
+/** Check and count the start of a task. */
 static void
 ledger_start(struct cells *c, struct worker_node *w, const gb_task_id *id)
 {
@@ -529,31 +544,34 @@
 		if (i != w->index &&
 		    worker_model_runs(c->workers[i].model,
 			worker_clock(&c->workers[i]), id->job, id->index))
-			broken(c, "a task runs in two places", w->name);
+			violation_record(
+			    c, "a task runs in two places", w->name);
 	}
 	for (i = 0; i < c->start_count; i++) {
 		if (c->starts[i].job == id->job &&
 		    c->starts[i].index == id->index)
 			break;
 	}
-	if (i == c->start_count && i < 4 * TRACKED) {
+	if (i == c->start_count && i < 4 * TRACKED_MAX) {
 		c->starts[i].job = id->job;
 		c->starts[i].index = id->index;
 		c->start_count++;
 	}
-	if (i < 4 * TRACKED)
+	if (i < 4 * TRACKED_MAX)
 		c->starts[i].times++;
 	for (i = 0; i < c->tracked_count; i++) {
 		struct tracked *t = &c->tracked[i];
 
-		if (!t->job || t->cancel || t->job_id != job_of(c, id->job))
+		if (!t->job || t->cancel || t->job_id != job_parent(c, id->job))
 			continue;
 		t->starts++;
 		if (!t->idempotent && t->starts > t->tasks)
-			broken(c, "a non-idempotent task ran twice", t->name);
+			violation_record(
+			    c, "a non-idempotent task ran twice", t->name);
 	}
 }
 
+/** Check and count the start of a request. */
 static void
 ledger_exec(struct cells *c, struct worker_node *w, const gb_exec *exec)
 {
@@ -570,16 +588,16 @@
 			continue;
 		t->execs++;
 		if (t->execs > 1 && !t->idempotent)
-			broken(
+			violation_record(
 			    c, "a non-idempotent request ran twice", t->name);
 		if (t->answered && t->answer.verdict == GB_NOT_RUN && !t->keyed)
-			broken(
+			violation_record(
 			    c, "not run was said of what ran later", t->name);
 	}
 }
 
 static void
-ledger(void *data, enum worker_event event, const gb_task_id *id,
+ledger_event(void *data, enum worker_event event, const gb_task_id *id,
     const gb_exec *exec)
 {
 	struct worker_node *w = data;
@@ -592,8 +610,9 @@
 		    id->index, id->attempt);
 	if (event == WORKER_START || event == WORKER_EXEC) {
 		if (w->state != GB_INSTANCE_LIVE &&
-		    c->now - w->left_at > LEAVE_BOUND)
-			broken(c, "a leaving worker got new work", w->name);
+		    c->now - w->left_at > LEAVE_NOTICE_MAX)
+			violation_record(
+			    c, "a leaving worker got new work", w->name);
 	}
 	if (event == WORKER_START && id != NULL)
 		ledger_start(c, w, id);
@@ -601,9 +620,9 @@
 		ledger_exec(c, w, exec);
 }
 
-/* Life of the cell */
+/* Start and stop of the nodes */
 
-/** Logs of the cores, when a run is looked into. */
+/** Print a log line of a core; used when GB_CELLS_LOG is set. */
 static void
 log_line(
     void *data, enum gb_level level, const char *partition, const char *text)
@@ -673,7 +692,7 @@
 	gb_core_unref(c->cores[i].core);
 	c->cores[i].core = NULL;
 	c->cores[i].leaving = false;
-	/* Its callers see the connection close. */
+	/* The connections of its callers close. */
 	for (n = 0; n < c->tracked_count; n++) {
 		struct tracked *t = &c->tracked[n];
 
@@ -686,7 +705,7 @@
 }
 
 static void
-worker_up(struct cells *c, uint32_t i)
+worker_start(struct cells *c, uint32_t i)
 {
 	static const gb_res capacity = {4000, 8192, 0, 4, 4};
 	struct worker_node *w = &c->workers[i];
@@ -695,7 +714,7 @@
 	w->index = i;
 	w->incarnation = gb_random_next(&c->seed) | 1;
 	snprintf(w->name, sizeof(w->name), "w%" PRIu32, i);
-	w->model = worker_model_new(w->incarnation, &capacity, ledger, w);
+	w->model = worker_model_new(w->incarnation, &capacity, ledger_event, w);
 }
 
 struct cells *
@@ -712,7 +731,7 @@
 		    (gb_time)(gb_random_next(&c->seed) % 100000) * GB_MSEC;
 		c->workers[i].drift =
 		    (int64_t)(gb_random_next(&c->seed) % 9) - 4;
-		worker_up(c, i);
+		worker_start(c, i);
 	}
 	for (i = 0; i < CORES; i++)
 		cells_start(c, i);
@@ -737,8 +756,9 @@
 	free(c);
 }
 
+/** Give a core the list of workers. */
 static void
-list_tell(struct cells *c, uint32_t core)
+instances_send(struct cells *c, uint32_t core)
 {
 	gb_instance list[WORKERS];
 	char addr[WORKERS][8];
@@ -761,8 +781,10 @@
 	gb_core_instances(c->cores[core].core, c->now, &all);
 }
 
+/** Check that each core uses the newest document: never an older one than
+ * before, nor one older than the version that is in force. */
 static void
-check_cores(struct cells *c)
+cores_check(struct cells *c)
 {
 	uint32_t i;
 
@@ -776,21 +798,23 @@
 		if (vers == 0)
 			continue;
 		if (vers < node->seen_vers)
-			broken(c, "a document went back", "core");
+			violation_record(c, "a document went back", "core");
 		if (vers < c->in_force)
-			broken(c, "an old document is acted on", "core");
+			violation_record(
+			    c, "an old document is acted on", "core");
 		node->seen_vers = vers;
 	}
 }
 
+/** Check that no worker runs more than its capacity. */
 static void
-check_workers(struct cells *c)
+workers_check(struct cells *c)
 {
 	uint32_t i;
 
 	for (i = 0; i < WORKERS; i++) {
 		if (worker_model_over(c->workers[i].model))
-			broken(
+			violation_record(
 			    c, "a worker holds too much", c->workers[i].name);
 	}
 }
@@ -801,11 +825,11 @@
 	struct message *m;
 	uint32_t i;
 
-	c->now += STEP;
+	c->now += STEP_TIME;
 	while (c->queue != NULL && c->queue->at <= c->now) {
 		m = c->queue;
 		c->queue = m->next;
-		deliver(c, m);
+		message_deliver(c, m);
 		for (i = 0; i < CORES; i++) {
 			if (core_runs(c, i))
 				core_pump(c, i);
@@ -819,13 +843,13 @@
 	for (i = 0; i < CORES; i++) {
 		if (!core_runs(c, i))
 			continue;
-		if (c->now % LIST_EVERY == 0)
-			list_tell(c, i);
+		if (c->now % LIST_INTERVAL == 0)
+			instances_send(c, i);
 		gb_core_tick(c->cores[i].core, c->now);
 		core_pump(c, i);
 	}
-	check_cores(c);
-	check_workers(c);
+	cores_check(c);
+	workers_check(c);
 }
 
 void
@@ -833,18 +857,19 @@
 {
 	gb_time until = c->now + span;
 
-	while (c->now < until && c->broken[0] == '\0')
+	while (c->now < until && c->violation[0] == '\0')
 		cells_step(c);
 }
 
-/* What callers and operators do */
+/* Callers and operators */
 
+/** New record; null when the core doesn't run or the records are used up. */
 static struct tracked *
-track(struct cells *c, uint32_t core)
+tracked_new(struct cells *c, uint32_t core)
 {
 	struct tracked *t;
 
-	if (c->tracked_count == TRACKED || !core_runs(c, core))
+	if (c->tracked_count == TRACKED_MAX || !core_runs(c, core))
 		return NULL;
 	t = &c->tracked[c->tracked_count++];
 	memset(t, 0, sizeof(*t));
@@ -855,14 +880,14 @@
 }
 
 static void
-body_text(gb_body *body, const char *text)
+body_set(gb_body *body, const char *text)
 {
 	body->gb_body_val = (char *)(uintptr_t)text;
 	body->gb_body_len = (u_int)strlen(text);
 }
 
 static void
-command(struct cells *c, const struct tracked *t, gb_command *cmd)
+command_send(struct cells *c, const struct tracked *t, gb_command *cmd)
 {
 	cmd->team = (char *)(uintptr_t)TEAM;
 	cmd->author = (char *)(uintptr_t) "someone";
@@ -876,31 +901,31 @@
 {
 	static const char *const services[] = {
 	    "idem", "once", "gang", "far", "long", "slow"};
-	struct tracked *t = track(c, core);
+	struct tracked *t = tracked_new(c, core);
 	gb_command cmd = {.verb = GB_VERB_SUBMIT};
 	char text[96];
 	uint32_t shard;
 
 	if (t == NULL)
 		return;
-	if ((kind == 2 || kind == 5) && tasks > GANG_MOST)
-		tasks = GANG_MOST;
+	if ((kind == 2 || kind == 5) && tasks > GANG_TASKS_MAX)
+		tasks = GANG_TASKS_MAX;
 	t->job = true;
 	t->idempotent = kind != 1 && kind != 3;
 	t->tasks = tasks;
 	t->job_id = gb_hash_pair(TEAM, t->name);
 	shard = gb_shard_of_job(2, TEAM, t->name);
-	/* The caller knows the owner, as an entry does. */
+	/* An entry sends the command to the owner of its shard. */
 	if (cells_owner(c, shard) != GB_NONE)
 		t->core = cells_owner(c, shard);
 	snprintf(text, sizeof(text), "{\"service\": \"%s\", \"tasks\": %u}",
 	    services[kind], tasks);
 	cmd.shard = shard;
 	cmd.name = t->name;
-	body_text(&cmd.body, text);
-	step_reached(c, AT_SUBMIT, t->core, 0);
+	body_set(&cmd.body, text);
+	point_reached(c, AT_SUBMIT, t->core, 0);
 	if (core_runs(c, t->core))
-		command(c, t, &cmd);
+		command_send(c, t, &cmd);
 	else
 		t->answered = true;
 }
@@ -925,18 +950,18 @@
 		return;
 	cmd.shard = gb_shard_of_job(2, TEAM, job->name);
 	owner = cells_owner(c, cmd.shard);
-	t = owner == GB_NONE ? NULL : track(c, owner);
+	t = owner == GB_NONE ? NULL : tracked_new(c, owner);
 	if (t == NULL)
 		return;
 	t->job = true;
 	t->cancel = true;
 	cmd.name = job->name;
-	body_text(&cmd.body, "");
-	command(c, t, &cmd);
+	body_set(&cmd.body, "");
+	command_send(c, t, &cmd);
 }
 
 static void
-request_give(struct cells *c, struct tracked *t)
+request_send(struct cells *c, struct tracked *t)
 {
 	gb_request req = {0};
 
@@ -947,7 +972,7 @@
 	req.service = (char *)(uintptr_t)(t->idempotent ? "lookup" : "renewal");
 	req.key = (char *)(uintptr_t)(t->keyed ? t->name : "");
 	req.trace = (char *)(uintptr_t) "";
-	body_text(&req.body, t->name);
+	body_set(&req.body, t->name);
 	gb_core_request(c->cores[t->core].core, c->now, t->id, &req);
 	core_pump(c, t->core);
 }
@@ -955,13 +980,13 @@
 void
 cells_request(struct cells *c, uint32_t core, unsigned int kind)
 {
-	struct tracked *t = track(c, core);
+	struct tracked *t = tracked_new(c, core);
 
 	if (t == NULL)
 		return;
 	t->idempotent = kind == 0;
 	t->keyed = kind == 2;
-	request_give(c, t);
+	request_send(c, t);
 }
 
 void
@@ -979,7 +1004,7 @@
 		t->answered = false;
 		t->execs_before = t->execs;
 		t->core = core;
-		request_give(c, t);
+		request_send(c, t);
 		return;
 	}
 }
@@ -987,7 +1012,7 @@
 void
 cells_apply(struct cells *c, uint32_t core)
 {
-	struct tracked *t = track(c, core);
+	struct tracked *t = tracked_new(c, core);
 	gb_command cmd = {.verb = GB_VERB_APPLY};
 
 	if (t == NULL)
@@ -995,17 +1020,17 @@
 	t->apply = true;
 	cmd.name = (char *)(uintptr_t) "doc";
 	cmd.vers = gb_core_doc_vers(c->cores[core].core, c->now, TEAM, "doc");
-	body_text(&cmd.body,
+	body_set(&cmd.body,
 	    "{\"team\": \"" TEAM "\", \"service\": \"doc\", "
 	    "\"kind\": \"service\", \"replicas\": 3, \"resources\": "
 	    "{\"cpu_milli\": 500}}");
-	command(c, t, &cmd);
+	command_send(c, t, &cmd);
 }
 
 void
 cells_drain(struct cells *c, uint32_t core, uint32_t worker, bool drain)
 {
-	struct tracked *t = track(c, core);
+	struct tracked *t = tracked_new(c, core);
 	gb_command cmd = {.verb = drain ? GB_VERB_DRAIN : GB_VERB_UNDRAIN};
 
 	if (t == NULL)
@@ -1013,9 +1038,9 @@
 	t->job = true;
 	t->cancel = true;
 	cmd.name = c->workers[worker].name;
-	body_text(&cmd.body, "");
-	command(c, t, &cmd);
-	step_reached(c, AT_DRAIN, core, worker);
+	body_set(&cmd.body, "");
+	command_send(c, t, &cmd);
+	point_reached(c, AT_DRAIN, core, worker);
 }
 
 void
@@ -1048,12 +1073,12 @@
 	c->cut[from][to] = cut;
 	if (!cut)
 		return;
-	/* Requests that run now lose their connection, and go on running. */
+	/* Requests that run lose their connection, and continue to run. */
 	for (m = c->queue; m != NULL; m = m->next) {
 		if (m->type == MSG_EXEC_RUN &&
 		    ((m->from == from && m->to == to) ||
 			(m->from == to && m->to == from)))
-			connection_lost(c, m);
+			running_connection_close(c, m);
 	}
 }
 
@@ -1063,7 +1088,7 @@
 	if (c->workers[i].state == GB_INSTANCE_GONE)
 		return;
 	worker_model_free(c->workers[i].model);
-	worker_up(c, i);
+	worker_start(c, i);
 }
 
 void
@@ -1074,7 +1099,7 @@
 	if (w->state == GB_INSTANCE_GONE || state == w->state)
 		return;
 	if (state == GB_INSTANCE_GONE) {
-		/* What it ran has ended with it. */
+		/* Its tasks and requests end with it. */
 		cells_worker_restart(c, i);
 		w->paused_until = INT64_MAX;
 	}
@@ -1100,8 +1125,9 @@
 	return GB_NONE;
 }
 
-/* The end */
+/* End of a run */
 
+/** Ask the owner for an accepted job, and check that the job has ended. */
 static void
 job_check(struct cells *c, struct tracked *t)
 {
@@ -1111,42 +1137,44 @@
 	    .name = t->name,
 	    .author = (char *)(uintptr_t) ""};
 	uint32_t owner;
-	bool told = false;
+	bool answered = false;
 
 	cmd.shard = gb_shard_of_job(2, TEAM, t->name);
 	owner = cells_owner(c, cmd.shard);
 	if (owner == GB_NONE) {
-		broken(c, "a shard has no owner after the faults", t->name);
+		violation_record(
+		    c, "a shard has no owner after the faults", t->name);
 		return;
 	}
 	gb_core_command(c->cores[owner].core, c->now, UINT64_MAX, &cmd);
 	while (gb_core_next(c->cores[owner].core, &action)) {
 		if (action.type != GB_ACT_ANSWER || action.id != UINT64_MAX) {
-			act(c, owner, &action);
+			action_execute(c, owner, &action);
 			continue;
 		}
-		told = true;
+		answered = true;
 		if (action.u.answer.status == 404)
-			broken(c, "an accepted job is lost", t->name);
+			violation_record(c, "an accepted job is lost", t->name);
 		else if (memmem(action.u.answer.body.gb_body_val,
 			     action.u.answer.body.gb_body_len, "\"active\",",
 			     9) != NULL)
-			broken(c, "an accepted job does not end", t->name);
+			violation_record(
+			    c, "an accepted job does not end", t->name);
 		gb_action_clear(&action);
 	}
-	if (!told)
-		broken(c, "a command was not answered", t->name);
+	if (!answered)
+		violation_record(c, "a command was not answered", t->name);
 }
 
 static void
-cells_heal(struct cells *c)
+faults_clear(struct cells *c)
 {
 	uint32_t i;
 
 	memset(c->cut, 0, sizeof(c->cut));
 	c->store_down = false;
-	c->store_slow = 0;
-	c->store_lose = 0;
+	c->store_delay = 0;
+	c->store_lost_answers = 0;
 	for (i = 0; i < CORES; i++) {
 		c->cores[i].paused_until = 0;
 		c->cores[i].delay = 0;
@@ -1168,19 +1196,20 @@
 {
 	unsigned int i;
 
-	cells_heal(c);
+	faults_clear(c);
 	cells_run(c, 5 * GB_SEC);
 	for (i = 0; i < CORES; i++)
-		cells_start(c, i); /* those that were still leaving */
+		cells_start(c, i); /* cores that were leaving have exited */
 	cells_run(c, 5 * GB_SEC);
 	for (i = 0; i < WORKERS; i++)
 		cells_drain(c, 0, i, false);
-	cells_run(c, REST);
-	for (i = 0; i < c->tracked_count && c->broken[0] == '\0'; i++) {
+	cells_run(c, SETTLE_TIME);
+	for (i = 0; i < c->tracked_count && c->violation[0] == '\0'; i++) {
 		struct tracked *t = &c->tracked[i];
 
 		if (!t->answered)
-			broken(c, "a caller was not answered", t->name);
+			violation_record(
+			    c, "a caller was not answered", t->name);
 		else if (t->job && !t->cancel && t->answer.verdict == GB_RUN &&
 			 t->answer.status == 200)
 			job_check(c, t);
--- a/tests/cells.h
+++ b/tests/cells.h
@@ -1,8 +1,8 @@
 /**
  * @file cells.h
- * Several scheduler cores with a table service, workers and a network that
- * are small models, under a virtual clock; and the oracle that checks the
- * promises after every step.
+ * A simulated cell: several real scheduler cores on models of the table
+ * service, the workers and the network, under a virtual clock.  An oracle
+ * checks the invariants of the scheduler after every step of the clock.
  */
 #ifndef CELLS_H
 #define CELLS_H
@@ -15,78 +15,83 @@
 #define WORKERS 6
 #define STORE_NODE (CORES + WORKERS)
 #define NODES (STORE_NODE + 1)
-#define STEP (10 * GB_MSEC)
-#define TRACKED 600
+/** Virtual time between two steps. */
+#define STEP_TIME (10 * GB_MSEC)
+/** Requests, commands and jobs of a run that the oracle can record. */
+#define TRACKED_MAX 600
 
-/** Where a fault of the matrix strikes. */
-enum cell_step {
+/** Point of the work at which a fault of the matrix is injected. */
+enum fault_point {
 	AT_NONE,
-	AT_SUBMIT,
-	AT_COMMIT,
-	AT_PLACE,
-	AT_START,
-	AT_RUN,
-	AT_END,
-	AT_ANSWER,
-	AT_DRAIN,
-	AT_TAKEOVER,
-	AT_ACCEPT,
-	AT_SPREAD,
-	AT_STEPS
+	AT_SUBMIT,   /**< a caller submits a job */
+	AT_COMMIT,   /**< the table service has written a shard's log */
+	AT_PLACE,    /**< a core sends starts to a worker */
+	AT_START,    /**< a worker receives starts */
+	AT_RUN,	     /**< a worker reports a running task */
+	AT_END,	     /**< a worker reports a task that succeeded */
+	AT_ANSWER,   /**< a core answers a caller */
+	AT_DRAIN,    /**< an operator drains a worker, or ends its drain */
+	AT_TAKEOVER, /**< the table service has written a shard's owner */
+	AT_ACCEPT,   /**< the table service has written a document change */
+	AT_SPREAD,   /**< a core learns of a newer change from a peer */
+	AT_POINT_COUNT
 };
 
 struct message;
 
-/** A request or job as the oracle remembers it. */
+/** Record of the oracle on a request, a command or a job. */
 struct tracked {
-	uint64_t id; /**< of the answer; 0: free */
-	uint32_t core;
-	bool job;
+	uint64_t id;   /**< that its answer carries; 0: none */
+	uint32_t core; /**< that it was sent to */
+	bool job;      /**< a command on a job or a worker */
 	bool idempotent;
 	bool keyed;
 	bool answered;
 	gb_answer answer; /**< without its body */
 	uint64_t job_id;
 	uint32_t tasks;
-	uint32_t starts; /**< of its tasks, here and in other shards */
-	char name[24];
-	unsigned int execs;
-	unsigned int execs_before; /**< when it was last sent */
-	uint64_t wants;		   /**< version that an apply asked for */
-	bool apply;
-	bool cancel;
+	uint32_t starts;    /**< of its tasks, in its own and in other shards */
+	char name[24];	    /**< also the body of a request */
+	unsigned int execs; /**< times that a worker began to run it */
+	unsigned int execs_before; /**< execs when it was last repeated */
+	uint64_t wants;		   /**< unused */
+	bool apply;		   /**< submits a version of the document */
+	bool cancel;		   /**< cancels a job, or drains a worker */
 };
 
+/** A scheduler process. */
 struct core_node {
 	struct cells *cells;
-	struct gb_core *core; /**< null while dead */
+	struct gb_core *core; /**< null: the process does not run */
 	uint64_t incarnation;
 	gb_time paused_until;
-	gb_time delay; /**< added to everything it sends */
-	bool leaving;
-	uint64_t seen_vers; /**< newest document version it acted on */
+	gb_time delay;	    /**< added to every message it sends */
+	bool leaving;	    /**< the core has asked to exit */
+	uint64_t seen_vers; /**< newest version of the document it used */
 };
 
 struct worker_node {
 	struct worker_model *model;
 	struct cells *cells;
 	uint64_t incarnation;
-	gb_time offset; /**< of its clock */
+	gb_time offset; /**< of its clock from virtual time */
 	int64_t drift;	/**< of its clock, per mille */
 	gb_time paused_until;
 	gb_instance_state state;
-	gb_time left_at;
+	gb_time left_at; /**< last change of state */
 	char name[16];
 	uint32_t index;
 };
 
-/** A loan of a job's tasks to another shard. */
-struct child {
+/** A job that runs tasks in another shard, lent by the job that is its
+ * parent. */
+struct lent_job {
 	uint64_t id;
 	uint64_t parent;
 };
 
-struct started {
+/** Number of starts of a task. */
+struct task_starts {
 	uint64_t job;
 	uint32_t index;
 	unsigned int times;
@@ -98,57 +103,69 @@
 	struct core_node cores[CORES];
 	struct worker_node workers[WORKERS];
 	struct store_model *store;
-	bool cut[NODES][NODES]; /**< from, to */
+	bool cut[NODES][NODES]; /**< [from][to]: messages are dropped */
 	bool store_down;
-	gb_time store_slow;
-	unsigned int store_lose;
-	gb_time service_time; /**< of a request, 0: short */
-	struct message *queue;
+	gb_time store_delay;		 /**< added to its answers */
+	unsigned int store_lost_answers; /**< transactions to leave without
+					      answer */
+	gb_time service_time;  /**< run time of a request; 0: default */
+	struct message *queue; /**< in flight, by time of delivery */
 	uint64_t next_message;
-	struct tracked tracked[TRACKED];
+	struct tracked tracked[TRACKED_MAX];
 	unsigned int tracked_count;
-	struct started starts[4 * TRACKED];
+	struct task_starts starts[4 * TRACKED_MAX];
 	unsigned int start_count;
-	struct child children[4 * TRACKED];
-	unsigned int child_count;
-	uint64_t in_force; /**< document version that is in force everywhere */
-	unsigned int names;
-	char broken[256]; /**< first promise that was broken */
-	/* Fault matrix */
-	enum cell_step strike_at;
-	void (*strike)(struct cells *, uint32_t core, uint32_t worker);
-	bool struck;
+	struct lent_job lent_jobs[4 * TRACKED_MAX];
+	unsigned int lent_job_count;
+	uint64_t in_force;   /**< newest version that was answered as in force
+				in every core */
+	unsigned int names;  /**< number in the last name that was made */
+	char violation[256]; /**< first violation of an invariant; empty: none
+			      */
+	/* Fault matrix: the fault is injected once, at the first time that the
+	 * point is reached. */
+	enum fault_point fault_at;
+	void (*inject)(struct cells *, uint32_t core, uint32_t worker);
+	bool injected;
 };
 
 struct cells *cells_new(uint64_t seed);
 void cells_free(struct cells *);
-/** Let virtual time pass, and check every promise at each step. */
+/** Run for a span of virtual time, up to the first violation. */
 void cells_run(struct cells *, gb_time);
-/** End all faults, let the cell come to rest, and check that nothing that was
- * accepted is lost. */
+/** End all faults, run until all work can have ended, and check that every
+ * caller was answered and that every accepted job has ended. */
 void cells_finish(struct cells *);
 
+/** Submit a job of one of six kinds: idempotent batch, batch that isn't
+ * idempotent, gang, batch that only data centre b may run, long batch, slow
+ * gang. */
 void cells_submit(
     struct cells *, uint32_t core, unsigned int kind, uint32_t tasks);
-/** Cancel the job that was tracked n-th last. */
+/** Cancel the n-th job from the last that was submitted, which is 0. */
 void cells_cancel(struct cells *, unsigned int n);
+/** Send a request: 0 idempotent, 1 not idempotent, 2 with a key. */
 void cells_request(struct cells *, uint32_t core, unsigned int kind);
-/** Send a keyed request again. */
+/** Repeat the n-th answered request with a key from the last, which is 0. */
 void cells_repeat(struct cells *, uint32_t core, unsigned int n);
-/** One operator submits the next version of the document. */
+/** Submit the version of the document that follows the one the core has. */
 void cells_apply(struct cells *, uint32_t core);
 void cells_drain(struct cells *, uint32_t core, uint32_t worker, bool drain);
 void cells_kill(struct cells *, uint32_t core);
+/** Start a core that doesn't run, as a new process incarnation. */
 void cells_start(struct cells *, uint32_t core);
+/** Ask a core to hand over its shards and to exit. */
 void cells_leave(struct cells *, uint32_t core);
 void cells_pause(struct cells *, uint32_t core, gb_time);
 void cells_pause_worker(struct cells *, uint32_t worker, gb_time);
+/** Drop all messages in one direction, or stop doing so.  Nodes are numbered:
+ * cores, workers, table service. */
 void cells_cut(struct cells *, uint32_t from, uint32_t to, bool);
 void cells_worker_restart(struct cells *, uint32_t worker);
 void cells_worker_state(struct cells *, uint32_t worker, gb_instance_state);
-/** Whether some live core owns a shard. */
+/** Whether a core that runs owns the shard. */
 bool cells_owned(const struct cells *, uint32_t shard);
-/** Core that owns a shard, or GB_NONE. */
+/** Running core that owns the shard, or GB_NONE. */
 uint32_t cells_owner(const struct cells *, uint32_t shard);
 
 #endif
--- a/tests/fuzz_cells.c
+++ b/tests/fuzz_cells.c
@@ -1,7 +1,7 @@
 /**
  * @file fuzz_cells.c
- * Turns bytes into what callers, operators and faults do to a cell.  Built as
- * a libFuzzer target, and used by the replay test.
+ * Turns bytes into operations of callers and operators and into faults of a
+ * simulated cell.  Built as a libFuzzer target, and used by the replay test.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,16 +10,18 @@
 #include "fuzz_cells.h"
 #include <string.h>
 
-#define OPS_MOST 160
+#define OPS_MAX 160
 
+/** Bytes of a run, and the next one to read. */
 struct input {
 	const uint8_t *data;
 	size_t size;
 	size_t at;
 };
 
+/** Next byte; 0 after the last. */
 static unsigned int
-next(struct input *in)
+input_next(struct input *in)
 {
 	return in->at < in->size ? in->data[in->at++] : 0;
 }
@@ -35,8 +37,9 @@
 		cells_cut(c, to, from, true);
 }
 
+/** End all cuts from and to a node. */
 static void
-op_heal(struct cells *c, unsigned int a)
+op_reconnect(struct cells *c, unsigned int a)
 {
 	uint32_t i;
 
@@ -50,8 +53,8 @@
 op_store(struct cells *c, unsigned int a)
 {
 	c->store_down = a % 4 == 1;
-	c->store_slow = a % 4 == 2 ? (gb_time)(a / 4) * 5 * GB_MSEC : 0;
-	c->store_lose = a % 4 == 3 ? 1 + a / 64 : 0;
+	c->store_delay = a % 4 == 2 ? (gb_time)(a / 4) * 5 * GB_MSEC : 0;
+	c->store_lost_answers = a % 4 == 3 ? 1 + a / 64 : 0;
 }
 
 static void
@@ -76,7 +79,7 @@
 		cells_worker_state(c, w, GB_INSTANCE_LEAVING);
 		break;
 	default:
-		/* At least some workers of each shard stay. */
+		/* Two workers of each data centre remain. */
 		if (w % 3 == 2)
 			cells_worker_state(c, w, GB_INSTANCE_GONE);
 		break;
@@ -110,12 +113,13 @@
 	}
 }
 
+/** Do the operation that the next three bytes stand for. */
 static void
-op(struct cells *c, struct input *in)
+input_op(struct cells *c, struct input *in)
 {
-	unsigned int code = next(in);
-	unsigned int a = next(in);
-	unsigned int b = next(in);
+	unsigned int code = input_next(in);
+	unsigned int a = input_next(in);
+	unsigned int b = input_next(in);
 
 	switch (code % 16) {
 	case 0:
@@ -149,7 +153,7 @@
 		op_cut(c, a, b);
 		break;
 	case 12:
-		op_heal(c, a);
+		op_reconnect(c, a);
 		break;
 	case 13:
 		op_store(c, a);
@@ -209,22 +213,23 @@
 }
 
 int
-fuzz_cells_run(const uint8_t *data, size_t size, char *broken, size_t room)
+fuzz_cells_run(
+    const uint8_t *data, size_t size, char *violation, size_t violation_size)
 {
 	struct input in = {data, size, 0};
 	struct cells *c = cells_new(size > 0 ? data[0] : 0);
 	unsigned int ops = 0;
-	int held;
+	int ok;
 
 	fuzz_cells_documents(c);
-	while (in.at < in.size && ops++ < OPS_MOST && c->broken[0] == '\0')
-		op(c, &in);
-	if (c->broken[0] == '\0')
+	while (in.at < in.size && ops++ < OPS_MAX && c->violation[0] == '\0')
+		input_op(c, &in);
+	if (c->violation[0] == '\0')
 		cells_finish(c);
-	held = c->broken[0] == '\0';
-	snprintf(broken, room, "%s", c->broken);
+	ok = c->violation[0] == '\0';
+	snprintf(violation, violation_size, "%s", c->violation);
 	cells_free(c);
-	return held;
+	return ok;
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *, size_t);
@@ -232,10 +237,10 @@
 int
 LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	char broken[256];
+	char violation[256];
 
-	if (!fuzz_cells_run(data, size, broken, sizeof(broken))) {
-		fprintf(stderr, "fuzz: %s\n", broken);
+	if (!fuzz_cells_run(data, size, violation, sizeof(violation))) {
+		fprintf(stderr, "fuzz: %s\n", violation);
 		abort();
 	}
 	return 0;
--- a/tests/fuzz_cells.h
+++ b/tests/fuzz_cells.h
@@ -1,6 +1,6 @@
 /**
  * @file fuzz_cells.h
- * Runs a cell on bytes that stand for what is done to it.
+ * Runs a simulated cell with operations and faults that are read from bytes.
  */
 #ifndef FUZZ_CELLS_H
 #define FUZZ_CELLS_H
@@ -10,11 +10,15 @@
 
 struct cells;
 
-/** Let the cell come up and give it the documents of the tests. */
+/** Run the cell until its shards have owners, and apply the documents that the
+ * jobs and requests of cells.h name. */
 void fuzz_cells_documents(struct cells *);
-/** Apply one more document of the tests' team, given without its names. */
+/** Apply a document of the team of the tests; rest are its JSON members after
+ * team and service. */
 void fuzz_cells_document(struct cells *, const char *service, const char *rest);
-/** 1 when every promise held; otherwise the first that broke is named. */
-int fuzz_cells_run(const uint8_t *, size_t, char *broken, size_t room);
+/** Run a cell on the bytes.  Returns 1 when no invariant was violated, else 0
+ * with the text of the first violation. */
+int fuzz_cells_run(
+    const uint8_t *, size_t, char *violation, size_t violation_size);
 
 #endif
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -1,6 +1,9 @@
 /**
  * @file test_cells.c
- * Failures one at a time, on the cells of cells.h.
+ * Guards against a scheduler that loses, repeats or wrongly refuses work when
+ * one thing fails: a cut link, a lost answer, a table service that is
+ * unavailable, a process that stops.  Each test causes one such failure in a
+ * simulated cell (cells.h).
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,17 +16,18 @@
 #include "cells.h"
 #include "fuzz_cells.h"
 
+/** Cell that has its documents. */
 static struct cells *
-cells_up(uint64_t seed)
+cells_setup(uint64_t seed)
 {
 	struct cells *c = cells_new(seed);
 
 	fuzz_cells_documents(c);
-	assert_string_equal(c->broken, "");
+	assert_string_equal(c->violation, "");
 	return c;
 }
 
-/** Worker that runs something, or WORKERS. */
+/** First worker that runs a task, or WORKERS. */
 static uint32_t
 worker_busy(const struct cells *c)
 {
@@ -38,20 +42,20 @@
 }
 
 static void
-cells_down(struct cells *c)
+cells_teardown(struct cells *c)
 {
-	assert_string_equal(c->broken, "");
+	assert_string_equal(c->violation, "");
 	cells_finish(c);
-	assert_string_equal(c->broken, "");
+	assert_string_equal(c->violation, "");
 	cells_free(c);
 }
 
-/** A task whose worker restarts whenever it runs there has only so many
- * attempts: the document allows five. */
+/** A task whose worker restarts whenever it runs fails after its attempts are
+ * used up: the document allows five. */
 static void
-test_task_that_restarts_workers_is_given_up(void **state)
+test_task_fails_after_worker_restarts(void **state)
 {
-	struct cells *c = cells_up(3);
+	struct cells *c = cells_setup(3);
 	unsigned int restarts = 0;
 	unsigned int idle = 0;
 	uint32_t w;
@@ -74,14 +78,15 @@
 	}
 	print_message("restarts: %u\n", restarts);
 	assert_in_range(restarts, 1, 5);
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** A task of a worker that is cut off waits for the end of its lease. */
+/** A task on a worker that no core reaches is started elsewhere only after the
+ * worker's lease has expired. */
 static void
 test_cut_worker_keeps_its_task(void **state)
 {
-	struct cells *c = cells_up(1);
+	struct cells *c = cells_setup(1);
 	uint32_t w;
 	uint32_t i;
 
@@ -94,18 +99,19 @@
 		cells_cut(c, i, CORES + w, true);
 	cells_run(c, GB_SEC);
 	assert_true(worker_busy(c) == w);
-	assert_string_equal(c->broken, "");
+	assert_string_equal(c->violation, "");
 	cells_run(c, 5 * GB_SEC);
 	assert_true(worker_busy(c) != w);
 	assert_true(worker_busy(c) != WORKERS);
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** Requests whose answers never come keep their room on the worker. */
+/** Requests without an answer keep their capacity on the worker, because they
+ * may still run there. */
 static void
-test_unanswered_requests_keep_their_room(void **state)
+test_unanswered_requests_keep_capacity(void **state)
 {
-	struct cells *c = cells_up(2);
+	struct cells *c = cells_setup(2);
 	unsigned int n;
 	uint32_t i;
 
@@ -122,16 +128,17 @@
 		}
 		cells_run(c, 250 * GB_MSEC);
 	}
-	assert_string_equal(c->broken, "");
+	assert_string_equal(c->violation, "");
 	c->service_time = 0;
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** The service is down for long: lookups are served, changes refused. */
+/** While the table service is unavailable, lookups are served and changes are
+ * refused. */
 static void
 test_outage_serves_lookups(void **state)
 {
-	struct cells *c = cells_up(3);
+	struct cells *c = cells_setup(3);
 	unsigned int first = c->tracked_count;
 	unsigned int i;
 
@@ -147,7 +154,7 @@
 		assert_true(c->tracked[i].answered);
 		assert_int_equal(c->tracked[i].answer.verdict, GB_RUN);
 	}
-	/* One member of three is lost as well: the others go on. */
+	/* One member of three ends as well: the others still serve. */
 	cells_kill(c, 2);
 	cells_run(c, 2 * GB_SEC);
 	first = c->tracked_count;
@@ -160,7 +167,7 @@
 		if (cells_owner(c, c->tracked[i].id % 2) != GB_NONE)
 			assert_int_equal(c->tracked[i].answer.verdict, GB_RUN);
 	}
-	/* A change is refused at once, and says that it was not run. */
+	/* A change is refused at once, with the verdict that it was not run. */
 	first = c->tracked_count;
 	cells_apply(c, 0);
 	cells_submit(c, 0, 0, 1);
@@ -170,14 +177,14 @@
 		assert_int_equal(c->tracked[i].answer.verdict, GB_NOT_RUN);
 		assert_true(c->tracked[i].answer.retry_after_ms > 0);
 	}
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** Two operators submit the same next version: one wins. */
+/** Of operators who submit the same next version at once, one succeeds. */
 static void
 test_operators_race(void **state)
 {
-	struct cells *c = cells_up(4);
+	struct cells *c = cells_setup(4);
 	unsigned int won = 0;
 	unsigned int i;
 
@@ -194,15 +201,15 @@
 			assert_int_equal(t->answer.status, 412);
 	}
 	assert_int_equal(won, 1);
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** A keyed renewal that may have run is never sent again; its repeat gets the
- * recorded answer or is told so. */
+/** A repeated renewal with the same key gets the recorded answer and doesn't
+ * run a second time. */
 static void
 test_keyed_repeat(void **state)
 {
-	struct cells *c = cells_up(5);
+	struct cells *c = cells_setup(5);
 	const struct tracked *t = &c->tracked[0];
 
 	(void)state;
@@ -215,14 +222,15 @@
 	assert_true(t->answered);
 	assert_int_equal(t->answer.verdict, GB_RUN);
 	assert_int_equal(t->execs, 1);
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** All processes are replaced at once, under new incarnations. */
+/** All processes are killed and start again as new incarnations: the shards
+ * get owners, and no accepted work is lost. */
 static void
 test_all_restart(void **state)
 {
-	struct cells *c = cells_up(6);
+	struct cells *c = cells_setup(6);
 	uint32_t i;
 
 	(void)state;
@@ -238,14 +246,14 @@
 	cells_run(c, 3 * GB_SEC);
 	assert_true(cells_owned(c, 0));
 	assert_true(cells_owned(c, 1));
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** A drained worker gets nothing new and keeps what it runs. */
+/** Drained workers get no new task. */
 static void
 test_drain(void **state)
 {
-	struct cells *c = cells_up(7);
+	struct cells *c = cells_setup(7);
 	gb_task_id ids[8];
 	uint32_t i;
 
@@ -265,15 +273,15 @@
 			    worker_model_running(c->workers[i].model, ids, 8),
 			    0);
 	}
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** Tasks that may not run in their home's data centre run in another shard,
- * once, though every process dies on the way. */
+/** Tasks that may not run in the data centre of their own shard run in another
+ * shard, and each of them once, although every process is killed meanwhile. */
 static void
 test_lent_tasks(void **state)
 {
-	struct cells *c = cells_up(8);
+	struct cells *c = cells_setup(8);
 	unsigned int first = c->tracked_count;
 	unsigned int i;
 
@@ -288,7 +296,7 @@
 		cells_run(c, 2 * GB_SEC);
 	}
 	cells_run(c, 10 * GB_SEC);
-	assert_true(c->child_count > 0);
+	assert_true(c->lent_job_count > 0);
 	for (i = first; i < c->tracked_count; i++) {
 		if (c->tracked[i].answer.verdict == GB_RUN)
 			assert_int_equal(c->tracked[i].starts, 2);
@@ -296,16 +304,16 @@
 	for (i = 0; i < 3; i++)
 		assert_int_equal(
 		    worker_model_running(c->workers[i].model, NULL, 0), 0);
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** Documents outlive the changes that made them: the old ones are removed,
- * processes that start read the snapshot, and a write that comes late under a
- * removed number does not take effect. */
+/** Old changes of documents are removed once a snapshot has them: processes
+ * that start read the snapshot, and a late write of a change with a removed
+ * number has no effect. */
 static void
 test_config_snapshot(void **state)
 {
-	struct cells *c = cells_up(9);
+	struct cells *c = cells_setup(9);
 	unsigned int late;
 	uint32_t i;
 
@@ -329,15 +337,15 @@
 	for (i = 0; i < CORES; i++)
 		assert_true(gb_core_doc_vers(c->cores[i].core, c->now,
 				"byggepas", "doc") >= c->in_force);
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** A shard that is lost and taken again starts with nothing used of a team's
- * quota. */
+/** A core that takes over a shard which it had lost starts without the usage of
+ * a team's quota that it had counted before; otherwise new jobs never start. */
 static void
 test_quota_after_loss(void **state)
 {
-	struct cells *c = cells_up(10);
+	struct cells *c = cells_setup(10);
 	unsigned int round;
 	unsigned int first;
 	unsigned int i;
@@ -360,12 +368,12 @@
 	cells_run(c, 3 * GB_SEC);
 	for (i = first; i < c->tracked_count; i++)
 		assert_true(c->tracked[i].starts > 0);
-	cells_down(c);
+	cells_teardown(c);
 }
 
-/** Work of a kind whose home is shard 0. */
+/** Submit a job of a kind to shard 0, by a name that hashes to it. */
 static struct tracked *
-submit_at_home(struct cells *c, unsigned int kind)
+submit_to_shard_0(struct cells *c, unsigned int kind)
 {
 	unsigned int n;
 
@@ -381,20 +389,21 @@
 	return &c->tracked[c->tracked_count - 1];
 }
 
+/** Drain the workers of a range, or end their drain. */
 static void
-drain_from(struct cells *c, uint32_t from, uint32_t to, bool drain)
+workers_drain(struct cells *c, uint32_t from, uint32_t to, bool drain)
 {
 	for (; from < to; from++)
 		cells_drain(c, 0, from, drain);
 	cells_run(c, 2 * GB_SEC);
 }
 
-/** A gang that has waited long has room kept for it, but not once another
- * shard has its tasks. */
+/** A shard reserves capacity for a gang that has waited long, but not after
+ * another shard has taken the gang's tasks. */
 static void
-test_lent_gang_keeps_no_room(void **state)
+test_lent_gang_has_no_reservation(void **state)
 {
-	struct cells *c = cells_up(11);
+	struct cells *c = cells_setup(11);
 	struct tracked *gang;
 	struct tracked *batch;
 
@@ -404,18 +413,18 @@
 	    "\"idempotent\": true}");
 	fuzz_cells_document(
 	    c, "slow", "\"kind\": \"gang\", \"policy\": {\"run_ms\": 15000}");
-	drain_from(c, 0, WORKERS, true);
-	gang = submit_at_home(c, 5);
+	workers_drain(c, 0, WORKERS, true);
+	gang = submit_to_shard_0(c, 5);
 	cells_run(c, 3 * GB_SEC);
 	assert_int_equal(gang->starts, 0);
-	drain_from(c, 3, WORKERS, false);
+	workers_drain(c, 3, WORKERS, false);
 	cells_run(c, 3 * GB_SEC);
 	assert_int_equal(gang->starts, 2);
-	drain_from(c, 0, 3, false);
-	batch = submit_at_home(c, 4);
+	workers_drain(c, 0, 3, false);
+	batch = submit_to_shard_0(c, 4);
 	cells_run(c, 2 * GB_SEC);
 	assert_int_equal(batch->starts, 2);
-	cells_down(c);
+	cells_teardown(c);
 }
 
 int
@@ -423,8 +432,8 @@
 {
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test(test_cut_worker_keeps_its_task),
-	    cmocka_unit_test(test_task_that_restarts_workers_is_given_up),
-	    cmocka_unit_test(test_unanswered_requests_keep_their_room),
+	    cmocka_unit_test(test_task_fails_after_worker_restarts),
+	    cmocka_unit_test(test_unanswered_requests_keep_capacity),
 	    cmocka_unit_test(test_outage_serves_lookups),
 	    cmocka_unit_test(test_operators_race),
 	    cmocka_unit_test(test_keyed_repeat),
@@ -433,7 +442,7 @@
 	    cmocka_unit_test(test_lent_tasks),
 	    cmocka_unit_test(test_config_snapshot),
 	    cmocka_unit_test(test_quota_after_loss),
-	    cmocka_unit_test(test_lent_gang_keeps_no_room),
+	    cmocka_unit_test(test_lent_gang_has_no_reservation),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_faults.c
+++ b/tests/test_faults.c
@@ -1,8 +1,9 @@
 /**
  * @file test_faults.c
- * The fault matrix: every fault at every step, on the cells of cells.h.  Each
- * cell lets the same work run until it reaches the step, strikes there, lets
- * the work go on, ends the fault, and asks the oracle.
+ * Guards against a fault that violates an invariant because it happens at one
+ * point of the work, such as between a decision and its write.  The fault
+ * matrix injects every fault at every point, each in a simulated cell of its
+ * own (cells.h), ends it after some more work, and asks the oracle.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,15 +17,19 @@
 #include "cells.h"
 #include "fuzz_cells.h"
 
-#define FREEZE (300 * GB_MSEC)
-#define LAPSE (6 * GB_SEC)
-#define OUTAGE (4 * GB_SEC)
+/** Pause that is shorter than the silence after which the other cores may take
+ * over. */
+#define PAUSE_SHORT (300 * GB_MSEC)
+/** Pause during which every lease expires. */
+#define PAUSE_PAST_LEASE (6 * GB_SEC)
+/** Time that a cell runs under the fault. */
+#define FAULT_TIME (4 * GB_SEC)
 
-static const char *const step_names[AT_STEPS] = {"", "submit", "commit",
+static const char *const point_names[AT_POINT_COUNT] = {"", "submit", "commit",
     "place", "start", "run", "end", "answer", "drain", "takeover", "accept",
     "spread"};
 
-/* Faults, struck at the core and worker that reach the step */
+/* Faults, injected at the core and the worker that reach the point */
 
 static void
 fault_kill(struct cells *c, uint32_t core, uint32_t worker)
@@ -37,14 +42,14 @@
 fault_freeze(struct cells *c, uint32_t core, uint32_t worker)
 {
 	(void)worker;
-	cells_pause(c, core, FREEZE);
+	cells_pause(c, core, PAUSE_SHORT);
 }
 
 static void
 fault_lapse(struct cells *c, uint32_t core, uint32_t worker)
 {
 	(void)worker;
-	cells_pause(c, core, LAPSE);
+	cells_pause(c, core, PAUSE_PAST_LEASE);
 }
 
 static void
@@ -95,15 +100,15 @@
 {
 	(void)core;
 	(void)worker;
-	c->store_slow = 250 * GB_MSEC;
+	c->store_delay = 250 * GB_MSEC;
 }
 
 static void
-fault_store_crawls(struct cells *c, uint32_t core, uint32_t worker)
+fault_store_times_out(struct cells *c, uint32_t core, uint32_t worker)
 {
 	(void)core;
 	(void)worker;
-	c->store_slow = 2 * GB_SEC;
+	c->store_delay = 2 * GB_SEC;
 }
 
 static void
@@ -111,7 +116,7 @@
 {
 	(void)core;
 	(void)worker;
-	c->store_lose = 3;
+	c->store_lost_answers = 3;
 }
 
 static void
@@ -125,7 +130,7 @@
 fault_worker_frozen(struct cells *c, uint32_t core, uint32_t worker)
 {
 	(void)core;
-	cells_pause_worker(c, worker, LAPSE);
+	cells_pause_worker(c, worker, PAUSE_PAST_LEASE);
 }
 
 static void
@@ -194,7 +199,7 @@
 
 static const struct {
 	const char *name;
-	void (*strike)(struct cells *, uint32_t, uint32_t);
+	void (*inject)(struct cells *, uint32_t, uint32_t);
 } faults[] = {
     {"kill", fault_kill},
     {"freeze", fault_freeze},
@@ -205,7 +210,7 @@
     {"cut from the service", fault_cut_store},
     {"service down", fault_store_down},
     {"service slow", fault_store_slow},
-    {"service slower than its timeout", fault_store_crawls},
+    {"service slower than its timeout", fault_store_times_out},
     {"answer lost after write", fault_answer_lost},
     {"worker killed", fault_worker_killed},
     {"worker frozen past its lease", fault_worker_frozen},
@@ -221,9 +226,10 @@
 
 #define FAULTS (sizeof(faults) / sizeof(faults[0]))
 
-/** One round of everything that callers and operators do. */
+/** Submit jobs and requests of each kind, apply a document, and in every
+ * second round drain a worker. */
 static void
-work(struct cells *c, unsigned int round)
+work_round(struct cells *c, unsigned int round)
 {
 	unsigned int kind;
 
@@ -240,30 +246,33 @@
 		cells_drain(c, round % CORES, round % WORKERS, false);
 }
 
-/** 1 held, 0 broken, -1 the step was never reached. */
+/** Run a cell with a fault at a point.  Returns 1 when no invariant was
+ * violated, 0 with the text of the violation, -1 when the point was never
+ * reached. */
 static int
-cell_run(enum cell_step step, size_t fault, char *why, size_t room)
+cell_run(enum fault_point point, size_t fault, char *violation,
+    size_t violation_size)
 {
-	struct cells *c = cells_new(7 + (uint64_t)step * 100 + fault);
+	struct cells *c = cells_new(7 + (uint64_t)point * 100 + fault);
 	unsigned int round;
 	int result;
 
 	fuzz_cells_documents(c);
-	c->strike_at = step;
-	c->strike = faults[fault].strike;
+	c->fault_at = point;
+	c->inject = faults[fault].inject;
 	for (round = 0; round < 4; round++)
-		work(c, round);
-	/* A takeover for those cells that wait for one. */
-	if (!c->struck) {
+		work_round(c, round);
+	/* Without a fault so far, a kill makes the cell reach a takeover. */
+	if (!c->injected) {
 		cells_kill(c, cells_owner(c, 0) % CORES);
 		cells_run(c, GB_SEC);
-		work(c, round);
+		work_round(c, round);
 	}
-	cells_run(c, OUTAGE);
-	work(c, round + 1);
+	cells_run(c, FAULT_TIME);
+	work_round(c, round + 1);
 	cells_finish(c);
-	snprintf(why, room, "%s", c->broken);
-	result = c->broken[0] != '\0' ? 0 : c->struck ? 1 : -1;
+	snprintf(violation, violation_size, "%s", c->violation);
+	result = c->violation[0] != '\0' ? 0 : c->injected ? 1 : -1;
 	cells_free(c);
 	return result;
 }
@@ -275,29 +284,29 @@
 	unsigned int failed = 0;
 	unsigned int not_run = 0;
 	size_t fault;
-	int step;
+	int point;
 
 	(void)state;
 	printf("| fault |");
-	for (step = AT_SUBMIT; step < AT_STEPS; step++)
-		printf(" %s |", step_names[step]);
+	for (point = AT_SUBMIT; point < AT_POINT_COUNT; point++)
+		printf(" %s |", point_names[point]);
 	printf("\n| --- |");
-	for (step = AT_SUBMIT; step < AT_STEPS; step++)
+	for (point = AT_SUBMIT; point < AT_POINT_COUNT; point++)
 		printf(" --- |");
 	printf("\n");
 	for (fault = 0; fault < FAULTS; fault++) {
 		printf("| %s |", faults[fault].name);
-		for (step = AT_SUBMIT; step < AT_STEPS; step++) {
-			char why[256];
-			int result = cell_run(
-			    (enum cell_step)step, fault, why, sizeof(why));
+		for (point = AT_SUBMIT; point < AT_POINT_COUNT; point++) {
+			char violation[256];
+			int result = cell_run((enum fault_point)point, fault,
+			    violation, sizeof(violation));
 
 			held += result > 0;
 			failed += result == 0;
 			not_run += result < 0;
 			printf(" %s |", result > 0   ? "held"
 					: result < 0 ? "-"
-						     : why);
+						     : violation);
 		}
 		printf("\n");
 	}
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -1,7 +1,8 @@
 /**
  * @file test_replay.c
- * Replays of the fuzzer: a fixed number of seeded random runs, and every input
- * that has broken a promise before (tests/seeds).
+ * Guards against sequences of operations and faults that violate an invariant
+ * of the scheduler.  Runs a fixed number of seeded random inputs of the
+ * fuzzer, and the inputs in tests/seeds, each of which has violated one.
  */
 #include <dirent.h>
 #include <setjmp.h>
@@ -19,9 +20,12 @@
 #ifndef SEEDS_DIR
 #define SEEDS_DIR "tests/seeds"
 #endif
-#define INPUT_MOST 480
+/** Largest random input, in bytes. */
+#define INPUT_MAX 480
+/** Random runs, unless GB_FUZZ_RUNS sets another number. */
 #define RUNS 120
 
+/** Number in an environment variable, or the fallback. */
 static unsigned int
 env_number(const char *name, unsigned int fallback)
 {
@@ -41,16 +45,16 @@
 	(void)state;
 	for (run = from; run < from + runs; run++) {
 		uint64_t seed = 1000 + run;
-		size_t size = 60 + gb_random_next(&seed) % (INPUT_MOST - 60);
-		uint8_t data[INPUT_MOST];
-		char broken[256];
+		size_t size = 60 + gb_random_next(&seed) % (INPUT_MAX - 60);
+		uint8_t data[INPUT_MAX];
+		char violation[256];
 		size_t i;
 
 		for (i = 0; i < size; i++)
 			data[i] = (uint8_t)gb_random_next(&seed);
-		if (fuzz_cells_run(data, size, broken, sizeof(broken)))
+		if (fuzz_cells_run(data, size, violation, sizeof(violation)))
 			continue;
-		print_message("run %u: %s\n", run, broken);
+		print_message("run %u: %s\n", run, violation);
 		if (getenv("GB_FUZZ_SAVE") != NULL && failed == 0) {
 			FILE *f = fopen(getenv("GB_FUZZ_SAVE"), "wb");
 
@@ -68,7 +72,7 @@
 replay_file(const char *path, unsigned int *failed)
 {
 	uint8_t data[4096];
-	char broken[256];
+	char violation[256];
 	FILE *f = fopen(path, "rb");
 	size_t size;
 
@@ -76,8 +80,8 @@
 		return;
 	size = fread(data, 1, sizeof(data), f);
 	fclose(f);
-	if (!fuzz_cells_run(data, size, broken, sizeof(broken))) {
-		print_message("%s: %s\n", path, broken);
+	if (!fuzz_cells_run(data, size, violation, sizeof(violation))) {
+		print_message("%s: %s\n", path, violation);
 		(*failed)++;
 	}
 }
