--- a/tests/test_document.c
+++ b/tests/test_document.c
@@ -1,6 +1,8 @@
 /**
  * @file test_document.c
- * Documents and settings: what is accepted, and what the errors say.
+ * Guards against documents and settings that are accepted with errors or
+ * refused without a usable message.  Also checks retry budgets, the verdicts
+ * that allow a retry, and trace contexts.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,6 +15,7 @@
 
 static const struct gb_dcs dcs = {2, {"aarhus", "viborg"}};
 
+/** Error of a document, empty when it is valid. */
 static const char *
 doc_error(const char *text)
 {
@@ -24,8 +27,9 @@
 								  : err.text;
 }
 
+/** A document without resources and policy gets the defaults of its kind. */
 static void
-test_document_good(void **state)
+test_document_valid(void **state)
 {
 	static const char text[] =
 	    "{\"team\": \"byggepas\", \"service\": \"passport-lookup\",\n"
@@ -42,6 +46,7 @@
 	assert_int_equal(doc.res.conns, 1);
 }
 
+/** Errors name the line, the column and the field. */
 static void
 test_document_errors(void **state)
 {
@@ -75,8 +80,9 @@
 		"placement.dcs: names a data centre"));
 }
 
+/** Error of a scheduler's settings, empty when they are valid. */
 static const char *
-sched_error(const char *text)
+sched_settings_error(const char *text)
 {
 	static struct gb_sched_settings settings;
 	static struct gb_error err;
@@ -89,26 +95,32 @@
 		   : err.text;
 }
 
+/** Errors name the file, the line, the column and the setting. */
 static void
 test_settings_errors(void **state)
 {
 	(void)state;
 	assert_string_equal(
-	    sched_error("{}"), "s.json:1:1: member: is missing");
-	assert_string_equal(sched_error("{\"member\": \"i\",\n \"mebmer\": 1}"),
+	    sched_settings_error("{}"), "s.json:1:1: member: is missing");
+	assert_string_equal(
+	    sched_settings_error("{\"member\": \"i\",\n \"mebmer\": 1}"),
 	    "s.json:2:2: mebmer: is not a setting");
 	assert_string_equal(
-	    sched_error("{\"member\": \"i\", \"dc\": \"a\", \"dcs\": [\"a\"], "
-			"\"listen\": \"1.2.3.4\"}"),
+	    sched_settings_error(
+		"{\"member\": \"i\", \"dc\": \"a\", \"dcs\": [\"a\"], "
+		"\"listen\": \"1.2.3.4\"}"),
 	    "s.json:1:42: listen: must be an address such as 10.0.0.1:7000");
 	assert_string_equal(
-	    sched_error("{\"member\": \"i\", \"dc\": \"a\", \"dcs\": [\"a\"], "
-			"\"listen\": \"1.2.3.4:1\", \"store\": \"1.2.3.4:2\", "
-			"\"beat_ms\": 1}"),
+	    sched_settings_error(
+		"{\"member\": \"i\", \"dc\": \"a\", \"dcs\": [\"a\"], "
+		"\"listen\": \"1.2.3.4:1\", \"store\": \"1.2.3.4:2\", "
+		"\"beat_ms\": 1}"),
 	    "s.json:1:87: beat_ms: must be a whole number from 10 to 10000 "
 	    "(ms)");
 }
 
+/** A budget allows its initial retries and then a share of the calls; delays
+ * stay between their bounds. */
 static void
 test_retry_budget(void **state)
 {
@@ -133,6 +145,8 @@
 	}
 }
 
+/** What may have run is retried only if it is idempotent; what has run is not
+ * retried. */
 static void
 test_verdicts(void **state)
 {
@@ -143,6 +157,8 @@
 	assert_false(gb_verdict_retryable(GB_RUN, true));
 }
 
+/** A child keeps the trace id of its parent; an invalid parent starts a new
+ * trace. */
 static void
 test_trace(void **state)
 {
@@ -165,7 +181,7 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_document_good),
+	    cmocka_unit_test(test_document_valid),
 	    cmocka_unit_test(test_document_errors),
 	    cmocka_unit_test(test_settings_errors),
 	    cmocka_unit_test(test_retry_budget),
--- a/tests/test_index.c
+++ b/tests/test_index.c
@@ -1,6 +1,8 @@
 /**
  * @file test_index.c
- * The placement index against a search of every worker.
+ * Guards against a placement index that misses a worker with enough free
+ * capacity or returns one without, and against work on a worker that it should
+ * avoid.  The index is compared with a search of every worker.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,8 +14,10 @@
 #include "gooseberry.h"
 
 #define WORKERS 200
+/** Changes of a worker, each followed by a search. */
 #define ROUNDS 20000
 
+/** Resources below the given bounds, with few accelerators and slots. */
 static gb_res
 random_res(uint64_t *seed, int cpu, int mem)
 {
@@ -28,14 +32,14 @@
 	return res;
 }
 
-/** Whenever some worker fits, the index finds one that fits. */
+/** The index finds a worker that fits exactly when there is one. */
 static void
-test_index_oracle(void **state)
+test_index_finds_a_fit(void **state)
 {
 	static const gb_res capacity = {64000, 262144, 4, 8, 60};
 	struct gb_index *index = gb_index_new();
-	gb_res room[WORKERS];
-	bool in[WORKERS] = {false};
+	gb_res available[WORKERS];
+	bool indexed[WORKERS] = {false};
 	uint64_t seed = 42;
 	unsigned int round;
 	unsigned int i;
@@ -45,34 +49,37 @@
 		unsigned int w = (unsigned)gb_random_next(&seed) % WORKERS;
 		gb_res need;
 		uint32_t found;
-		bool some = false;
+		bool any_fits = false;
 
 		if (gb_random_next(&seed) % 8 == 0) {
 			gb_index_remove(index, w);
-			in[w] = false;
+			indexed[w] = false;
 		} else {
-			room[w] = random_res(&seed, 64000, 262144);
-			gb_index_set(index, w, &room[w], &capacity);
-			in[w] = room[w].slots > 0;
+			available[w] = random_res(&seed, 64000, 262144);
+			gb_index_set(index, w, &available[w], &capacity);
+			indexed[w] = available[w].slots > 0;
 		}
 		need = random_res(&seed, 90000, 300000);
 		need.slots = 1;
 		found = gb_index_find(index, &need,
 		    round % 2 ? &gb_scorer_pack : &gb_scorer_spread, NULL);
 		for (i = 0; i < WORKERS; i++)
-			some = some || (in[i] && gb_res_fits(&need, &room[i]));
-		assert_int_equal(found != GB_NONE, some);
+			any_fits =
+			    any_fits ||
+			    (indexed[i] && gb_res_fits(&need, &available[i]));
+		assert_int_equal(found != GB_NONE, any_fits);
 		if (found != GB_NONE) {
-			assert_true(in[found]);
-			assert_true(gb_res_fits(&need, &room[found]));
+			assert_true(indexed[found]);
+			assert_true(gb_res_fits(&need, &available[found]));
 		}
 	}
 	gb_index_free(index);
 }
 
-/** Work that needs no accelerator keeps off the workers that have them. */
+/** A task that needs no accelerator is placed on a worker that has some only
+ * when no other fits. */
 static void
-test_index_accelerators_kept(void **state)
+test_index_avoids_accelerators(void **state)
 {
 	static const gb_res plain = {8000, 8192, 0, 8, 60};
 	static const gb_res accel = {8000, 8192, 4, 8, 60};
@@ -87,7 +94,8 @@
 	gb_index_free(index);
 }
 
-/** Packing takes the fullest worker that fits, spreading the emptiest. */
+/** The pack scorer chooses the fullest worker that fits, the spread scorer the
+ * emptiest. */
 static void
 test_index_scorers(void **state)
 {
@@ -109,8 +117,8 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_index_oracle),
-	    cmocka_unit_test(test_index_accelerators_kept),
+	    cmocka_unit_test(test_index_finds_a_fit),
+	    cmocka_unit_test(test_index_avoids_accelerators),
 	    cmocka_unit_test(test_index_scorers),
 	};
 
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -1,7 +1,8 @@
 /**
  * @file test_rpc.c
- * Remote procedure calls: malformed records from a peer, answers that are
- * late, doubled or lost, and bodies that come whole.
+ * Guards against calls that end with a wrong verdict: after an answer that is
+ * late or lost, a peer that is not there, a connection that goes silent without
+ * a reset, or malformed records.  Also checks that a large body arrives whole.
  */
 #include <arpa/inet.h>
 #include <setjmp.h>
@@ -17,12 +18,14 @@
 
 #include "gooseberry.h"
 
-#define BIG (3 * 1024 * 1024)
-#define RPC_LAST 0x80000000u
+/** Size of a body that comes in many reads, in bytes. */
+#define LARGE_BODY_SIZE (3 * 1024 * 1024)
+/** Bit of a record's first word, next to its length: the last fragment. */
+#define RECORD_LAST_FRAGMENT 0x80000000u
 
 static const struct gb_env env = {NULL, NULL, NULL, NULL};
 
-/** What the server does with the next exec. */
+/** What the server does with an exec: answer with its body, or never. */
 enum serve_mode { SERVE_ECHO, SERVE_NEVER };
 
 struct fixture {
@@ -30,12 +33,12 @@
 	struct gb_rpc_server *server;
 	struct gb_rpc_client *client;
 	enum serve_mode mode;
-	unsigned int served;
-	struct gb_rpc_call *kept[8]; /**< calls that are never answered */
-	unsigned int ended;
-	gb_verdict verdict;
+	unsigned int served;		   /**< calls that arrived */
+	struct gb_rpc_call *unanswered[8]; /**< calls that SERVE_NEVER kept */
+	unsigned int ended;		   /**< calls that ended */
+	gb_verdict verdict;		   /**< of the last call that ended */
 	size_t body_len;
-	bool body_same;
+	bool body_same; /**< the answer has the body that was sent */
 	char addr[64];
 };
 
@@ -52,7 +55,7 @@
 		return;
 	}
 	if (f->mode == SERVE_NEVER) {
-		f->kept[f->served - 1] = call;
+		f->unanswered[f->served - 1] = call;
 		return;
 	}
 	res.body = exec->body;
@@ -92,6 +95,7 @@
 	}
 }
 
+/** Call the server with a body of len bytes. */
 static void
 exec_call(struct fixture *f, size_t len, gb_time timeout)
 {
@@ -107,6 +111,7 @@
 	free(exec.body.gb_body_val);
 }
 
+/** Run the loop until so many calls have ended since the setup. */
 static void
 run_until(struct fixture *f, unsigned int ended)
 {
@@ -114,18 +119,20 @@
 		uv_run(&f->loop, UV_RUN_ONCE);
 }
 
+/** A large body comes back complete. */
 static void
-test_big_body_whole(void **state)
+test_large_body_whole(void **state)
 {
 	struct fixture *f = *state;
 
-	exec_call(f, BIG, 20 * GB_SEC);
+	exec_call(f, LARGE_BODY_SIZE, 20 * GB_SEC);
 	run_until(f, 1);
 	assert_int_equal(f->verdict, GB_RUN);
-	assert_int_equal(f->body_len, BIG);
+	assert_int_equal(f->body_len, LARGE_BODY_SIZE);
 	assert_true(f->body_same);
 }
 
+/** A call that was sent and not answered may have run. */
 static void
 test_no_answer_may_have_run(void **state)
 {
@@ -138,22 +145,24 @@
 	assert_int_equal(f->verdict, GB_MAYBE_RUN);
 }
 
+/** A call to an address where no process listens was not run. */
 static void
 test_no_peer_not_run(void **state)
 {
 	struct fixture *f = *state;
-	struct gb_rpc_client *nobody =
+	struct gb_rpc_client *no_peer =
 	    gb_rpc_client_new(&f->loop, &env, "127.0.0.1:1");
 	gb_exec exec = {.team = "t", .service = "s", .key = "", .trace = ""};
 
-	gb_rpc_client_call(nobody, GB_PROC_EXEC, &exec, GB_SEC, exec_done, f);
+	gb_rpc_client_call(no_peer, GB_PROC_EXEC, &exec, GB_SEC, exec_done, f);
 	run_until(f, 1);
 	assert_int_equal(f->verdict, GB_NOT_RUN);
-	gb_rpc_client_free(nobody);
+	gb_rpc_client_free(no_peer);
 }
 
+/** A call of a procedure that the server doesn't offer was not run. */
 static void
-test_foreign_procedure_not_run(void **state)
+test_unknown_procedure_not_run(void **state)
 {
 	struct fixture *f = *state;
 	gb_scan scan = {.prefix = "", .after = ""};
@@ -164,9 +173,9 @@
 	assert_int_equal(f->verdict, GB_NOT_RUN);
 }
 
-/** Send raw bytes from a plain socket and let the server read them. */
+/** Send bytes to the server over a new connection, and let it read them. */
 static void
-junk_send(struct fixture *f, const void *data, size_t len)
+raw_bytes_send(struct fixture *f, const void *data, size_t len)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -183,7 +192,7 @@
 		uv_run(&f->loop, UV_RUN_NOWAIT);
 }
 
-/** Malformed records end their own connection and nothing else. */
+/** A malformed record ends its connection; the server still serves others. */
 static void
 test_malformed_records(void **state)
 {
@@ -192,26 +201,26 @@
 	unsigned char junk[400];
 	unsigned int round;
 	size_t i;
-	/* A call of EXEC whose arguments say a length beyond its end. */
-	const uint32_t lies[] = {htonl(0x80000000u | 52), htonl(9), 0, htonl(2),
-	    htonl(0x20676261u), htonl(1), htonl(GB_PROC_EXEC), 0, 0, 0, 0,
-	    htonl(0xffffffffu), htonl(0xffffffffu), htonl(0xffffffffu)};
-	const uint32_t huge = htonl(0x7fffffffu);
-
-	junk_send(f, "GET / HTTP/1.1\r\n\r\n", 18);
-	junk_send(f, &huge, sizeof(huge));
-	junk_send(f, lies, sizeof(lies));
+	/* A call of EXEC whose arguments have a length beyond the record. */
+	const uint32_t bad_length[] = {htonl(0x80000000u | 52), htonl(9), 0,
+	    htonl(2), htonl(0x20676261u), htonl(1), htonl(GB_PROC_EXEC), 0, 0,
+	    0, 0, htonl(0xffffffffu), htonl(0xffffffffu), htonl(0xffffffffu)};
+	const uint32_t huge_record = htonl(0x7fffffffu);
+
+	raw_bytes_send(f, "GET / HTTP/1.1\r\n\r\n", 18);
+	raw_bytes_send(f, &huge_record, sizeof(huge_record));
+	raw_bytes_send(f, bad_length, sizeof(bad_length));
 	for (round = 0; round < 200; round++) {
 		for (i = 0; i < sizeof(junk); i++)
 			junk[i] = (unsigned char)gb_random_next(&seed);
-		/* A true mark, so that the record itself is read. */
+		/* A valid record mark, so that the server reads the record. */
 		junk[0] = 0x80;
 		junk[1] = 0;
 		junk[2] = 1;
 		junk[3] = 0x80;
 		if (round % 2 == 0)
-			memcpy(junk + 4, lies + 1, 40);
-		junk_send(f, junk, sizeof(junk));
+			memcpy(junk + 4, bad_length + 1, 40);
+		raw_bytes_send(f, junk, sizeof(junk));
 	}
 	exec_call(f, 100, GB_SEC);
 	run_until(f, 1);
@@ -219,9 +228,9 @@
 	assert_true(f->body_same);
 }
 
-/** A server that goes away under a call: what was sent may have run. */
+/** Freeing a client ends its calls in flight, which may have run. */
 static void
-test_client_freed_under_calls(void **state)
+test_client_freed_with_calls(void **state)
 {
 	struct fixture *f = *state;
 
@@ -236,7 +245,8 @@
 	assert_int_equal(f->verdict, GB_MAYBE_RUN);
 }
 
-/** A plain socket that listens on loopback; stores its address. */
+/** Socket that listens on loopback without an RPC server; stores its address.
+ */
 static int
 silent_listen(char *addr, size_t size)
 {
@@ -245,7 +255,7 @@
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
 	int on = 1;
 
-	/* The server binds the port while the silent connection stands. */
+	/* A server binds the port while the silent connection is open. */
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
 	sin.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
 	assert_int_equal(bind(fd, (struct sockaddr *)&sin, sizeof(sin)), 0);
@@ -255,12 +265,13 @@
 	return fd;
 }
 
-/** Take one connection and refuse the call that comes over it. */
+/** Accept a connection, refuse the first call on it, and read nothing more;
+ * returns its descriptor. */
 static int
-silent_answer_once(struct fixture *f, int listener)
+silent_refuse_once(struct fixture *f, int listener)
 {
 	uint32_t record[64];
-	uint32_t reply[] = {htonl(RPC_LAST | 24), 0, htonl(REPLY),
+	uint32_t reply[] = {htonl(RECORD_LAST_FRAGMENT | 24), 0, htonl(REPLY),
 	    htonl(MSG_ACCEPTED), htonl(AUTH_NONE), 0, htonl(PROC_UNAVAIL)};
 	ssize_t len = -1;
 	int fd = -1;
@@ -279,7 +290,8 @@
 	return fd;
 }
 
-/** A connection that carried nothing any more was used for ever. */
+/** A connection that goes silent after an answer is replaced when a call on it
+ * times out; the next call goes over a new connection. */
 static void
 test_silent_connection_is_replaced(void **state)
 {
@@ -293,7 +305,7 @@
 	listener = silent_listen(f->addr, sizeof(f->addr));
 	f->client = gb_rpc_client_new(&f->loop, &env, f->addr);
 	exec_call(f, 8, GB_SEC);
-	silent = silent_answer_once(f, listener);
+	silent = silent_refuse_once(f, listener);
 	run_until(f, 1);
 	assert_int_equal(f->verdict, GB_NOT_RUN);
 	close(listener);
@@ -308,9 +320,10 @@
 	close(silent);
 }
 
-/** A peer that is only late still answers over the connection that it had. */
+/** A replaced connection stays open for its calls: a late answer on it is still
+ * received. */
 static void
-test_late_answer_comes_over_replaced_connection(void **state)
+test_late_answer_on_replaced_connection(void **state)
 {
 	struct fixture *f = *state;
 	gb_exec_res res = {.verdict = GB_RUN, .status = 200};
@@ -325,15 +338,16 @@
 	run_until(f, 2);
 	assert_int_equal(f->verdict, GB_RUN);
 	f->verdict = GB_NOT_RUN;
-	gb_rpc_call_reply(f->kept[0], &res);
-	f->kept[0] = NULL;
+	gb_rpc_call_reply(f->unanswered[0], &res);
+	f->unanswered[0] = NULL;
 	run_until(f, 3);
 	assert_int_equal(f->verdict, GB_RUN);
 }
 
-/** A peer that stands still is not met with a new connection for each call. */
+/** A peer that never answers doesn't get a new connection for each call: each
+ * silent connection is kept twice as long as the one before, up to a limit. */
 static void
-test_silent_peer_is_connected_to_ever_more_rarely(void **state)
+test_silent_peer_is_reconnected_with_backoff(void **state)
 {
 	struct fixture *f = *state;
 	char addr[64];
@@ -366,8 +380,8 @@
 	gb_rpc_client_free(f->client);
 	gb_rpc_server_free(f->server);
 	for (i = 0; i < 8; i++) {
-		if (f->kept[i] != NULL)
-			gb_rpc_call_refuse(f->kept[i]);
+		if (f->unanswered[i] != NULL)
+			gb_rpc_call_refuse(f->unanswered[i]);
 	}
 	while (uv_run(&f->loop, UV_RUN_NOWAIT) != 0)
 		continue;
@@ -381,25 +395,23 @@
 {
 	const struct CMUnitTest tests[] = {
 	    cmocka_unit_test_setup_teardown(
-		test_big_body_whole, setup, teardown),
+		test_large_body_whole, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
 		test_no_answer_may_have_run, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
 		test_no_peer_not_run, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		test_foreign_procedure_not_run, setup, teardown),
+		test_unknown_procedure_not_run, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
 		test_malformed_records, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		test_client_freed_under_calls, setup, teardown),
+		test_client_freed_with_calls, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
 		test_silent_connection_is_replaced, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		test_late_answer_comes_over_replaced_connection, setup,
-		teardown),
+		test_late_answer_on_replaced_connection, setup, teardown),
 	    cmocka_unit_test_setup_teardown(
-		test_silent_peer_is_connected_to_ever_more_rarely, setup,
-		teardown),
+		test_silent_peer_is_reconnected_with_backoff, setup, teardown),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_world.c
+++ b/tests/test_world.c
@@ -1,7 +1,9 @@
 /**
  * @file test_world.c
- * The model of the platform and its oracle: what they count as a failure, and
- * what they report as a broken promise.
+ * Guards against an oracle that miscounts the failures of a gang: it would
+ * report a correct owner, or miss one that starts a gang too often.  The cases
+ * are members that fail in turn, failures that are lost with their worker, and
+ * failures that a worker reports more than once.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,20 +16,22 @@
 #include "world.h"
 
 #define MEMBERS 4
-#define ATTEMPTS 4
-#define RUN_WORK (500 * GB_MSEC)
+#define ATTEMPTS_MAX 4
+/** Run time of a task, as the flow's specification says. */
+#define RUN_TIME (500 * GB_MSEC)
+/** End of the workers' leases, later than every run. */
 #define LEASE_END_MS 1000000000
 
-struct gang_world {
+struct gang_fixture {
 	struct world *world;
 	gb_time now;
 	gb_flow flow;
 	gb_step step;
 };
 
-/** One worker for each member, and a gang that was submitted. */
+/** Make a world with a worker for each member, and submit a gang. */
 static void
-gang_world_init(struct gang_world *gang)
+gang_fixture_init(struct gang_fixture *gang)
 {
 	const gb_res capacity = {16000, 64000, 0, 0, 0};
 	unsigned int i;
@@ -48,12 +52,12 @@
 	gang->flow.spec = "ms=500";
 	gang->flow.steps.steps_len = 1;
 	gang->flow.steps.steps_val = &gang->step;
-	world_submitted(gang->world, &gang->flow, ATTEMPTS);
+	world_submitted(gang->world, &gang->flow, ATTEMPTS_MAX);
 	world_tick(gang->world, gang->now);
 }
 
 static struct world_flow_view
-gang_view(const struct gang_world *gang)
+gang_view(const struct gang_fixture *gang)
 {
 	struct world_flow_view view;
 
@@ -61,9 +65,9 @@
 	return view;
 }
 
-/** Start all members, one on each worker. */
+/** Start a run of the gang, with one member on each worker. */
 static void
-gang_start(struct gang_world *gang, uint64_t run)
+gang_start(struct gang_fixture *gang, uint64_t run)
 {
 	struct gb_pool_order order = {0};
 	struct gb_pool_order_res res = {0};
@@ -85,11 +89,11 @@
 	}
 }
 
-/** Run the gang once; the member that fails takes the others with it. */
+/** Run the gang once with a member that fails, which ends the others too. */
 static void
-gang_fail(struct gang_world *gang, uint64_t run, unsigned int member)
+gang_fail(struct gang_fixture *gang, uint64_t run, unsigned int member)
 {
-	gb_time end = gang->now + RUN_WORK;
+	gb_time end = gang->now + RUN_TIME;
 
 	world_worker_sick(gang->world, member, true, false);
 	gang_start(gang, run);
@@ -101,28 +105,29 @@
 	assert_int_equal(gang_view(gang).running, 0);
 }
 
-/** Members fail in turn, as often as their gang may; returns the next run. */
+/** Let members fail in turn until the gang has no attempt left; returns the
+ * number of the next run. */
 static uint64_t
-gang_use_up(struct gang_world *gang)
+gang_attempts_use_up(struct gang_fixture *gang)
 {
 	uint64_t run;
 
-	for (run = 1; run <= ATTEMPTS; run++)
+	for (run = 1; run <= ATTEMPTS_MAX; run++)
 		gang_fail(gang, run, (unsigned int)run % MEMBERS);
 	return run;
 }
 
-/** Members that fail in turn make one count: a gang that is shown as failed
- * after as many runs as it may have has failed with cause. */
+/** The failures of all members count together: the gang has failed after as
+ * many runs as it has attempts, whichever members failed. */
 static void
-test_failures_of_a_gang_count_together(void **state)
+test_gang_failures_count_together(void **state)
 {
-	struct gang_world gang;
+	struct gang_fixture gang;
 	uint64_t run;
 
 	(void)state;
-	gang_world_init(&gang);
-	for (run = 1; run <= ATTEMPTS; run++) {
+	gang_fixture_init(&gang);
+	for (run = 1; run <= ATTEMPTS_MAX; run++) {
 		assert_false(gang_view(&gang).failed);
 		gang_fail(&gang, run, (unsigned int)run % MEMBERS);
 	}
@@ -131,30 +136,32 @@
 	world_free(gang.world);
 }
 
-/** One run more than that is a broken promise, whoever failed. */
+/** A run after the last attempt is a violation by each member that starts,
+ * whichever members failed before. */
 static void
-test_a_gang_has_one_budget(void **state)
+test_run_after_last_attempt_is_a_violation(void **state)
 {
-	struct gang_world gang;
+	struct gang_fixture gang;
 
 	(void)state;
-	gang_world_init(&gang);
-	gang_start(&gang, gang_use_up(&gang));
+	gang_fixture_init(&gang);
+	gang_start(&gang, gang_attempts_use_up(&gang));
 	assert_int_equal(world_faults(gang.world)->budget, MEMBERS);
 	world_free(gang.world);
 }
 
-/** An end that was lost with its worker can't be counted by an owner, which
- * may start the gang again, but an owner that has seen it may count it. */
+/** A failure can be lost with its worker before the owner receives it.  An
+ * owner that has not received it may start the gang again; one that has may
+ * report the gang as failed. */
 static void
-test_an_end_lost_with_its_worker(void **state)
+test_failure_lost_with_its_worker(void **state)
 {
-	struct gang_world gang;
+	struct gang_fixture gang;
 	uint64_t run;
 
 	(void)state;
-	gang_world_init(&gang);
-	run = gang_use_up(&gang);
+	gang_fixture_init(&gang);
+	run = gang_attempts_use_up(&gang);
 	world_worker_crash(gang.world, 1);
 	world_worker_reborn(gang.world, 1);
 	assert_true(gang_view(&gang).failed);
@@ -163,24 +170,24 @@
 	world_free(gang.world);
 }
 
-/** Ends that are listed again are no further failures. */
+/** An end that a worker reports again is no further failure. */
 static void
-test_an_end_listed_twice_counts_once(void **state)
+test_end_reported_twice_counts_once(void **state)
 {
-	struct gang_world gang;
+	struct gang_fixture gang;
 	struct gb_pool_heartbeat heartbeat = {0};
 	struct gb_pool_report report;
 	struct gb_pool_entry entry;
 	unsigned int i;
 
 	(void)state;
-	gang_world_init(&gang);
+	gang_fixture_init(&gang);
 	gang_fail(&gang, 1, 0);
 	world_worker_entry(gang.world, 0, &entry);
 	heartbeat.worker = entry.id;
 	heartbeat.addr = entry.addr;
 	heartbeat.token = 1;
-	for (i = 0; i < ATTEMPTS; i++) {
+	for (i = 0; i < ATTEMPTS_MAX; i++) {
 		world_heartbeat(gang.world, &heartbeat, &report);
 		assert_int_equal(report.ended_count, 1);
 		world_report_free(&report);
@@ -193,10 +200,10 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-	    cmocka_unit_test(test_failures_of_a_gang_count_together),
-	    cmocka_unit_test(test_a_gang_has_one_budget),
-	    cmocka_unit_test(test_an_end_lost_with_its_worker),
-	    cmocka_unit_test(test_an_end_listed_twice_counts_once),
+	    cmocka_unit_test(test_gang_failures_count_together),
+	    cmocka_unit_test(test_run_after_last_attempt_is_a_violation),
+	    cmocka_unit_test(test_failure_lost_with_its_worker),
+	    cmocka_unit_test(test_end_reported_twice_counts_once),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
