--- a/tests/cell.sh
+++ b/tests/cell.sh
@@ -1,30 +1,32 @@
-# Starts a cell on loopback; sourced by the demo and by tests that need real
-# processes.  Sets PIDS; cell_stop ends all that was started, by id.
+# Starts a cell of real processes on loopback: the table service, workers,
+# schedulers and entries.  Sourced by the demo and by tests.  PIDS holds the ids
+# of all processes that were started; cell_stop ends them.
 BUILD=${BUILD:-build}
 CELL=$(mktemp -d)
 PIDS=""
 ENTRIES=""
 
-cell_spawn() { # log command...
+cell_spawn() { # log name, command and its arguments; sets LAST_PID
 	log=$1
 	shift
 	"$@" >"$CELL/$log.out" 2>"$CELL/$log.log" &
 	PIDS="$PIDS $!"
-	LAST=$!
+	LAST_PID=$!
 }
 
-# Port that a program says it listens on; the system chose it.
+# Print the port on which a program listens, as its log has it; the system may
+# have chosen it.  Fails after 5 s.
 cell_port() { # log file
-	n=0
+	polls=0
 	while ! grep -qi 'listening' "$1"; do
-		n=$((n + 1))
-		[ $n -gt 100 ] && return 1
+		polls=$((polls + 1))
+		[ $polls -gt 100 ] && return 1
 		sleep 0.05
 	done
 	sed -n 's/.*[Ll]istening[^0-9]*\([0-9][0-9]*\).*/\1/p' "$1" | head -1
 }
 
-cell_dc() { # instance number -> data centre
+cell_dc() { # instance number; prints its data centre
 	case $(($1 % 3)) in
 	0) echo aarhus ;;
 	1) echo viborg ;;
@@ -34,23 +36,23 @@
 
 cell_store() {
 	cell_spawn store "$BUILD/gooseberry-standin-store"
-	STORE_PID=$LAST
+	STORE_PID=$LAST_PID
 	STORE=127.0.0.1:$(cell_port "$CELL/store.out")
 }
 
-cell_workers() { # how many, ms for a request
+cell_workers() { # how many, run time of a request in ms
 	i=0
 	while [ $i -lt "$1" ]; do
 		rack=$((i / 8))
 		cell_spawn "w$i" "$BUILD/gooseberry-standin-worker" -n "w$i" \
 		    -s "$STORE" -d "$(cell_dc $rack)" -r "rack$rack" \
 		    -p passport -m "$2" -L "$CELL/w$i.ledger"
-		eval "WORKER_PID_$i=$LAST"
+		eval "WORKER_PID_$i=$LAST_PID"
 		i=$((i + 1))
 	done
 }
 
-cell_sched() { # number; a restart takes the same port again
+cell_sched() { # instance number; a restart uses the same port
 	eval "port=\${SCHED_PORT_$1:-0}"
 	cat >"$CELL/sched$1.json" <<EOT
 {"member": "i$1", "dc": "$(cell_dc "$1")",
@@ -58,27 +60,27 @@
  "listen": "127.0.0.1:$port", "store": "$STORE"}
 EOT
 	cell_spawn "sched$1" "$BUILD/gooseberry-sched" "$CELL/sched$1.json"
-	eval "SCHED_PID_$1=$LAST"
+	eval "SCHED_PID_$1=$LAST_PID"
 	eval "SCHED_PORT_$1=$(cell_port "$CELL/sched$1.log")"
 }
 
-cell_entry() { # number; a restart takes the same port again
+cell_entry() { # instance number; a restart uses the same port
 	eval "port=\${ENTRY_PORT_$1:-0}"
-	eval "own=\$SCHED_PORT_$1"
+	eval "sched_port=\$SCHED_PORT_$1"
 	cat >"$CELL/entry$1.json" <<EOT
 {"member": "i$1", "dc": "$(cell_dc "$1")",
  "dcs": ["aarhus", "viborg", "aalborg"],
  "listen": "127.0.0.1:$port",
- "scheds": ["127.0.0.1:$own", "127.0.0.1:$SCHED_PORT_0"],
+ "scheds": ["127.0.0.1:$sched_port", "127.0.0.1:$SCHED_PORT_0"],
  "tokens": {"*": "operator-token", "byggepas": "byggepas-token"}}
 EOT
 	cell_spawn "entry$1" "$BUILD/gooseberry-entry" "$CELL/entry$1.json"
-	eval "ENTRY_PID_$1=$LAST"
+	eval "ENTRY_PID_$1=$LAST_PID"
 	eval "ENTRY_PORT_$1=$(cell_port "$CELL/entry$1.log")"
 	ENTRIES="$ENTRIES -e 127.0.0.1:$(eval "echo \$ENTRY_PORT_$1")"
 }
 
-cell_instances() { # how many
+cell_instances() { # how many, each with a scheduler and an entry
 	i=0
 	while [ $i -lt "$1" ]; do
 		cell_sched $i
@@ -87,17 +89,18 @@
 	done
 }
 
-cell_ctl() {
+cell_ctl() { # command and its arguments, for the first entry
 	"$BUILD/gooseberryctl" --server "http://127.0.0.1:$ENTRY_PORT_0" \
 	    --token operator-token --team byggepas "$@"
 }
 
-# Wait until all shards are served and a document can be applied.
+# Wait until all shards have an owner, and apply the documents of tests/demo.
+# Fails after 100 polls.
 cell_ready() {
-	n=0
+	polls=0
 	while [ "$(cell_ctl shards 2>/dev/null | grep -c -v -e ' - ' -e SHARD)" -lt 3 ]; do
-		n=$((n + 1))
-		[ $n -gt 100 ] && return 1
+		polls=$((polls + 1))
+		[ $polls -gt 100 ] && return 1
 		sleep 0.1
 	done
 	for doc in tests/demo/*.json; do
--- a/tests/check.sh
+++ b/tests/check.sh
@@ -1,15 +1,16 @@
-# Formatter, linters, tests (plain and sanitized), fuzz replay, quick faults.
-# Closes with one count of passed and failed.
+# Runs the formatter, the linters, the tests of both builds (plain and
+# sanitized) and the scripts tests/run-*.sh.  The last line counts what passed
+# and what failed.
 passed=0
 failed=0
 
-# The line of KNOWN-RED.txt on a check.  One on a test names it without its
-# folder, and so both builds.
+# Print the entry of KNOWN-RED.txt for a check.  An entry may name a test
+# without its folder; it then applies to both builds.
 known_red() { # name
 	grep -e "^$1:" -e "^${1##*/}:" KNOWN-RED.txt 2>/dev/null
 }
 
-result() { # name status
+result() { # name of the check, exit status
 	if [ "$2" -eq 0 ]; then
 		passed=$((passed + 1))
 		echo "check: $1: ok"
@@ -60,8 +61,8 @@
 		[ -x "$test" ] || continue
 		"$test" >/tmp/gb-test.$$ 2>&1
 		status=$?
-		n=$(sed -n 's/.*PASSED.* \([0-9]*\) test.*/\1/p' /tmp/gb-test.$$ | head -1)
-		[ $status -eq 0 ] && passed=$((passed + ${n:-1} - 1))
+		cases=$(sed -n 's/.*PASSED.* \([0-9]*\) test.*/\1/p' /tmp/gb-test.$$ | head -1)
+		[ $status -eq 0 ] && passed=$((passed + ${cases:-1} - 1))
 		result "$test" $status
 		[ $status -ne 0 ] && tail -40 /tmp/gb-test.$$
 	done
--- a/tests/demo.sh
+++ b/tests/demo.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# The whole path: 8 instances, 50 workers in racks of eight over three data
-# centres, lookups, renewals, imports and gangs, one scheduler and one entry
-# killed midway.  Every answer is compared with the workers' ledgers.
+# Shows a cell at work: 8 instances, 50 workers in racks of eight over three
+# data centres, and callers that send lookups, renewals, imports and gangs.  A
+# scheduler and an entry are killed under load.  Every answer is compared with
+# the ledgers, in which the workers write what they ran.
 cd "$(dirname "$0")/.." || exit 1
 . tests/cell.sh
 trap cell_stop EXIT
--- a/tests/deps.sh
+++ b/tests/deps.sh
@@ -1,4 +1,4 @@
-# Install what packages.txt lists, if anything is missing.
+# Installs the packages of packages.txt that are missing.
 missing=""
 for package in $(cat packages.txt); do
 	dpkg-query -W -f '${Status}' "$package" 2>/dev/null |
