--- a/bench/decide.c
+++ b/bench/decide.c
@@ -1,8 +1,9 @@
 /**
  * @file decide.c
- * Measures decisions: the placement index alone, the core with a fake store
- * and fake workers, memory, and the time to rebuild a shard.  The clock of the
- * core is virtual; what is measured is processor time.
+ * gooseberry-bench: measures the placement index alone, then a scheduler core
+ * on models of the table service and the workers: the cost of its decisions,
+ * its memory, and the time to rebuild a shard.  The core runs on a virtual
+ * clock; its cost is the time that elapses on the monotonic clock.
  */
 #include <argp.h>
 #include <inttypes.h>
@@ -16,12 +17,14 @@
 #include "store_model.h"
 #include "worker_model.h"
 
+/** Searches of the index that are measured. */
 #define DECISIONS 200000
-#define ROUND_TASKS 4000
+/** Largest number of tasks in a job of measure_core. */
+#define ROUND_TASKS_MAX 4000
 #define TEAM "byggepas"
 
 static gb_time
-cpu_ns(void)
+monotonic_ns(void)
 {
 	struct timespec ts;
 
@@ -30,7 +33,7 @@
 }
 
 static int
-compare(const void *a, const void *b)
+time_compare(const void *a, const void *b)
 {
 	gb_time x = *(const gb_time *)a;
 	gb_time y = *(const gb_time *)b;
@@ -38,20 +41,22 @@
 	return x < y ? -1 : x > y;
 }
 
-/* The index alone: place a task, end a random one, at nine tenths of load */
+/* The index alone: place tasks and end random ones, with 8 to 9 tasks for each
+ * worker at a time. */
 
 struct placed {
 	uint32_t worker;
 	gb_res need;
 };
 
-static const gb_res shapes[] = {{500, 1024, 0, 1, 0}, {1000, 4096, 0, 1, 0},
+/** What a task may need: cpu, memory, accelerators, slots, connections. */
+static const gb_res needs[] = {{500, 1024, 0, 1, 0}, {1000, 4096, 0, 1, 0},
     {2000, 2048, 0, 1, 0}, {4000, 16384, 0, 1, 0}, {1000, 2048, 1, 1, 0}};
 
-#define SHAPES (sizeof(shapes) / sizeof(shapes[0]))
+#define NEED_COUNT (sizeof(needs) / sizeof(needs[0]))
 
 static void
-capacity_of(uint32_t worker, gb_res *out)
+worker_capacity(uint32_t worker, gb_res *out)
 {
 	static const gb_res passport = {16000, 65536, 0, 21, 60};
 	static const gb_res directory = {32000, 131072, 4, 21, 60};
@@ -59,14 +64,15 @@
 	*out = worker % 2 == 0 ? passport : directory;
 }
 
+/** Measure searches of the index, each with the update that follows. */
 static void
-bench_index(uint32_t workers)
+measure_index(uint32_t workers)
 {
 	struct gb_index *index = gb_index_new();
-	gb_res *room = gb_calloc(workers, sizeof(*room));
+	gb_res *available = gb_calloc(workers, sizeof(*available));
 	struct placed *placed =
 	    gb_calloc((size_t)workers * 21, sizeof(*placed));
-	gb_time *took = gb_calloc(DECISIONS, sizeof(*took));
+	gb_time *decision_ns = gb_calloc(DECISIONS, sizeof(*decision_ns));
 	uint64_t seed = 1;
 	size_t count = 0;
 	size_t n;
@@ -78,63 +84,64 @@
 	for (i = 0; i < workers; i++) {
 		gb_res capacity;
 
-		capacity_of(i, &capacity);
-		room[i] = capacity;
-		gb_index_set(index, i, &room[i], &capacity);
+		worker_capacity(i, &capacity);
+		available[i] = capacity;
+		gb_index_set(index, i, &available[i], &capacity);
 	}
 	for (n = 0; n < DECISIONS;) {
-		const gb_res *need = &shapes[gb_random_next(&seed) % SHAPES];
+		const gb_res *need = &needs[gb_random_next(&seed) % NEED_COUNT];
 		gb_res capacity;
-		gb_time begin = cpu_ns();
+		gb_time elapsed_ns = monotonic_ns();
 		uint32_t w = gb_index_find(index, need, &gb_scorer_pack, NULL);
 
 		if (w != GB_NONE) {
-			capacity_of(w, &capacity);
-			gb_res_sub(&room[w], need);
-			gb_index_set(index, w, &room[w], &capacity);
+			worker_capacity(w, &capacity);
+			gb_res_sub(&available[w], need);
+			gb_index_set(index, w, &available[w], &capacity);
 		}
-		begin = cpu_ns() - begin;
+		elapsed_ns = monotonic_ns() - elapsed_ns;
 		if (w != GB_NONE) {
 			placed[count].worker = w;
 			placed[count++].need = *need;
 		}
-		/* The first half of the decisions fills the cell. */
+		/* Not measured while the workers have fewer tasks. */
 		if (w != GB_NONE && count < (size_t)workers * 8)
 			continue;
-		took[n++] = begin;
-		sum += begin;
+		decision_ns[n++] = elapsed_ns;
+		sum += elapsed_ns;
 		while (count > 0 &&
 		       (w == GB_NONE || count > (size_t)workers * 9)) {
 			size_t at = gb_random_next(&seed) % count;
 			struct placed *p = &placed[at];
 
-			capacity_of(p->worker, &capacity);
-			gb_res_add(&room[p->worker], &p->need);
+			worker_capacity(p->worker, &capacity);
+			gb_res_add(&available[p->worker], &p->need);
 			gb_index_set(
-			    index, p->worker, &room[p->worker], &capacity);
+			    index, p->worker, &available[p->worker], &capacity);
 			*p = placed[--count];
 			if (w == GB_NONE && gb_random_next(&seed) % 4 == 0)
 				break;
 		}
 	}
-	qsort(took, DECISIONS, sizeof(*took), compare);
-	p50 = took[DECISIONS / 2];
-	p99 = took[DECISIONS / 100 * 99];
+	qsort(decision_ns, DECISIONS, sizeof(*decision_ns), time_compare);
+	p50 = decision_ns[DECISIONS / 2];
+	p99 = decision_ns[DECISIONS / 100 * 99];
 	printf("bench decision workers=%" PRIu32 " per_s=%" PRId64
 	       " mean_us=%.2f p50_us=%.2f p99_us=%.2f max_us=%.1f "
 	       "index_bytes=%zu\n",
 	    workers, (gb_time)DECISIONS * 1000000000 / sum,
 	    (double)sum / DECISIONS / 1000, (double)p50 / 1000,
-	    (double)p99 / 1000, (double)took[DECISIONS - 1] / 1000,
+	    (double)p99 / 1000, (double)decision_ns[DECISIONS - 1] / 1000,
 	    gb_index_memory(index));
 	gb_index_free(index);
-	free(room);
+	free(available);
 	free(placed);
-	free(took);
+	free(decision_ns);
 }
 
-/* The core: everything from the submission to the message for the worker */
+/* The core: from the submission of a job to the messages for the workers */
 
+/** A core with the models that it runs on, and what was counted. */
 struct bench {
 	struct gb_core *core;
 	struct store_model *store;
@@ -144,15 +151,16 @@
 	gb_time now;
 	uint64_t answers;
 	uint64_t started;    /**< starts of the core so far */
-	gb_time dispatch_ns; /**< of ticks that started something */
-	gb_time idle_ns;     /**< of all other ticks */
+	gb_time dispatch_ns; /**< time in ticks that started tasks */
+	gb_time idle_ns;     /**< time in all other ticks */
 	uint64_t idle_ticks;
 	uint64_t syncs, txns, sync_bytes, store_bytes;
-	unsigned int jobs;
+	unsigned int jobs; /**< number in the name of the last job */
 };
 
+/** Let a model carry out an action of the core, and return its result. */
 static void
-bench_act(struct bench *b, struct gb_action *action)
+bench_action_execute(struct bench *b, struct gb_action *action)
 {
 	gb_txn_res txn_res;
 	gb_scan_res scan_res;
@@ -200,29 +208,30 @@
 	struct gb_action action;
 
 	while (gb_core_next(b->core, &action)) {
-		bench_act(b, &action);
+		bench_action_execute(b, &action);
 		gb_action_clear(&action);
 	}
 }
 
+/** Run for a span of virtual time, and add up the time that ticks take. */
 static void
-bench_pass(struct bench *b, gb_time span)
+bench_run(struct bench *b, gb_time span)
 {
 	gb_time until = b->now + span;
 
 	while (b->now < until) {
 		struct gb_core_stats stats;
-		gb_time begin;
+		gb_time elapsed_ns;
 
 		b->now += 5 * GB_MSEC;
-		begin = cpu_ns();
+		elapsed_ns = monotonic_ns();
 		gb_core_tick(b->core, b->now);
-		begin = cpu_ns() - begin;
+		elapsed_ns = monotonic_ns() - elapsed_ns;
 		gb_core_stats_get(b->core, &stats);
 		if (stats.starts != b->started) {
-			b->dispatch_ns += begin;
+			b->dispatch_ns += elapsed_ns;
 		} else {
-			b->idle_ns += begin;
+			b->idle_ns += elapsed_ns;
 			b->idle_ticks++;
 		}
 		b->started = stats.starts;
@@ -230,8 +239,9 @@
 	}
 }
 
+/** Give the core the list of workers. */
 static void
-bench_list(struct bench *b)
+bench_instances_send(struct bench *b)
 {
 	gb_instance *list = gb_calloc(b->workers, sizeof(*list));
 	char(*text)[48] = gb_calloc(b->workers, sizeof(*text));
@@ -247,13 +257,14 @@
 		list[i].rack = text[i] + 32;
 		list[i].dc = (char *)(uintptr_t) "a";
 		list[i].pool = (char *)(uintptr_t) "";
-		capacity_of(i, &list[i].capacity);
+		worker_capacity(i, &list[i].capacity);
 	}
 	gb_core_instances(b->core, b->now, &all);
 	free(text);
 	free(list);
 }
 
+/** Start a new incarnation of the core. */
 static void
 bench_core_new(struct bench *b)
 {
@@ -279,11 +290,12 @@
 	cfg.write_budget = 200;
 	cfg.snapshot_every = 1000;
 	b->core = gb_core_new(&cfg, b->now);
-	bench_list(b);
+	bench_instances_send(b);
 }
 
+/** Apply a document; rest are its JSON members after team and service. */
 static void
-bench_document(struct bench *b, const char *service, const char *rest)
+bench_document_apply(struct bench *b, const char *service, const char *rest)
 {
 	char text[256];
 	gb_command cmd = {.verb = GB_VERB_APPLY,
@@ -296,11 +308,11 @@
 	cmd.body.gb_body_val = text;
 	cmd.body.gb_body_len = (u_int)strlen(text);
 	gb_core_command(b->core, b->now, 1, &cmd);
-	bench_pass(b, GB_SEC);
+	bench_run(b, GB_SEC);
 }
 
 static void
-bench_submit(struct bench *b, const char *service, unsigned int tasks)
+bench_job_submit(struct bench *b, const char *service, unsigned int tasks)
 {
 	char text[96];
 	char name[32];
@@ -317,8 +329,10 @@
 	gb_core_command(b->core, b->now, 1, &cmd);
 }
 
+/** Start a core with documents: "batch" for tasks of 2 s, "long" for tasks that
+ * don't end. */
 static void
-bench_up(struct bench *b, uint32_t workers)
+bench_setup(struct bench *b, uint32_t workers)
 {
 	uint32_t i;
 
@@ -330,23 +344,23 @@
 	for (i = 0; i < workers; i++) {
 		gb_res capacity;
 
-		capacity_of(i, &capacity);
+		worker_capacity(i, &capacity);
 		b->models[i] = worker_model_new(i + 1, &capacity, NULL, NULL);
 	}
 	bench_core_new(b);
-	bench_pass(b, 5 * GB_SEC);
-	bench_document(b, "batch",
+	bench_run(b, 5 * GB_SEC);
+	bench_document_apply(b, "batch",
 	    "\"kind\": \"batch\", \"resources\": {\"cpu_milli\": 1000, "
 	    "\"memory_mb\": 2048}, \"policy\": {\"run_ms\": 2000, "
 	    "\"idempotent\": true}");
-	bench_document(b, "long",
+	bench_document_apply(b, "long",
 	    "\"kind\": \"batch\", \"resources\": {\"cpu_milli\": 700, "
 	    "\"memory_mb\": 2048}, \"policy\": {\"run_ms\": 86400000, "
 	    "\"idempotent\": true}");
 }
 
 static void
-bench_down(struct bench *b)
+bench_teardown(struct bench *b)
 {
 	uint32_t i;
 
@@ -357,22 +371,23 @@
 	store_model_free(b->store);
 }
 
+/** Measure an idle core, then one that starts the tasks of a job every 4 s. */
 static void
-bench_core(uint32_t workers)
+measure_core(uint32_t workers)
 {
 	unsigned int tasks =
-	    workers * 8 < ROUND_TASKS ? workers * 8 : ROUND_TASKS;
+	    workers * 8 < ROUND_TASKS_MAX ? workers * 8 : ROUND_TASKS_MAX;
 	struct gb_core_stats before;
 	struct gb_core_stats after;
 	struct bench b;
-	gb_time idle;
+	gb_time idle_ns_per_s;
 	gb_time begin;
 	unsigned int round;
 
-	bench_up(&b, workers);
-	begin = cpu_ns();
-	bench_pass(&b, 5 * GB_SEC);
-	idle = (cpu_ns() - begin) / 5;
+	bench_setup(&b, workers);
+	begin = monotonic_ns();
+	bench_run(&b, 5 * GB_SEC);
+	idle_ns_per_s = (monotonic_ns() - begin) / 5;
 	gb_core_stats_get(b.core, &before);
 	b.dispatch_ns = 0;
 	b.idle_ns = 0;
@@ -382,8 +397,8 @@
 	b.sync_bytes = 0;
 	b.store_bytes = 0;
 	for (round = 0; round < 5; round++) {
-		bench_submit(&b, "batch", tasks);
-		bench_pass(&b, 4 * GB_SEC);
+		bench_job_submit(&b, "batch", tasks);
+		bench_run(&b, 4 * GB_SEC);
 	}
 	gb_core_stats_get(b.core, &after);
 	printf("bench core workers=%" PRIu32 " starts=%" PRIu64
@@ -397,17 +412,18 @@
 	    (double)b.dispatch_ns / 1000 /
 		(double)(after.starts - before.starts),
 	    (double)b.idle_ns / 1000 / (double)b.idle_ticks,
-	    (double)idle / 1000000,
+	    (double)idle_ns_per_s / 1000000,
 	    (double)b.txns * 1000 / (double)(after.starts - before.starts),
 	    (double)(after.log_bytes - before.log_bytes) /
 		(double)(after.starts - before.starts),
 	    b.syncs / 20, (double)b.sync_bytes / 20 / workers);
-	bench_down(&b);
+	bench_teardown(&b);
 }
 
-/** Memory per worker and task, and the time to rebuild a shard. */
+/** Measure the memory of each worker and each task, and the time in which a new
+ * incarnation of the core rebuilds the shard from its log and the workers. */
 static void
-bench_rebuild(uint32_t workers)
+measure_rebuild(uint32_t workers)
 {
 	uint32_t tasks = workers * 20;
 	struct mallinfo2 start = mallinfo2();
@@ -416,18 +432,18 @@
 	struct gb_core_stats stats;
 	struct bench b;
 	gb_time begin;
-	gb_time virtual;
+	gb_time virtual_begin;
 	uint32_t left = tasks;
 
-	bench_up(&b, workers);
+	bench_setup(&b, workers);
 	with_workers = mallinfo2();
 	while (left > 0) {
 		uint32_t n = left > 20000 ? 20000 : left;
 
-		bench_submit(&b, "long", n);
+		bench_job_submit(&b, "long", n);
 		left -= n;
 	}
-	bench_pass(&b, 10 * GB_SEC);
+	bench_run(&b, 10 * GB_SEC);
 	with_tasks = mallinfo2();
 	gb_core_stats_get(b.core, &stats);
 	printf("bench memory workers=%" PRIu32 " tasks=%" PRIu64
@@ -440,18 +456,18 @@
 		with_workers.hblkhd) /
 		(stats.running == 0 ? 1 : stats.running));
 	gb_core_unref(b.core);
-	virtual = b.now;
-	begin = cpu_ns();
+	virtual_begin = b.now;
+	begin = monotonic_ns();
 	bench_core_new(&b);
 	do {
-		bench_pass(&b, 5 * GB_MSEC);
+		bench_run(&b, 5 * GB_MSEC);
 		gb_core_stats_get(b.core, &stats);
-	} while (stats.running < tasks && b.now - virtual < 60 * GB_SEC);
+	} while (stats.running < tasks && b.now - virtual_begin < 60 * GB_SEC);
 	printf("bench rebuild workers=%" PRIu32 " tasks=%" PRIu64
 	       " cpu_ms=%" PRId64 " virtual_ms=%" PRId64 "\n",
-	    workers, stats.running, (cpu_ns() - begin) / 1000000,
-	    (b.now - virtual) / GB_MSEC);
-	bench_down(&b);
+	    workers, stats.running, (monotonic_ns() - begin) / 1000000,
+	    (b.now - virtual_begin) / GB_MSEC);
+	bench_teardown(&b);
 }
 
 int
@@ -462,10 +478,10 @@
 
 	argp_parse(NULL, argc, argv, 0, NULL, NULL);
 	for (i = 0; i < 4; i++)
-		bench_index(sizes[i]);
+		measure_index(sizes[i]);
 	for (i = 0; i < 4; i++)
-		bench_core(sizes[i]);
+		measure_core(sizes[i]);
 	for (i = 1; i < 4; i++)
-		bench_rebuild(sizes[i]);
+		measure_rebuild(sizes[i]);
 	return EXIT_SUCCESS;
 }
