--- a/bench/load.c
+++ b/bench/load.c
@@ -1,8 +1,9 @@
 /**
  * @file load.c
- * gooseberry-load: callers of the cell.  Sends lookups, renewals and jobs
- * through the entries, as a balancer would spread them, and compares every
- * answer with what the stand-in workers' ledgers say was run.
+ * gooseberry-load: acts as the callers of a cell and the balancer before its
+ * entries.  Sends lookups, renewals and jobs through the entries, and compares
+ * every answer with the ledgers, in which the stand-in workers write what they
+ * ran.
  */
 #include <argp.h>
 #include <dirent.h>
@@ -18,41 +19,44 @@
 #include "gooseberry.h"
 
 #define ENTRIES_MAX 64
-#define BODY_MOST 512
-#define TOOK_MOST 1000000
-#define HEALTH_EVERY (100 * GB_MSEC)
-#define GIVE_UP (30 * GB_SEC)
+#define BODY_SIZE 512 /* bytes, with the final NUL */
+#define LATENCIES_MAX 1000000
+/** Interval of the health checks of an entry. */
+#define HEALTH_INTERVAL (100 * GB_MSEC)
+/** Time after which a call is not retried; also the longest wait for the last
+ * calls and jobs. */
+#define CALL_TIME_MAX (30 * GB_SEC)
 #define FIRST_TRIES_MS 1000
 
 enum call_kind {
 	CALL_LOOKUP,
 	CALL_RENEWAL,
-	CALL_JOB,
-	CALL_STATUS,
-	CALL_HEALTH
+	CALL_JOB,    /**< submission of a job */
+	CALL_STATUS, /**< state of a job */
+	CALL_HEALTH  /**< health check of an entry by the balancer */
 };
 
-/** One piece of work of a caller, with all its tries. */
+/** A call with its retries; its name identifies it in the ledgers. */
 struct call {
 	UT_hash_handle hh;
 	char name[48];
 	enum call_kind kind;
 	CURL *easy;
 	struct curl_slist *headers;
-	char body[BODY_MOST];
-	char answer[BODY_MOST];
+	char body[BODY_SIZE];
+	char answer[BODY_SIZE];
 	size_t answer_len;
-	char verdict[24];
-	long retry_ms;
+	char verdict[24]; /**< in the last answer; empty: none */
+	long retry_ms;	  /**< delay before the next try, 0: default */
 	gb_time started;
-	gb_time again_at;
+	gb_time retry_at; /**< time of the next try; 0: in flight */
 	unsigned int tries;
 	unsigned int entry;
-	bool done;
-	bool accepted;
-	bool ended;
-	unsigned int execs;
-	struct call *next_again; /**< in the list of those that wait */
+	bool done;		 /**< has its final answer, or was given up */
+	bool accepted;		 /**< job that was accepted */
+	bool ended;		 /**< job that has ended */
+	unsigned int execs;	 /**< runs of the request, in all ledgers */
+	struct call *next_retry; /**< in the list of retries */
 };
 
 static struct {
@@ -62,22 +66,25 @@
 	const char *ledgers;
 	const char *prefix;
 	unsigned int seconds;
-	unsigned int rate; /**< requests a second, 0: as fast as it goes */
-	unsigned int parallel;
-	unsigned int jobs;
+	unsigned int rate;     /**< requests a second, 0: no limit */
+	unsigned int parallel; /**< most requests in flight */
+	unsigned int jobs;     /**< to submit */
 	unsigned int renewals; /**< one in this many requests is a renewal */
 	uint64_t seed;
 	CURLM *multi;
-	struct call *calls;
-	struct call *again; /**< calls that wait for their next try */
-	unsigned int running;
-	uint64_t requests, answered, ran, may, refused, lost, doubled;
+	struct call *calls;   /**< by name */
+	struct call *retries; /**< calls that wait for their next try */
+	unsigned int running; /**< calls in flight */
+	/* lost: without final answer, with a wrong one, or answered as run and
+	 * in no ledger; doubled: ran more often than they may */
+	uint64_t requests, answered, ran, may_have_run, refused, lost, doubled;
 	uint64_t job_count, job_ended;
 	uint64_t cut; /**< connections that ended without an answer */
 	struct call *health[ENTRIES_MAX];
-	bool down[ENTRIES_MAX];
-	gb_time took[TOOK_MOST]; /**< latencies of answered requests */
-	uint64_t took_count;
+	bool down[ENTRIES_MAX]; /**< entries that failed their health check */
+	gb_time latencies_us[LATENCIES_MAX]; /**< time from a request to its
+						end, in us */
+	uint64_t latency_count;
 } load = {.token = "operator-token",
     .prefix = "demo",
     .seconds = 4,
@@ -90,14 +97,17 @@
 {
 	struct call *call = arg;
 	size_t len = size * count;
-	size_t room = sizeof(call->answer) - 1 - call->answer_len;
+	size_t available = sizeof(call->answer) - 1 - call->answer_len;
 
-	memcpy(call->answer + call->answer_len, data, len < room ? len : room);
-	call->answer_len += len < room ? len : room;
+	memcpy(call->answer + call->answer_len, data,
+	    len < available ? len : available);
+	call->answer_len += len < available ? len : available;
 	call->answer[call->answer_len] = '\0';
 	return len;
 }
 
+/** Read the verdict and the delay before a retry, which is a tenth of what
+ * Retry-After asks for. */
 static size_t
 on_header(char *data, size_t size, size_t count, void *arg)
 {
@@ -169,7 +179,7 @@
 	load.running++;
 }
 
-/** The balancer gives the next try to another entry. */
+/** Choose the next entry that is not down, as a balancer does for a retry. */
 static void
 call_next_entry(struct call *call)
 {
@@ -221,24 +231,24 @@
 	return call;
 }
 
-/** An answer came, or the connection failed. */
+/** An answer arrived or the connection failed: retry the call or end it. */
 static void
 call_answered(struct call *call, CURLcode code, long status)
 {
 	gb_time now = gb_clock_boot();
 	bool ran = code == CURLE_OK && strcmp(call->verdict, "ran") == 0;
-	bool may =
+	bool may_have_run =
 	    code == CURLE_OK && strcmp(call->verdict, "may_have_run") == 0;
-	bool not_run = code == CURLE_OK && !ran && !may;
-	bool final = ran || (may && call->kind == CALL_RENEWAL) ||
+	bool not_run = code == CURLE_OK && !ran && !may_have_run;
+	bool final = ran || (may_have_run && call->kind == CALL_RENEWAL) ||
 		     (not_run && status != 503 && status != 504);
 
-	if (!final && now - call->started < GIVE_UP) {
+	if (!final && now - call->started < CALL_TIME_MAX) {
 		call_next_entry(call);
-		call->again_at =
+		call->retry_at =
 		    now + (call->retry_ms > 0 ? call->retry_ms : 50) * GB_MSEC;
-		call->next_again = load.again;
-		load.again = call;
+		call->next_retry = load.retries;
+		load.retries = call;
 		return;
 	}
 	call->done = true;
@@ -246,8 +256,8 @@
 		call->accepted = ran && status == 200;
 		return;
 	}
-	if (load.took_count < TOOK_MOST)
-		load.took[load.took_count++] = now - call->started;
+	if (load.latency_count < LATENCIES_MAX)
+		load.latencies_us[load.latency_count++] = now - call->started;
 	if (final)
 		load.answered++;
 	else
@@ -258,10 +268,11 @@
 		load.lost++;
 	}
 	load.ran += ran;
-	load.may += may;
+	load.may_have_run += may_have_run;
 	load.refused += not_run;
 }
 
+/** Process the transfers that have ended. */
 static void
 calls_collect(void)
 {
@@ -283,7 +294,7 @@
 		if (call->kind == CALL_HEALTH) {
 			load.down[call->entry] =
 			    code != CURLE_OK || status != 200;
-			call->again_at = gb_clock_boot() + HEALTH_EVERY;
+			call->retry_at = gb_clock_boot() + HEALTH_INTERVAL;
 			continue;
 		}
 		if (code == CURLE_GOT_NOTHING || code == CURLE_RECV_ERROR ||
@@ -293,7 +304,7 @@
 			call->ended = status == 200 &&
 				      strstr(call->answer,
 					  "\"state\": \"active\"") == NULL;
-			call->again_at = gb_clock_boot() + 200 * GB_MSEC;
+			call->retry_at = gb_clock_boot() + 200 * GB_MSEC;
 			call_next_entry(call);
 			continue;
 		}
@@ -301,25 +312,26 @@
 	}
 }
 
+/** Send the calls whose retry is due. */
 static void
-calls_again(void)
+calls_retry(void)
 {
 	gb_time now = gb_clock_boot();
-	struct call **at = &load.again;
+	struct call **at = &load.retries;
 	struct call *call;
 
 	while ((call = *at) != NULL) {
-		if (call->again_at > now) {
-			at = &call->next_again;
+		if (call->retry_at > now) {
+			at = &call->next_retry;
 			continue;
 		}
-		*at = call->next_again;
-		call->again_at = 0;
+		*at = call->next_retry;
+		call->retry_at = 0;
 		call_send(call);
 	}
 }
 
-/** The balancer asks every entry how it is. */
+/** Send the health checks that are due, as a balancer does. */
 static void
 health_check(void)
 {
@@ -333,18 +345,19 @@
 			call = gb_calloc(1, sizeof(*call));
 			call->kind = CALL_HEALTH;
 			call->entry = i;
-			call->again_at = now;
+			call->retry_at = now;
 			load.health[i] = call;
 		}
-		if (call->again_at == 0 || call->again_at > now)
+		if (call->retry_at == 0 || call->retry_at > now)
 			continue;
-		call->again_at = 0;
+		call->retry_at = 0;
 		call_send(call);
 	}
 }
 
+/** Drive all transfers once, and wait for new events up to wait_ms. */
 static void
-step(int wait_ms)
+transfers_drive(int wait_ms)
 {
 	int active;
 
@@ -355,6 +368,7 @@
 	curl_multi_poll(load.multi, NULL, 0, wait_ms, NULL);
 }
 
+/** Send requests and jobs for the set time. */
 static void
 work_run(void)
 {
@@ -381,13 +395,14 @@
 			call_send(call_new(CALL_JOB));
 			jobs++;
 		}
-		calls_again();
-		step(1);
+		calls_retry();
+		transfers_drive(1);
 	}
 }
 
+/** Whether a call still waits for its final answer. */
 static bool
-calls_open(void)
+calls_unfinished(void)
 {
 	struct call *call;
 
@@ -398,26 +413,26 @@
 	return false;
 }
 
-/** Wait for the last answers, then for the ends of the jobs. */
+/** Wait for the last answers, then for the ends of the accepted jobs. */
 static void
 work_finish(void)
 {
-	gb_time until = gb_clock_boot() + GIVE_UP;
+	gb_time until = gb_clock_boot() + CALL_TIME_MAX;
 	struct call *call;
 
-	while (calls_open() && gb_clock_boot() < until) {
-		calls_again();
-		step(5);
+	while (calls_unfinished() && gb_clock_boot() < until) {
+		calls_retry();
+		transfers_drive(5);
 	}
 	for (call = load.calls; call != NULL; call = call->hh.next) {
 		if (call->kind != CALL_JOB || !call->accepted)
 			continue;
 		call->kind = CALL_STATUS;
 		while (!call->ended && gb_clock_boot() < until) {
-			call->again_at = 0;
+			call->retry_at = 0;
 			call_send(call);
-			while (call->again_at == 0)
-				step(5);
+			while (call->retry_at == 0)
+				transfers_drive(5);
 			if (!call->ended)
 				usleep(50000);
 		}
@@ -428,14 +443,16 @@
 
 /* Ledgers of the workers */
 
-struct start {
+/** Number of starts of a task, in all ledgers. */
+struct task_start {
 	UT_hash_handle hh;
-	char task[64];
+	char task[64]; /**< "<job id in hex>/<index>" */
 	unsigned int count;
 };
 
+/** Count a line of a ledger: the run of a request or the start of a task. */
 static void
-ledger_line(const char *line, struct start **starts)
+ledger_line(const char *line, struct task_start **starts)
 {
 	char service[96];
 	char body[80];
@@ -444,7 +461,7 @@
 	char task[64];
 	uint64_t job;
 	uint32_t index;
-	struct start *start;
+	struct task_start *start;
 
 	if (sscanf(line, "exec %95s %d %79s", service, &idempotent, body) ==
 	    3) {
@@ -466,7 +483,7 @@
 }
 
 static void
-ledgers_read(struct start **starts)
+ledgers_read(struct task_start **starts)
 {
 	DIR *dir = opendir(load.ledgers);
 	struct dirent *item;
@@ -491,12 +508,12 @@
 	closedir(dir);
 }
 
-/** Compare answers with ledgers. */
+/** Compare the answers with the ledgers. */
 static void
 work_check(void)
 {
-	struct start *starts = NULL;
-	struct start *start;
+	struct task_start *starts = NULL;
+	struct task_start *start;
 	struct call *call;
 
 	ledgers_read(&starts);
@@ -522,7 +539,7 @@
 		char name[48];
 		unsigned int n;
 
-		/* Imports are not idempotent: one start each. */
+		/* Imports are not idempotent: each task starts once. */
 		if (start->count == 1)
 			continue;
 		for (n = 1; n <= HASH_COUNT(load.calls); n++) {
@@ -546,7 +563,7 @@
 }
 
 static int
-took_compare(const void *a, const void *b)
+latency_compare(const void *a, const void *b)
 {
 	gb_time x = *(const gb_time *)a;
 	gb_time y = *(const gb_time *)b;
@@ -554,13 +571,15 @@
 	return x < y ? -1 : x > y;
 }
 
+/** Quantile of the latencies, in microseconds. */
 static gb_time
-took_quantile(unsigned int per_mille)
+latency_quantile(unsigned int per_mille)
 {
-	qsort(load.took, load.took_count, sizeof(gb_time), took_compare);
-	return load.took_count == 0
+	qsort(load.latencies_us, load.latency_count, sizeof(gb_time),
+	    latency_compare);
+	return load.latency_count == 0
 		   ? 0
-		   : load.took[load.took_count * per_mille / 1000];
+		   : load.latencies_us[load.latency_count * per_mille / 1000];
 }
 
 static error_t
@@ -620,23 +639,23 @@
 	static const struct argp argp = {options, option_parse, NULL,
 	    "Calls a cell, and checks every answer.", NULL, NULL, NULL};
 	gb_time begin;
-	gb_time took;
+	gb_time elapsed_us;
 
 	argp_parse(&argp, argc, argv, 0, NULL, NULL);
 	curl_global_init(CURL_GLOBAL_ALL);
 	load.multi = curl_multi_init();
 	begin = gb_clock_boot();
 	work_run();
-	took = gb_clock_boot() - begin;
+	elapsed_us = gb_clock_boot() - begin;
 	work_finish();
 	if (load.ledgers != NULL)
 		work_check();
 	printf("load: ran=%" PRIu64 " may_have_run=%" PRIu64 " refused=%" PRIu64
 	       " cut=%" PRIu64 " per_s=%" PRIu64 " p50_us=%" PRId64
 	       " p99_us=%" PRId64 "\n",
-	    load.ran, load.may, load.refused, load.cut,
-	    load.answered * GB_SEC / (uint64_t)took, took_quantile(500),
-	    took_quantile(990));
+	    load.ran, load.may_have_run, load.refused, load.cut,
+	    load.answered * GB_SEC / (uint64_t)elapsed_us,
+	    latency_quantile(500), latency_quantile(990));
 	printf("%s: requests=%" PRIu64 " answered=%" PRIu64 " lost=%" PRIu64
 	       " doubled=%" PRIu64 " jobs=%" PRIu64 " ended=%" PRIu64 "\n",
 	    load.prefix, load.requests, load.answered,
--- a/bench/pool.c
+++ b/bench/pool.c
@@ -1,9 +1,9 @@
 /**
  * @file pool.c
- * Measures the decisions of a pool's owner: processor time for each start and
- * for the longest call, and memory, by workers, organisations and keys.  The
- * clock is virtual and the platform is a fake one within this process, whose
- * time is not counted.
+ * gooseberry-bench-pool: measures the cost of the owner of a pool, by numbers
+ * of workers, organisations and keys: processor time for each start and for the
+ * longest tick, and memory.  The pool runs on a virtual clock against a
+ * simulated platform in this process, whose processor time is subtracted.
  */
 #include <argp.h>
 #include <inttypes.h>
@@ -15,35 +15,48 @@
 
 #include "world.h"
 
-/** Length of a play in virtual time, and of what goes before it is measured. */
-#define PLAY (6 * GB_SEC)
-#define WARM_UP (2 * GB_SEC)
-/** Starts a second for each worker: 7,900 on 18,000. */
+/** Virtual time that is measured, and virtual time before it. */
+#define MEASURE_TIME (6 * GB_SEC)
+#define WARM_UP_TIME (2 * GB_SEC)
+/** Starts a second for each worker: 7,900 on 18,000 workers. */
 #define STARTS_PER_WORKER 0.44
-/** Answers of the platform come after this. */
-#define WIRE (5 * GB_MSEC)
-/** An end is told this late at the most. */
-#define HEARTBEAT_TURNAROUND (50 * GB_MSEC)
-#define RUNS_MOST 64
+/** Delay of all answers but those to heartbeats. */
+#define ANSWER_DELAY (5 * GB_MSEC)
+/** Delay of the answers to heartbeats; the end of a run is reported at most
+ * this late. */
+#define HEARTBEAT_DELAY (50 * GB_MSEC)
+/** Runs that a worker can have at a time. */
+#define RUNS_MAX 64
+/** Other members of the cluster, and the interval at which they are reported to
+ * be reachable. */
 #define MEMBERS 90
-#define MEMBERS_EACH (500 * GB_MSEC)
+#define MEMBERS_INTERVAL (500 * GB_MSEC)
 /** One flow in so many is an import of 25 tasks; the others are lookups of 3.
  */
-#define IMPORT_EACH 10
+#define IMPORT_PERIOD 10
 #define IMPORT_TASKS 25
 #define LOOKUP_TASKS 3
-#define STARTS_PER_FLOW                                      \
-	((IMPORT_TASKS + LOOKUP_TASKS * (IMPORT_EACH - 1)) / \
-	    (double)IMPORT_EACH)
-/** Every second flow is the first organisation's, the hot one. */
-#define HOT_EACH 2
-
-enum kind { TXN, READ, START, STOP, HEARTBEAT, ADVISE };
+#define STARTS_PER_FLOW                                        \
+	((IMPORT_TASKS + LOOKUP_TASKS * (IMPORT_PERIOD - 1)) / \
+	    (double)IMPORT_PERIOD)
+/** One flow in so many is of the first organisation, which so has the most
+ * load.
+ */
+#define HOT_ORG_PERIOD 2
+
+enum event_kind {
+	EVENT_TXN,
+	EVENT_READ,
+	EVENT_START,
+	EVENT_STOP,
+	EVENT_HEARTBEAT,
+	EVENT_ADVISE
+};
 
-/** An answer that is due. */
+/** An answer of the platform, and when it is delivered. */
 struct event {
 	gb_time due;
-	enum kind kind;
+	enum event_kind kind;
 	uint64_t call;
 	uint32_t worker;
 	struct gb_pool_txn_res txn;
@@ -51,18 +64,19 @@
 	gb_advice_res advice;
 };
 
-struct fake_run {
-	struct gb_pool_run_report seen;
-	gb_time ends;
+/** A run on a simulated worker. */
+struct sim_run {
+	struct gb_pool_run_report report;
+	gb_time end_at;
 };
 
-struct fake_worker {
-	struct fake_run runs[RUNS_MOST];
+struct sim_worker {
+	struct sim_run runs[RUNS_MAX];
 	uint32_t count;
-	uint64_t ends; /**< number of the last end */
+	uint64_t last_end; /**< number of the last end that was reported */
 };
 
-/** Answers in the order in which they are due. */
+/** Answers in the order in which they are due, in a ring buffer that grows. */
 struct ring {
 	struct event *events;
 	size_t first;
@@ -70,17 +84,18 @@
 	size_t size;
 };
 
-struct play {
+/** A pool, its simulated platform, and what is measured. */
+struct bench {
 	struct gb_pool *pool;
-	struct world *tables;
-	struct fake_worker *workers;
+	struct world *tables; /**< tables and advice of the platform */
+	struct sim_worker *workers;
 	uint32_t worker_count;
-	struct ring quick;	/**< answers after WIRE */
-	struct ring heartbeats; /**< answers after HEARTBEAT_TURNAROUND */
+	struct ring answers;	/**< due after ANSWER_DELAY */
+	struct ring heartbeats; /**< due after HEARTBEAT_DELAY */
 	gb_time now;
-	gb_time cpu;	 /**< spent in the pool, since measured */
-	gb_time outside; /**< of it, in this file */
-	gb_time longest; /**< tick */
+	gb_time cpu_ns;		 /**< processor time of the pool */
+	gb_time platform_ns;	 /**< time of the platform, to subtract */
+	gb_time longest_tick_ns; /**< processor time */
 	uint64_t accepted;
 	uint64_t refused;
 };
@@ -94,16 +109,17 @@
 	return (gb_time)ts.tv_sec * 1000000000 + ts.tv_nsec;
 }
 
-/** Processor time of this process. */
+/** Processor time of this thread. */
 static gb_time
 cpu_ns(void)
 {
 	return clock_ns(CLOCK_THREAD_CPUTIME_ID);
 }
 
-/** Quick to ask, for the short times that are taken off. */
+/** Elapsed time.  It is faster to read than the processor time, and so used for
+ * the short times that are subtracted. */
 static gb_time
-quick_ns(void)
+monotonic_ns(void)
 {
 	return clock_ns(CLOCK_MONOTONIC);
 }
@@ -124,10 +140,10 @@
 }
 
 static struct event *
-event_add(struct play *play, enum kind kind, uint64_t call)
+event_add(struct bench *bench, enum event_kind kind, uint64_t call)
 {
 	struct ring *ring =
-	    kind == HEARTBEAT ? &play->heartbeats : &play->quick;
+	    kind == EVENT_HEARTBEAT ? &bench->heartbeats : &bench->answers;
 	struct event *event;
 
 	if (ring->count == ring->size)
@@ -136,13 +152,14 @@
 	memset(event, 0, sizeof(*event));
 	event->kind = kind;
 	event->call = call;
-	event->due =
-	    play->now + (kind == HEARTBEAT ? HEARTBEAT_TURNAROUND : WIRE);
+	event->due = bench->now +
+		     (kind == EVENT_HEARTBEAT ? HEARTBEAT_DELAY : ANSWER_DELAY);
 	return event;
 }
 
-/* What the pool asks for -------------------------------------------------- */
+/* Operations of the pool -------------------------------------------------- */
 
+/** Number of a worker, from its id. */
 static uint32_t
 worker_number(const char *id)
 {
@@ -152,90 +169,93 @@
 static void
 op_start(void *data, uint64_t call, const struct gb_pool_order *order)
 {
-	struct play *play = data;
-	gb_time began = quick_ns();
-	struct event *event = event_add(play, START, call);
-	struct fake_worker *worker;
-	struct fake_run *run;
+	struct bench *bench = data;
+	gb_time began = monotonic_ns();
+	struct event *event = event_add(bench, EVENT_START, call);
+	struct sim_worker *worker;
+	struct sim_run *run;
 
 	event->worker = worker_number(order->worker);
-	worker = &play->workers[event->worker];
-	if (worker->count == RUNS_MOST) {
-		fprintf(stderr, "pool: a worker holds too many runs\n");
+	worker = &bench->workers[event->worker];
+	if (worker->count == RUNS_MAX) {
+		fprintf(stderr, "pool: a worker has too many runs\n");
 		exit(1);
 	}
 	run = &worker->runs[worker->count++];
 	memset(run, 0, sizeof(*run));
-	snprintf(run->seen.flow, sizeof(run->seen.flow), "%s", order->id.flow);
-	run->seen.step = order->id.step;
-	run->seen.index = order->id.index;
-	run->seen.run = order->id.run;
-	run->ends =
-	    play->now + WIRE + (order->spec[0] == 'i' ? 2700 : 800) * GB_MSEC;
-	play->outside += quick_ns() - began;
+	snprintf(
+	    run->report.flow, sizeof(run->report.flow), "%s", order->id.flow);
+	run->report.step = order->id.step;
+	run->report.index = order->id.index;
+	run->report.run = order->id.run;
+	run->end_at = bench->now + ANSWER_DELAY +
+		      (order->spec[0] == 'i' ? 2700 : 800) * GB_MSEC;
+	bench->platform_ns += monotonic_ns() - began;
 }
 
 static void
 op_stop(void *data, uint64_t call, const struct gb_pool_order *order)
 {
-	event_add(data, STOP, call)->worker = worker_number(order->worker);
+	event_add(data, EVENT_STOP, call)->worker =
+	    worker_number(order->worker);
 }
 
 static void
 op_heartbeat(
     void *data, uint64_t call, const struct gb_pool_heartbeat *heartbeat)
 {
-	struct play *play = data;
-	gb_time began = quick_ns();
-	struct event *event = event_add(play, HEARTBEAT, call);
+	struct bench *bench = data;
+	gb_time began = monotonic_ns();
+	struct event *event = event_add(bench, EVENT_HEARTBEAT, call);
 
 	event->worker = worker_number(heartbeat->worker);
-	play->outside += quick_ns() - began;
+	bench->platform_ns += monotonic_ns() - began;
 }
 
 static void
 op_advise(
     void *data, uint64_t call, const char *member, const gb_advice_ask *ask)
 {
-	struct play *play = data;
-	gb_time began = quick_ns();
-	struct event *event = event_add(play, ADVISE, call);
+	struct bench *bench = data;
+	gb_time began = monotonic_ns();
+	struct event *event = event_add(bench, EVENT_ADVISE, call);
 
 	(void)member;
-	world_advise(play->tables, 60, 5 * GB_SEC, ask, &event->advice);
-	play->outside += quick_ns() - began;
+	world_advise(bench->tables, 60, 5 * GB_SEC, ask, &event->advice);
+	bench->platform_ns += monotonic_ns() - began;
 }
 
 static void
 op_txn(void *data, uint64_t call, const struct gb_pool_txn *txn)
 {
-	struct play *play = data;
-	gb_time began = quick_ns();
+	struct bench *bench = data;
+	gb_time began = monotonic_ns();
 
-	world_txn(play->tables, txn, &event_add(play, TXN, call)->txn);
-	play->outside += quick_ns() - began;
+	world_txn(bench->tables, txn, &event_add(bench, EVENT_TXN, call)->txn);
+	bench->platform_ns += monotonic_ns() - began;
 }
 
 static void
 op_read(void *data, uint64_t call, const struct gb_pool_read *read)
 {
-	struct play *play = data;
-	gb_time began = quick_ns();
+	struct bench *bench = data;
+	gb_time began = monotonic_ns();
 
-	world_read(play->tables, read, &event_add(play, READ, call)->read);
-	play->outside += quick_ns() - began;
+	world_read(
+	    bench->tables, read, &event_add(bench, EVENT_READ, call)->read);
+	bench->platform_ns += monotonic_ns() - began;
 }
 
 static void
 op_answer(void *data, uint64_t token, const gb_flow_answer *answer)
 {
-	struct play *play = data;
+	struct bench *bench = data;
 
 	(void)token;
 	if (answer->verdict == GB_FLOW_ACCEPTED)
-		play->accepted++;
+		bench->accepted++;
 	else
-		play->refused++;
+		bench->refused++;
 }
 
 static void
@@ -248,84 +268,87 @@
 
 /* Answers ----------------------------------------------------------------- */
 
-/** Ends that are due go to the end of the worker's list of runs. */
+/** Report the runs of a worker to the pool, and remove those that have ended.
+ */
 static void
-heartbeat_answer(struct play *play, const struct event *event)
+heartbeat_answer(struct bench *bench, const struct event *event)
 {
-	struct fake_worker *worker = &play->workers[event->worker];
-	struct gb_pool_run_report running[RUNS_MOST];
-	struct gb_pool_run_report ended[RUNS_MOST];
+	struct sim_worker *worker = &bench->workers[event->worker];
+	struct gb_pool_run_report running[RUNS_MAX];
+	struct gb_pool_run_report ended[RUNS_MAX];
 	struct gb_pool_report report = {0};
-	gb_time began = quick_ns();
+	gb_time began = monotonic_ns();
 	uint32_t i = 0;
 
-	report.clock_ms = play->now / GB_MSEC;
+	report.clock_ms = bench->now / GB_MSEC;
 	report.running = running;
 	report.ended = ended;
 	while (i < worker->count) {
-		struct fake_run *run = &worker->runs[i];
+		struct sim_run *run = &worker->runs[i];
 
-		if (run->ends > play->now) {
-			running[report.running_count++] = run->seen;
+		if (run->end_at > bench->now) {
+			running[report.running_count++] = run->report;
 			i++;
 			continue;
 		}
-		run->seen.outcome = GB_POOL_DONE;
-		run->seen.number = ++worker->ends;
-		ended[report.ended_count++] = run->seen;
+		run->report.outcome = GB_POOL_DONE;
+		run->report.number = ++worker->last_end;
+		ended[report.ended_count++] = run->report;
 		*run = worker->runs[--worker->count];
 	}
-	play->outside += quick_ns() - began;
-	gb_pool_heartbeat_done(play->pool, play->now, event->call, &report);
+	bench->platform_ns += monotonic_ns() - began;
+	gb_pool_heartbeat_done(bench->pool, bench->now, event->call, &report);
 }
 
 static void
-event_answer(struct play *play, struct event *event)
+event_answer(struct bench *bench, struct event *event)
 {
 	const struct gb_pool_order_res done = {
-	    .status = GB_POOL_ORDER_DONE, .clock_ms = play->now / GB_MSEC};
-	struct gb_pool *pool = play->pool;
+	    .status = GB_POOL_ORDER_DONE, .clock_ms = bench->now / GB_MSEC};
+	struct gb_pool *pool = bench->pool;
 
 	switch (event->kind) {
-	case TXN:
-		gb_pool_txn_done(pool, play->now, event->call, &event->txn);
+	case EVENT_TXN:
+		gb_pool_txn_done(pool, bench->now, event->call, &event->txn);
 		world_txn_free(&event->txn);
 		break;
-	case READ:
-		gb_pool_read_done(pool, play->now, event->call, &event->read);
+	case EVENT_READ:
+		gb_pool_read_done(pool, bench->now, event->call, &event->read);
 		world_read_free(&event->read);
 		break;
-	case START:
-		gb_pool_start_done(pool, play->now, event->call, &done);
+	case EVENT_START:
+		gb_pool_start_done(pool, bench->now, event->call, &done);
 		break;
-	case STOP:
-		gb_pool_stop_done(pool, play->now, event->call, &done);
+	case EVENT_STOP:
+		gb_pool_stop_done(pool, bench->now, event->call, &done);
 		break;
-	case HEARTBEAT:
-		heartbeat_answer(play, event);
+	case EVENT_HEARTBEAT:
+		heartbeat_answer(bench, event);
 		break;
-	case ADVISE:
+	case EVENT_ADVISE:
 		gb_pool_advise_done(
-		    pool, play->now, event->call, &event->advice);
+		    pool, bench->now, event->call, &event->advice);
 		world_advice_free(&event->advice);
 		break;
 	}
 }
 
+/** Deliver the answers that are due. */
 static void
-ring_run(struct play *play, struct ring *ring)
+ring_deliver(struct bench *bench, struct ring *ring)
 {
-	while (ring->count > 0 && ring->events[ring->first].due <= play->now) {
+	while (ring->count > 0 && ring->events[ring->first].due <= bench->now) {
 		struct event event = ring->events[ring->first];
 
 		ring->first = (ring->first + 1) % ring->size;
 		ring->count--;
-		event_answer(play, &event);
+		event_answer(bench, &event);
 	}
 }
 
-/* Play -------------------------------------------------------------------- */
+/* Measurement ------------------------------------------------------------- */
 
+/** Configuration with two queues, and with keys spread over organisations. */
 static struct gb_pool_config *
 config_make(uint32_t orgs, uint32_t keys)
 {
@@ -361,14 +384,15 @@
 	return config;
 }
 
+/** Give the pool the list of workers. */
 static void
-workers_list(struct play *play)
+workers_report(struct bench *bench)
 {
 	struct gb_pool_entry *entries =
-	    gb_calloc(play->worker_count, sizeof(*entries));
+	    gb_calloc(bench->worker_count, sizeof(*entries));
 	uint32_t i;
 
-	for (i = 0; i < play->worker_count; i++) {
+	for (i = 0; i < bench->worker_count; i++) {
 		struct gb_pool_entry *entry = &entries[i];
 
 		snprintf(entry->id, sizeof(entry->id), "w-%u", i);
@@ -380,27 +404,29 @@
 		entry->capacity.mem = 65536;
 	}
 	gb_pool_workers(
-	    play->pool, play->now, entries, play->worker_count, true);
+	    bench->pool, bench->now, entries, bench->worker_count, true);
 	free(entries);
 }
 
-/** Members ask the advice service; each is heard of now and then. */
+/** Report all members as reachable; the pool calls the advice service through
+ * them. */
 static void
-members_list(struct play *play)
+members_report(struct bench *bench)
 {
 	char member[32];
 	int i;
 
 	for (i = 0; i < MEMBERS; i++) {
 		snprintf(member, sizeof(member), "10.9.0.%d:70", i);
-		gb_pool_member(play->pool, play->now, member, true);
+		gb_pool_member(bench->pool, bench->now, member, true);
 	}
 }
 
+/** Submit a flow; its number decides its queue and its organisation. */
 static void
-flow_submit(struct play *play, uint64_t number, uint32_t orgs)
+flow_submit(struct bench *bench, uint64_t number, uint32_t orgs)
 {
-	bool import = number % IMPORT_EACH == 0;
+	bool import = number % IMPORT_PERIOD == 0;
 	gb_step step = {0};
 	gb_flow_submit submit = {0};
 	char id[32];
@@ -410,7 +436,7 @@
 
 	snprintf(id, sizeof(id), "%016" PRIx64, number * 0x9e3779b97f4a7c15);
 	snprintf(org, sizeof(org), "org-%u",
-	    number % HOT_EACH == 0 ? 0 : (uint32_t)(number % orgs));
+	    number % HOT_ORG_PERIOD == 0 ? 0 : (uint32_t)(number % orgs));
 	names[3][0] = import ? 'i' : 'l';
 	step.count = import ? IMPORT_TASKS : LOOKUP_TASKS;
 	step.res.cpu = import ? 1700 : 2500;
@@ -426,37 +452,38 @@
 	submit.flow.spec = names[3];
 	submit.flow.org = org;
 	submit.flow.max_attempts = 3;
-	submit.flow.submitted_us = play->now;
+	submit.flow.submitted_us = bench->now;
 	submit.flow.steps.steps_len = 1;
 	submit.flow.steps.steps_val = &step;
-	gb_pool_submit(play->pool, play->now, number + 1, &submit);
+	gb_pool_submit(bench->pool, bench->now, number + 1, &submit);
 }
 
-/** Let a tick pass, with the flows that come in it. */
+/** Submit the flows from first to before end, and run a tick. */
 static void
-play_step(struct play *play, uint64_t first, uint64_t end, uint32_t orgs)
+bench_tick(struct bench *bench, uint64_t first, uint64_t end, uint32_t orgs)
 {
 	gb_time began = cpu_ns();
-	gb_time outside = play->outside;
-	gb_time took;
+	gb_time platform_before_ns = bench->platform_ns;
+	gb_time tick_cpu_ns;
 
 	for (; first < end; first++)
-		flow_submit(play, first, orgs);
-	play->now += GB_POOL_TICK_US;
-	ring_run(play, &play->quick);
-	ring_run(play, &play->heartbeats);
-	gb_pool_tick(play->pool, play->now, play->now);
-	took = cpu_ns() - began - (play->outside - outside);
-	play->cpu += took;
-	if (took > play->longest)
-		play->longest = took;
+		flow_submit(bench, first, orgs);
+	bench->now += GB_POOL_TICK_US;
+	ring_deliver(bench, &bench->answers);
+	ring_deliver(bench, &bench->heartbeats);
+	gb_pool_tick(bench->pool, bench->now, bench->now);
+	tick_cpu_ns =
+	    cpu_ns() - began - (bench->platform_ns - platform_before_ns);
+	bench->cpu_ns += tick_cpu_ns;
+	if (tick_cpu_ns > bench->longest_tick_ns)
+		bench->longest_tick_ns = tick_cpu_ns;
 }
 
 static void
-play_new(struct play *play, uint32_t workers, uint32_t orgs, uint32_t keys)
+bench_setup(struct bench *bench, uint32_t workers, uint32_t orgs, uint32_t keys)
 {
 	const struct gb_pool_ops ops = {op_start, op_stop, op_heartbeat,
-	    op_advise, op_txn, op_read, op_answer, op_owner, NULL, play};
+	    op_advise, op_txn, op_read, op_answer, op_owner, NULL, bench};
 	struct gb_pool_config *config = config_make(orgs, keys);
 	struct gb_pool_settings settings = {.name = "bench",
 	    .addr = "10.0.0.1:70",
@@ -464,16 +491,17 @@
 	    .seed = 1,
 	    .limits = {6 * GB_SEC, 400 * GB_MSEC, 120 * GB_SEC, 0}};
 
-	play->now = 100 * GB_SEC;
-	play->worker_count = workers;
-	play->workers = gb_calloc(workers, sizeof(*play->workers));
-	play->tables = world_new(1);
-	play->pool = gb_pool_new(&settings, &ops, play->now);
-	gb_pool_configure(play->pool, play->now, config);
+	bench->now = 100 * GB_SEC;
+	bench->worker_count = workers;
+	bench->workers = gb_calloc(workers, sizeof(*bench->workers));
+	bench->tables = world_new(1);
+	bench->pool = gb_pool_new(&settings, &ops, bench->now);
+	gb_pool_configure(bench->pool, bench->now, config);
 	gb_pool_config_unref(config);
-	members_list(play);
-	gb_pool_take(play->pool, play->now, UINT64_MAX, TAKEOVER_SILENT_OWNER);
-	workers_list(play);
+	members_report(bench);
+	gb_pool_take(
+	    bench->pool, bench->now, UINT64_MAX, TAKEOVER_SILENT_OWNER);
+	workers_report(bench);
 }
 
 static void
@@ -485,27 +513,27 @@
 		struct event *event =
 		    &ring->events[(ring->first + i) % ring->size];
 
-		if (event->kind == TXN)
+		if (event->kind == EVENT_TXN)
 			world_txn_free(&event->txn);
-		else if (event->kind == READ)
+		else if (event->kind == EVENT_READ)
 			world_read_free(&event->read);
-		else if (event->kind == ADVISE)
+		else if (event->kind == EVENT_ADVISE)
 			world_advice_free(&event->advice);
 	}
 	free(ring->events);
 }
 
 static void
-play_free(struct play *play)
+bench_teardown(struct bench *bench)
 {
-	gb_pool_unref(play->pool);
-	ring_free(&play->quick);
-	ring_free(&play->heartbeats);
-	world_free(play->tables);
-	free(play->workers);
+	gb_pool_unref(bench->pool);
+	ring_free(&bench->answers);
+	ring_free(&bench->heartbeats);
+	world_free(bench->tables);
+	free(bench->workers);
 }
 
-/** Bytes that are allocated, also those that were mapped on their own. */
+/** Bytes that are allocated, including separately mapped blocks. */
 static size_t
 memory_used(void)
 {
@@ -514,45 +542,50 @@
 	return info.uordblks + info.hblkhd;
 }
 
+/** Run a pool and print its cost and memory. */
 static void
-bench_play(uint32_t workers, uint32_t orgs, uint32_t keys)
+measure_pool(uint32_t workers, uint32_t orgs, uint32_t keys)
 {
-	double each = GB_SEC / (STARTS_PER_WORKER * workers / STARTS_PER_FLOW);
-	struct play play = {0};
-	size_t empty = memory_used();
+	double flow_interval_us =
+	    GB_SEC / (STARTS_PER_WORKER * workers / STARTS_PER_FLOW);
+	struct bench bench = {0};
+	size_t memory_before = memory_used();
 	uint64_t starts = 0;
 	uint64_t number = 0;
 	uint64_t first;
-	double next = 0;
+	double next_flow_us = 0;
 	gb_time at;
-	size_t idle;
-
-	play_new(&play, workers, orgs, keys);
-	idle = memory_used() - empty - workers * sizeof(struct fake_worker);
-	for (at = 0; at < WARM_UP + PLAY; at += GB_POOL_TICK_US) {
-		if (at == WARM_UP) {
-			play.cpu = 0;
-			play.longest = 0;
-			starts = gb_pool_stats(play.pool)->starts;
+	size_t idle_bytes;
+
+	bench_setup(&bench, workers, orgs, keys);
+	idle_bytes =
+	    memory_used() - memory_before - workers * sizeof(struct sim_worker);
+	for (at = 0; at < WARM_UP_TIME + MEASURE_TIME; at += GB_POOL_TICK_US) {
+		if (at == WARM_UP_TIME) {
+			bench.cpu_ns = 0;
+			bench.longest_tick_ns = 0;
+			starts = gb_pool_stats(bench.pool)->starts;
 		}
-		if (at % MEMBERS_EACH == 0)
-			members_list(&play);
-		for (first = number; at >= GB_SEC && next <= (double)at;
-		     next += each)
+		if (at % MEMBERS_INTERVAL == 0)
+			members_report(&bench);
+		for (first = number; at >= GB_SEC && next_flow_us <= (double)at;
+		     next_flow_us += flow_interval_us)
 			number++;
-		next = next < (double)at ? (double)at : next;
-		play_step(&play, first, number, orgs);
+		next_flow_us =
+		    next_flow_us < (double)at ? (double)at : next_flow_us;
+		bench_tick(&bench, first, number, orgs);
 	}
-	starts = gb_pool_stats(play.pool)->starts - starts;
+	starts = gb_pool_stats(bench.pool)->starts - starts;
 	printf("pool workers=%u orgs=%u keys=%u starts_per_s=%.0f "
 	       "us_per_start=%.1f core=%.3f longest_tick_ms=%.1f "
 	       "accepted=%" PRIu64 " refused=%" PRIu64 " idle_kb=%zu\n",
-	    workers, orgs, keys, (double)starts * GB_SEC / PLAY,
-	    (double)play.cpu / 1000 / (double)(starts + 1),
-	    (double)play.cpu / 1000 / PLAY, (double)play.longest / 1e6,
-	    play.accepted, play.refused, idle / 1024);
+	    workers, orgs, keys, (double)starts * GB_SEC / MEASURE_TIME,
+	    (double)bench.cpu_ns / 1000 / (double)(starts + 1),
+	    (double)bench.cpu_ns / 1000 / MEASURE_TIME,
+	    (double)bench.longest_tick_ns / 1e6, bench.accepted, bench.refused,
+	    idle_bytes / 1024);
 	fflush(stdout);
-	play_free(&play);
+	bench_teardown(&bench);
 }
 
 int
@@ -565,9 +598,9 @@
 
 	argp_parse(&argp, argc, argv, 0, NULL, NULL);
 	for (i = 0; i < sizeof(workers) / sizeof(workers[0]); i++) {
-		bench_play(workers[i], 1, 1);
-		bench_play(workers[i], 20, 40);
-		bench_play(workers[i], 140, 10000);
+		measure_pool(workers[i], 1, 1);
+		measure_pool(workers[i], 20, 40);
+		measure_pool(workers[i], 140, 10000);
 	}
 	return 0;
 }
