--- a/bench/decide.c
+++ b/bench/decide.c
@@ -55,6 +55,7 @@
 
 #define NEED_COUNT (sizeof(needs) / sizeof(needs[0]))
 
+/** Capacity of a worker; every second one has accelerators. */
 static void
 worker_capacity(uint32_t worker, gb_res *out)
 {
@@ -104,7 +105,7 @@
 			placed[count].worker = w;
 			placed[count++].need = *need;
 		}
-		/* Not measured while the workers have fewer tasks. */
+		/* Not measured while the workers have fewer than 8 tasks. */
 		if (w != GB_NONE && count < (size_t)workers * 8)
 			continue;
 		decision_ns[n++] = elapsed_ns;
--- a/bench/load.c
+++ b/bench/load.c
@@ -20,6 +20,7 @@
 
 #define ENTRIES_MAX 64
 #define BODY_SIZE 512 /* bytes, with the final NUL */
+/** Latencies that are kept for the quantiles. */
 #define LATENCIES_MAX 1000000
 /** Interval of the health checks of an entry. */
 #define HEALTH_INTERVAL (100 * GB_MSEC)
@@ -51,7 +52,7 @@
 	gb_time started;
 	gb_time retry_at; /**< time of the next try; 0: in flight */
 	unsigned int tries;
-	unsigned int entry;
+	unsigned int entry;	 /**< number of the entry it is sent to */
 	bool done;		 /**< has its final answer, or was given up */
 	bool accepted;		 /**< job that was accepted */
 	bool ended;		 /**< job that has ended */
--- a/tests/cells.c
+++ b/tests/cells.c
@@ -126,7 +126,7 @@
 	c->inject(c, core, worker);
 }
 
-/** Point of the fault matrix that a transaction stands for. */
+/** Point of the fault matrix that a transaction reaches, by its keys. */
 static enum fault_point
 txn_point(const gb_txn *txn)
 {
@@ -394,9 +394,9 @@
 	message_free(m);
 }
 
-/** Job that a caller submitted: the parent of a lent job, else the job. */
+/** Job as it was submitted: the parent of a lent job, else the job itself. */
 static uint64_t
-job_parent(const struct cells *c, uint64_t id)
+job_origin(const struct cells *c, uint64_t id)
 {
 	unsigned int i;
 
@@ -413,7 +413,7 @@
 {
 	if (lend->kind != GB_LEND_OFFER ||
 	    c->lent_job_count == 4 * TRACKED_MAX ||
-	    job_parent(c, lend->child) != lend->child)
+	    job_origin(c, lend->child) != lend->child)
 		return;
 	c->lent_jobs[c->lent_job_count].id = lend->child;
 	c->lent_jobs[c->lent_job_count].parent = lend->parent;
@@ -422,7 +422,7 @@
 
 /* Actions of cores */
 
-/** Record that an answer's id names, or null. */
+/** Record with the id that an answer carries, or null. */
 static struct tracked *
 tracked_find(struct cells *c, uint64_t id)
 {
@@ -435,6 +435,7 @@
 	return (uint32_t)atoi(addr + 2);
 }
 
+/** Record the answer to a caller, and check it. */
 static void
 answer_check(struct cells *c, struct tracked *t, const gb_answer *answer)
 {
@@ -562,7 +563,7 @@
 	for (i = 0; i < c->tracked_count; i++) {
 		struct tracked *t = &c->tracked[i];
 
-		if (!t->job || t->cancel || t->job_id != job_parent(c, id->job))
+		if (!t->job || t->cancel || t->job_id != job_origin(c, id->job))
 			continue;
 		t->starts++;
 		if (!t->idempotent && t->starts > t->tasks)
@@ -596,6 +597,7 @@
 	}
 }
 
+/** Check what a worker has begun or ended. */
 static void
 ledger_event(void *data, enum worker_event event, const gb_task_id *id,
     const gb_exec *exec)
@@ -819,6 +821,7 @@
 	}
 }
 
+/** Advance the clock by a step, run all nodes, and check the invariants. */
 static void
 cells_step(struct cells *c)
 {
--- a/tests/cells.h
+++ b/tests/cells.h
@@ -1,8 +1,9 @@
 /**
  * @file cells.h
  * A simulated cell: several real scheduler cores on models of the table
- * service, the workers and the network, under a virtual clock.  An oracle
- * checks the invariants of the scheduler after every step of the clock.
+ * service, the workers and the network, under a virtual clock.  It has two data
+ * centres, a and b, with one shard each.  An oracle checks the invariants of
+ * the scheduler after every step of the clock.
  */
 #ifndef CELLS_H
 #define CELLS_H
@@ -117,9 +118,9 @@
 	unsigned int start_count;
 	struct lent_job lent_jobs[4 * TRACKED_MAX];
 	unsigned int lent_job_count;
-	uint64_t in_force;   /**< newest version that was answered as in force
-				in every core */
-	unsigned int names;  /**< number in the last name that was made */
+	uint64_t in_force;   /**< newest version of the document that a core
+				answered to be in force in the whole cell */
+	unsigned int names;  /**< number in the last generated name */
 	char violation[256]; /**< first violation of an invariant; empty: none
 			      */
 	/* Fault matrix: the fault is injected once, at the first time that the
@@ -137,16 +138,16 @@
  * caller was answered and that every accepted job has ended. */
 void cells_finish(struct cells *);
 
-/** Submit a job of one of six kinds: idempotent batch, batch that isn't
- * idempotent, gang, batch that only data centre b may run, long batch, slow
- * gang. */
+/** Submit a job of a kind: 0 idempotent batch, 1 batch that isn't idempotent, 2
+ * gang, 3 batch that only data centre b may run, and the services "long" (4)
+ * and "slow" (5), whose documents a test has to apply. */
 void cells_submit(
     struct cells *, uint32_t core, unsigned int kind, uint32_t tasks);
-/** Cancel the n-th job from the last that was submitted, which is 0. */
+/** Cancel a job, counted back from the job that was submitted last (0). */
 void cells_cancel(struct cells *, unsigned int n);
 /** Send a request: 0 idempotent, 1 not idempotent, 2 with a key. */
 void cells_request(struct cells *, uint32_t core, unsigned int kind);
-/** Repeat the n-th answered request with a key from the last, which is 0. */
+/** Repeat an answered request with a key, counted back from the last (0). */
 void cells_repeat(struct cells *, uint32_t core, unsigned int n);
 /** Submit the version of the document that follows the one the core has. */
 void cells_apply(struct cells *, uint32_t core);
@@ -161,7 +162,10 @@
 /** Drop all messages in one direction, or stop doing so.  Nodes are numbered:
  * cores, workers, table service. */
 void cells_cut(struct cells *, uint32_t from, uint32_t to, bool);
+/** Replace a worker by a new incarnation, which runs nothing. */
 void cells_worker_restart(struct cells *, uint32_t worker);
+/** Set a worker's state in the list of instances.  One that is gone has ended
+ * with all its tasks and doesn't return. */
 void cells_worker_state(struct cells *, uint32_t worker, gb_instance_state);
 /** Whether a core that runs owns the shard. */
 bool cells_owned(const struct cells *, uint32_t shard);
--- a/tests/fuzz_cells.h
+++ b/tests/fuzz_cells.h
@@ -10,8 +10,8 @@
 
 struct cells;
 
-/** Run the cell until its shards have owners, and apply the documents that the
- * jobs and requests of cells.h name. */
+/** Run the cell until its shards have owners, and apply the documents of the
+ * requests and of the first four kinds of jobs of cells.h. */
 void fuzz_cells_documents(struct cells *);
 /** Apply a document of the team of the tests; rest are its JSON members after
  * team and service. */
--- a/tests/test_cells.c
+++ b/tests/test_cells.c
@@ -1,9 +1,9 @@
 /**
  * @file test_cells.c
- * Guards against a scheduler that loses, repeats or wrongly refuses work when
- * one thing fails: a cut link, a lost answer, a table service that is
- * unavailable, a process that stops.  Each test causes one such failure in a
- * simulated cell (cells.h).
+ * Guards against a scheduler that loses, repeats or wrongly refuses work after
+ * a single event: a cut link, an unavailable table service, processes that end
+ * or pause, a drain, changes at the same time.  Each test causes one such event
+ * in a simulated cell (cells.h).
  */
 #include <setjmp.h>
 #include <stdarg.h>
