--- a/tests/cell.sh
+++ b/tests/cell.sh
@@ -1,5 +1,5 @@
 # Starts a cell of real processes on loopback: the table service, workers,
-# schedulers and entries.  Sourced by the demo and by tests.  PIDS holds the ids
+# schedulers and entries.  Sourced by the demo and by tests.  PIDS has the ids
 # of all processes that were started; cell_stop ends them.
 BUILD=${BUILD:-build}
 CELL=$(mktemp -d)
