--- a/bench/decide.c
+++ b/bench/decide.c
@@ -208,7 +208,7 @@
 {
 	struct gb_action action;
 
-	while (gb_core_next(b->core, &action)) {
+	while (gb_core_next_action(b->core, &action)) {
 		bench_action_execute(b, &action);
 		gb_action_clear(&action);
 	}
--- a/bench/pool.c
+++ b/bench/pool.c
@@ -359,7 +359,7 @@
 	uint32_t j;
 
 	config->version = 1;
-	gb_pool_config_orgs(config, orgs);
+	gb_pool_config_orgs_alloc(config, orgs);
 	for (i = 0; i < orgs; i++) {
 		snprintf(org.name, sizeof(org.name), "org-%u", i);
 		gb_pool_config_org_add(config, &org);
@@ -375,8 +375,8 @@
 		    i == 0 ? "lookup" : "import");
 		snprintf(queue->service, sizeof(queue->service), "svc");
 		queue->max_attempts = 3;
-		queue->stretch = i == 0 ? 1.5 : 4.0;
-		queue->target_us = (i == 0 ? 300 : 3000) * GB_MSEC;
+		queue->objective_factor = i == 0 ? 1.5 : 4.0;
+		queue->objective_base_us = (i == 0 ? 300 : 3000) * GB_MSEC;
 		queue->advice.needed = true;
 		queue->advice.valid_us = 5 * GB_SEC;
 	}
@@ -403,7 +403,7 @@
 		entry->capacity.cpu = 16000;
 		entry->capacity.mem = 65536;
 	}
-	gb_pool_workers(
+	gb_pool_workers_update(
 	    bench->pool, bench->now, entries, bench->worker_count, true);
 	free(entries);
 }
@@ -418,7 +418,7 @@
 
 	for (i = 0; i < MEMBERS; i++) {
 		snprintf(member, sizeof(member), "10.9.0.%d:70", i);
-		gb_pool_member(bench->pool, bench->now, member, true);
+		gb_pool_member_update(bench->pool, bench->now, member, true);
 	}
 }
 
@@ -499,7 +499,7 @@
 	gb_pool_configure(bench->pool, bench->now, config);
 	gb_pool_config_unref(config);
 	members_report(bench);
-	gb_pool_take(
+	gb_pool_acquire(
 	    bench->pool, bench->now, UINT64_MAX, TAKEOVER_SILENT_OWNER);
 	workers_report(bench);
 }
--- a/libgooseberry/connection/http.c
+++ b/libgooseberry/connection/http.c
@@ -148,7 +148,7 @@
 }
 
 void
-http_server_count(struct http_server *server, struct gb_link *link)
+http_server_set_link(struct http_server *server, struct gb_link *link)
 {
 	server->link = link;
 }
@@ -216,7 +216,8 @@
 }
 
 void
-http_call_add(struct http_call *call, const char *name, const char *value)
+http_call_add_header(
+    struct http_call *call, const char *name, const char *value)
 {
 	h2o_req_t *req = call->req;
 
@@ -262,9 +263,9 @@
 		req->res.reason = status_reason(status);
 		if (call->server->leaving)
 			req->http1_is_persistent = 0;
-		http_call_add(call, "content-type", type);
+		http_call_add_header(call, "content-type", type);
 		h2o_send_inline(req, body, len);
-		gb_link_out(call->server->link, gb_clock_boot(),
+		gb_link_count_sent(call->server->link, gb_clock_boot(),
 		    GB_TRAFFIC_CALLER, HTTP_HEAD_BYTES + len);
 	}
 	free(call);
--- a/libgooseberry/connection/http.h
+++ b/libgooseberry/connection/http.h
@@ -29,7 +29,7 @@
     size_t body_limit, http_handler, void *, struct gb_error *);
 int http_server_port(const struct http_server *);
 /** Count the bytes of answers in a link, as traffic to callers. */
-void http_server_count(struct http_server *, struct gb_link *);
+void http_server_set_link(struct http_server *, struct gb_link *);
 /** Close each connection after its next answer.  New connections are accepted
  * until the balancer knows that this instance is leaving. */
 void http_server_leave(struct http_server *);
@@ -44,7 +44,8 @@
 /** Copy the host of the request, without the port. */
 void http_call_host(const struct http_call *, char *out, size_t size);
 /** Add a header to the answer. */
-void http_call_add(struct http_call *, const char *name, const char *value);
+void http_call_add_header(
+    struct http_call *, const char *name, const char *value);
 /** Send the answer and end the call. */
 void http_call_answer(struct http_call *, unsigned int status, const char *type,
     const char *body, size_t len);
--- a/libgooseberry/connection/rpc_client.c
+++ b/libgooseberry/connection/rpc_client.c
@@ -145,8 +145,8 @@
 	HASH_FIND(hh, client->pending, &xid, sizeof(xid), call);
 	if (call == NULL)
 		return true;
-	gb_link_in(gb_env_link(client->env), GB_TRAFFIC_RPC + call->proc,
-	    len + RPC_MARK_LEN);
+	gb_link_count_received(gb_env_link(client->env),
+	    GB_TRAFFIC_RPC + call->proc, len + RPC_MARK_LEN);
 	method = &gb_rpc_methods[call->proc];
 	res = gb_calloc(1, method->res_size);
 	memset(&msg, 0, sizeof(msg));
@@ -211,7 +211,7 @@
 	call->written = gb_clock_boot();
 	rpc_stream_write((uv_stream_t *)&client->conn->tcp, &msg,
 	    (xdrproc_t)raw_code, &call->arg, &client->bytes);
-	gb_link_out(gb_env_link(client->env), call->written,
+	gb_link_count_sent(gb_env_link(client->env), call->written,
 	    GB_TRAFFIC_RPC + call->proc, client->bytes - before);
 	free(call->arg.gb_body_val);
 	call->arg.gb_body_val = NULL;
--- a/libgooseberry/connection/rpc_method.c
+++ b/libgooseberry/connection/rpc_method.c
@@ -36,6 +36,6 @@
     [GB_PROC_HELLO] = {GB_PROC_HELLO, "hello", (xdrproc_t)xdr_gb_hello,
 	sizeof(gb_hello), (xdrproc_t)hello_res_code, sizeof(gb_hello_res)},
     METHOD(GB_PROC_ADVISE, "advise", gb_advice_ask, gb_advice_res),
-    METHOD(GB_PROC_SUCCEED, "succeed", gb_succeed, gb_succeed_res),
-    METHOD(GB_PROC_CONFIG, "config", gb_config_news, gb_config_news_res),
+    METHOD(GB_PROC_SUCCEED, "succeed", gb_takeover_request, gb_takeover_res),
+    METHOD(GB_PROC_CONFIG, "config", gb_config_push, gb_config_push_res),
 };
--- a/libgooseberry/connection/rpc_server.c
+++ b/libgooseberry/connection/rpc_server.c
@@ -108,7 +108,7 @@
 	if (!rpc_stream_write((uv_stream_t *)&conn->tcp, &msg, NULL, NULL,
 		&conn->server->bytes))
 		connection_close(conn);
-	gb_link_out(gb_env_link(conn->server->env), gb_clock_boot(),
+	gb_link_count_sent(gb_env_link(conn->server->env), gb_clock_boot(),
 	    GB_TRAFFIC_RPC + number, conn->server->bytes - before);
 }
 
@@ -164,7 +164,7 @@
 		   msg.rm_call.cb_proc >= GB_PROCS) {
 		reply_send(conn, msg.rm_xid, 0, PROC_UNAVAIL, empty_code, NULL);
 	} else {
-		gb_link_in(gb_env_link(conn->server->env),
+		gb_link_count_received(gb_env_link(conn->server->env),
 		    GB_TRAFFIC_RPC + (unsigned int)msg.rm_call.cb_proc,
 		    len + RPC_MARK_LEN);
 		call_serve(
--- a/libgooseberry/gen/proto.c
+++ b/libgooseberry/gen/proto.c
@@ -291,7 +291,7 @@
 }
 
 bool_t
-xdr_gb_held_state (XDR *xdrs, gb_held_state *objp)
+xdr_gb_worker_task_state (XDR *xdrs, gb_worker_task_state *objp)
 {
 	register int32_t *buf;
 
@@ -301,13 +301,13 @@
 }
 
 bool_t
-xdr_gb_held (XDR *xdrs, gb_held *objp)
+xdr_gb_worker_task (XDR *xdrs, gb_worker_task *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_gb_task_id (xdrs, &objp->id))
 		 return FALSE;
-	 if (!xdr_gb_held_state (xdrs, &objp->state))
+	 if (!xdr_gb_worker_task_state (xdrs, &objp->state))
 		 return FALSE;
 	 if (!xdr_uint64_t (xdrs, &objp->vers))
 		 return FALSE;
@@ -370,7 +370,7 @@
 		sizeof (uint64_t), (xdrproc_t) xdr_uint64_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->held.held_val, (u_int *) &objp->held.held_len, ~0,
-		sizeof (gb_held), (xdrproc_t) xdr_gb_held))
+		sizeof (gb_worker_task), (xdrproc_t) xdr_gb_worker_task))
 		 return FALSE;
 	return TRUE;
 }
@@ -697,7 +697,7 @@
 		 if (!xdr_uint64_t (xdrs, &objp->gb_record_u.cancel))
 			 return FALSE;
 		break;
-	case GB_REC_FORGET:
+	case GB_REC_JOB_REMOVED:
 		 if (!xdr_uint64_t (xdrs, &objp->gb_record_u.forget))
 			 return FALSE;
 		break;
@@ -721,7 +721,7 @@
 		 if (!xdr_gb_loan (xdrs, &objp->gb_record_u.lend))
 			 return FALSE;
 		break;
-	case GB_REC_UNLEND:
+	case GB_REC_LOAN_ENDED:
 		 if (!xdr_gb_loan (xdrs, &objp->gb_record_u.unlend))
 			 return FALSE;
 		break;
@@ -1355,7 +1355,7 @@
 }
 
 bool_t
-xdr_gb_succeed (XDR *xdrs, gb_succeed *objp)
+xdr_gb_takeover_request (XDR *xdrs, gb_takeover_request *objp)
 {
 	register int32_t *buf;
 
@@ -1367,7 +1367,7 @@
 }
 
 bool_t
-xdr_gb_succeed_res (XDR *xdrs, gb_succeed_res *objp)
+xdr_gb_takeover_res (XDR *xdrs, gb_takeover_res *objp)
 {
 	register int32_t *buf;
 
@@ -1377,7 +1377,7 @@
 }
 
 bool_t
-xdr_gb_config_news (XDR *xdrs, gb_config_news *objp)
+xdr_gb_config_push (XDR *xdrs, gb_config_push *objp)
 {
 	register int32_t *buf;
 
@@ -1387,7 +1387,7 @@
 }
 
 bool_t
-xdr_gb_config_news_res (XDR *xdrs, gb_config_news_res *objp)
+xdr_gb_config_push_res (XDR *xdrs, gb_config_push_res *objp)
 {
 	register int32_t *buf;
 
--- a/libgooseberry/gen/proto.h
+++ b/libgooseberry/gen/proto.h
@@ -149,23 +149,23 @@
 };
 typedef struct gb_start gb_start;
 
-enum gb_held_state {
-	GB_HELD_RUNNING = 0,
-	GB_HELD_OK = 1,
-	GB_HELD_FAILED = 2,
-	GB_HELD_STOPPED = 3,
-	GB_HELD_REFUSED = 4,
+enum gb_worker_task_state {
+	GB_WORKER_TASK_RUNNING = 0,
+	GB_WORKER_TASK_OK = 1,
+	GB_WORKER_TASK_FAILED = 2,
+	GB_WORKER_TASK_STOPPED = 3,
+	GB_WORKER_TASK_REFUSED = 4,
 };
-typedef enum gb_held_state gb_held_state;
+typedef enum gb_worker_task_state gb_worker_task_state;
 
-struct gb_held {
+struct gb_worker_task {
 	gb_task_id id;
-	gb_held_state state;
+	gb_worker_task_state state;
 	uint64_t vers;
 	gb_res res;
 	gb_res used;
 };
-typedef struct gb_held gb_held;
+typedef struct gb_worker_task gb_worker_task;
 
 struct gb_sync {
 	uint32_t shard;
@@ -203,7 +203,7 @@
 	} own;
 	struct {
 		u_int held_len;
-		gb_held *held_val;
+		gb_worker_task *held_val;
 	} held;
 };
 typedef struct gb_sync_res gb_sync_res;
@@ -353,9 +353,9 @@
 
 enum gb_lend_kind {
 	GB_LEND_OFFER = 1,
-	GB_LEND_TAKEN = 2,
+	GB_LEND_ACCEPTED = 2,
 	GB_LEND_RESULT = 3,
-	GB_LEND_SETTLED = 4,
+	GB_LEND_RESULT_STORED = 4,
 	GB_LEND_CANCEL = 5,
 };
 typedef enum gb_lend_kind gb_lend_kind;
@@ -382,9 +382,9 @@
 	GB_REC_END = 4,
 	GB_REC_WORKER = 5,
 	GB_REC_WORKER_GONE = 6,
-	GB_REC_FORGET = 7,
+	GB_REC_JOB_REMOVED = 7,
 	GB_REC_LEND = 8,
-	GB_REC_UNLEND = 9,
+	GB_REC_LOAN_ENDED = 9,
 };
 typedef enum gb_record_type gb_record_type;
 
@@ -642,7 +642,7 @@
 	GB_FLOW_REFUSED = 1,
 	GB_FLOW_MAYBE = 2,
 	GB_FLOW_NOT_OWNER = 3,
-	GB_FLOW_BEHIND = 4,
+	GB_FLOW_CONFIG_OLDER = 4,
 	GB_FLOW_CANT_STORE = 5,
 	GB_FLOW_DENIED = 6,
 };
@@ -723,26 +723,26 @@
 };
 typedef struct gb_hello_res gb_hello_res;
 
-struct gb_succeed {
+struct gb_takeover_request {
 	gb_name owner;
 	uint64_t epoch;
 };
-typedef struct gb_succeed gb_succeed;
+typedef struct gb_takeover_request gb_takeover_request;
 
-struct gb_succeed_res {
+struct gb_takeover_res {
 	bool_t begun;
 };
-typedef struct gb_succeed_res gb_succeed_res;
+typedef struct gb_takeover_res gb_takeover_res;
 
-struct gb_config_news {
+struct gb_config_push {
 	gb_body text;
 };
-typedef struct gb_config_news gb_config_news;
+typedef struct gb_config_push gb_config_push;
 
-struct gb_config_news_res {
+struct gb_config_push_res {
 	uint64_t config;
 };
-typedef struct gb_config_news_res gb_config_news_res;
+typedef struct gb_config_push_res gb_config_push_res;
 
 struct gb_advice_ask {
 	gb_name step;
@@ -797,8 +797,8 @@
 extern  bool_t xdr_gb_instance_list (XDR *, gb_instance_list*);
 extern  bool_t xdr_gb_task_id (XDR *, gb_task_id*);
 extern  bool_t xdr_gb_start (XDR *, gb_start*);
-extern  bool_t xdr_gb_held_state (XDR *, gb_held_state*);
-extern  bool_t xdr_gb_held (XDR *, gb_held*);
+extern  bool_t xdr_gb_worker_task_state (XDR *, gb_worker_task_state*);
+extern  bool_t xdr_gb_worker_task (XDR *, gb_worker_task*);
 extern  bool_t xdr_gb_sync (XDR *, gb_sync*);
 extern  bool_t xdr_gb_sync_res (XDR *, gb_sync_res*);
 extern  bool_t xdr_gb_exec (XDR *, gb_exec*);
@@ -845,10 +845,10 @@
 extern  bool_t xdr_gb_flow_answer (XDR *, gb_flow_answer*);
 extern  bool_t xdr_gb_hello (XDR *, gb_hello*);
 extern  bool_t xdr_gb_hello_res (XDR *, gb_hello_res*);
-extern  bool_t xdr_gb_succeed (XDR *, gb_succeed*);
-extern  bool_t xdr_gb_succeed_res (XDR *, gb_succeed_res*);
-extern  bool_t xdr_gb_config_news (XDR *, gb_config_news*);
-extern  bool_t xdr_gb_config_news_res (XDR *, gb_config_news_res*);
+extern  bool_t xdr_gb_takeover_request (XDR *, gb_takeover_request*);
+extern  bool_t xdr_gb_takeover_res (XDR *, gb_takeover_res*);
+extern  bool_t xdr_gb_config_push (XDR *, gb_config_push*);
+extern  bool_t xdr_gb_config_push_res (XDR *, gb_config_push_res*);
 extern  bool_t xdr_gb_advice_ask (XDR *, gb_advice_ask*);
 extern  bool_t xdr_gb_ticket (XDR *, gb_ticket*);
 extern  bool_t xdr_gb_advice_status (XDR *, gb_advice_status*);
@@ -873,8 +873,8 @@
 extern bool_t xdr_gb_instance_list ();
 extern bool_t xdr_gb_task_id ();
 extern bool_t xdr_gb_start ();
-extern bool_t xdr_gb_held_state ();
-extern bool_t xdr_gb_held ();
+extern bool_t xdr_gb_worker_task_state ();
+extern bool_t xdr_gb_worker_task ();
 extern bool_t xdr_gb_sync ();
 extern bool_t xdr_gb_sync_res ();
 extern bool_t xdr_gb_exec ();
@@ -921,10 +921,10 @@
 extern bool_t xdr_gb_flow_answer ();
 extern bool_t xdr_gb_hello ();
 extern bool_t xdr_gb_hello_res ();
-extern bool_t xdr_gb_succeed ();
-extern bool_t xdr_gb_succeed_res ();
-extern bool_t xdr_gb_config_news ();
-extern bool_t xdr_gb_config_news_res ();
+extern bool_t xdr_gb_takeover_request ();
+extern bool_t xdr_gb_takeover_res ();
+extern bool_t xdr_gb_config_push ();
+extern bool_t xdr_gb_config_push_res ();
 extern bool_t xdr_gb_advice_ask ();
 extern bool_t xdr_gb_ticket ();
 extern bool_t xdr_gb_advice_status ();
--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -114,17 +114,17 @@
 	uint64_t vers;		/* of the document */
 };
 
-enum gb_held_state {
-	GB_HELD_RUNNING = 0,
-	GB_HELD_OK = 1,
-	GB_HELD_FAILED = 2,
-	GB_HELD_STOPPED = 3,	/* by a stop message or an expired lease */
-	GB_HELD_REFUSED = 4	/* was never started */
+enum gb_worker_task_state {
+	GB_WORKER_TASK_RUNNING = 0,
+	GB_WORKER_TASK_OK = 1,
+	GB_WORKER_TASK_FAILED = 2,
+	GB_WORKER_TASK_STOPPED = 3,	/* by a stop message or an expired lease */
+	GB_WORKER_TASK_REFUSED = 4	/* was never started */
 };
 
-struct gb_held {
+struct gb_worker_task {
 	gb_task_id id;
-	gb_held_state state;
+	gb_worker_task_state state;
 	uint64_t vers;		/* of the document that it was started with */
 	gb_res res;		/* declared */
 	gb_res used;		/* observed, with a delay */
@@ -151,7 +151,7 @@
 	int64_t clock;		/* of the worker, counts suspended time */
 	uint32_t requests; /* number of requests in flight from other owners */
 	uint64_t own<>;	/* ids of the requests in flight from this owner */
-	gb_held held<>;
+	gb_worker_task held<>;
 };
 
 struct gb_exec {
@@ -287,9 +287,9 @@
 
 enum gb_lend_kind {
 	GB_LEND_OFFER = 1,	/* from the home shard: offers tasks */
-	GB_LEND_TAKEN = 2,	/* from the other shard: they are in its log */
+	GB_LEND_ACCEPTED = 2,	/* from the other shard: they are in its log */
 	GB_LEND_RESULT = 3,	/* from the other shard: they have ended */
-	GB_LEND_SETTLED = 4, /* from the home shard: the result is in its log */
+	GB_LEND_RESULT_STORED = 4, /* from the home shard: the result is in its log */
 	GB_LEND_CANCEL = 5	/* from the home shard: stop them */
 };
 
@@ -311,9 +311,9 @@
 	GB_REC_END = 4,
 	GB_REC_WORKER = 5,
 	GB_REC_WORKER_GONE = 6,
-	GB_REC_FORGET = 7,
+	GB_REC_JOB_REMOVED = 7,
 	GB_REC_LEND = 8,
-	GB_REC_UNLEND = 9
+	GB_REC_LOAN_ENDED = 9
 };
 
 struct gb_rec_task {
@@ -328,7 +328,7 @@
 	gb_job_spec job;
 case GB_REC_CANCEL:
 	uint64_t cancel;
-case GB_REC_FORGET:
+case GB_REC_JOB_REMOVED:
 	uint64_t forget;
 case GB_REC_START:
 	gb_rec_task start;
@@ -340,7 +340,7 @@
 	gb_name gone;
 case GB_REC_LEND:
 	gb_loan lend;
-case GB_REC_UNLEND:
+case GB_REC_LOAN_ENDED:
 	gb_loan unlend;
 };
 
@@ -541,7 +541,7 @@
 	GB_FLOW_REFUSED = 1,	/* never runs */
 	GB_FLOW_MAYBE = 2,	/* may have been accepted */
 	GB_FLOW_NOT_OWNER = 3,	/* ask another node; nothing was done */
-	GB_FLOW_BEHIND = 4, /* the answering node has an older configuration */
+	GB_FLOW_CONFIG_OLDER = 4, /* the answering node has an older configuration */
 	GB_FLOW_CANT_STORE = 5,	/* not accepted: the store refuses this owner */
 	GB_FLOW_DENIED = 6	/* unknown key of the caller; never runs */
 };
@@ -619,21 +619,21 @@
 };
 
 /* Request of the owner to a member to take over the pool. */
-struct gb_succeed {
+struct gb_takeover_request {
 	gb_name owner;		/* address of the owner */
 	uint64_t epoch;		/* of that owner */
 };
 
-struct gb_succeed_res {
+struct gb_takeover_res {
 	bool begun;		/* the member has begun to take over the pool */
 };
 
 /* Sent by a member to the owner when the member's configuration is newer. */
-struct gb_config_news {
+struct gb_config_push {
 	gb_body text;
 };
 
-struct gb_config_news_res {
+struct gb_config_push_res {
 	uint64_t config;	/* version that the owner has now */
 };
 
--- a/libgooseberry/gooseberry.h
+++ b/libgooseberry/gooseberry.h
@@ -35,7 +35,7 @@
 	GB_E_MISSING,  /**< the object does not exist */
 	GB_E_DENIED,   /**< the caller is not permitted to do this */
 	GB_E_BUSY,     /**< no free capacity now; retry later */
-	GB_E_LATE,     /**< the deadline has passed */
+	GB_E_DEADLINE, /**< the deadline has passed */
 	GB_E_IO,       /**< a connection failed */
 	GB_E_MEMORY    /**< out of memory */
 };
@@ -196,7 +196,7 @@
 /** A scorer rates a worker for a task; the lowest score wins. */
 struct gb_scorer {
 	const char *name;
-	bool roomiest_first; /**< candidates with most free capacity first */
+	bool most_free_first; /**< candidates with most free capacity first */
 	int64_t (*score)(const gb_res *free, const gb_res *capacity,
 	    const gb_res *need, uint32_t same_rack);
 };
@@ -340,12 +340,12 @@
 void gb_core_leave(struct gb_core *, gb_time now);
 
 /** Take the next action; false when there is none. */
-bool gb_core_next(struct gb_core *, struct gb_action *);
+bool gb_core_next_action(struct gb_core *, struct gb_action *);
 void gb_action_clear(struct gb_action *);
 
 /** Set the offset from a core's time to the wall clock, for timestamps in
  * records. */
-void gb_core_set_wall(struct gb_core *, gb_time wall_minus_now);
+void gb_core_set_wall_offset(struct gb_core *, gb_time wall_minus_now);
 
 /* State of a core for tests, metrics and status pages */
 
@@ -592,16 +592,16 @@
 /** Counts the traffic of this process.  Bandwidth 0: unlimited. */
 struct gb_link *gb_link_new(uint64_t bytes_per_s);
 /** Count a message that is sent; nothing is done when the link is null. */
-void gb_link_out(
+void gb_link_count_sent(
     struct gb_link *, gb_time now, unsigned int kind, size_t bytes);
 /** Count bytes received; nothing is done when the link is null. */
-void gb_link_in(struct gb_link *, unsigned int kind, size_t bytes);
+void gb_link_count_received(struct gb_link *, unsigned int kind, size_t bytes);
 /** Bandwidth in bytes a second, 0: unlimited. */
 uint64_t gb_link_rate(const struct gb_link *);
 /** Time until the link has sent what was counted so far, at its bandwidth. */
-gb_time gb_link_queued(const struct gb_link *, gb_time now);
+gb_time gb_link_backlog(const struct gb_link *, gb_time now);
 /** Fraction of the bandwidth in use, averaged over about a second. */
-double gb_link_use(const struct gb_link *);
+double gb_link_utilisation(const struct gb_link *);
 const struct gb_traffic *gb_link_traffic(
     const struct gb_link *, unsigned int kind);
 const char *gb_traffic_name(unsigned int kind);
@@ -651,10 +651,10 @@
  * xdr_free if this succeeds. */
 bool gb_xdr_decode(xdrproc_t, const gb_body *, void *);
 /** Decode a row that may lack the last fields of its type, as older programs
- * wrote it.  At most missing_most XDR units may be missing; they read as zero
+ * wrote it.  At most missing_max XDR units may be missing; they read as zero
  * or empty. */
-bool gb_xdr_decode_older(xdrproc_t, const gb_body *row, void *out, size_t,
-    unsigned int missing_most);
+bool gb_xdr_decode_older(
+    xdrproc_t, const gb_body *row, void *out, size_t, unsigned int missing_max);
 /** Deep copy of a message. */
 bool gb_xdr_copy(xdrproc_t, const void *from, void *to, size_t size);
 
@@ -715,9 +715,9 @@
     uint32_t shards_per_dc, uint64_t seed);
 void gb_route_free(struct gb_route *);
 /** Apply a scheduler's view; older epochs never replace newer ones. */
-void gb_route_view(struct gb_route *, gb_time now, const gb_view *);
+void gb_route_apply_view(struct gb_route *, gb_time now, const gb_view *);
 /** Number of shards. */
-uint32_t gb_route_shards(const struct gb_route *);
+uint32_t gb_route_shard_count(const struct gb_route *);
 /** Address of a shard's last known owner, or null. */
 const char *gb_route_owner(const struct gb_route *, uint32_t shard);
 /** Choose a shard for a request: the one with more free capacity of two random
@@ -725,7 +725,8 @@
  * shard has an owner. */
 uint32_t gb_route_pick(struct gb_route *, uint32_t avoid);
 /** Address of the nth live scheduler, nearest first; false past the last. */
-bool gb_route_member(const struct gb_route *, unsigned int, const char **addr);
+bool gb_route_member_addr(
+    const struct gb_route *, unsigned int, const char **addr);
 /** Count a request sent to a shard as in flight. */
 void gb_route_sent(struct gb_route *, uint32_t shard);
 /** A request sent to a shard is no longer in flight. */
--- a/libgooseberry/node/caller.c
+++ b/libgooseberry/node/caller.c
@@ -13,7 +13,7 @@
 #include "caller.h"
 
 bool
-gb_caller_current(gb_time age, gb_time most)
+gb_caller_config_usable(gb_time age, gb_time most)
 {
 	return most == 0 || age <= most;
 }
--- a/libgooseberry/node/caller.h
+++ b/libgooseberry/node/caller.h
@@ -27,7 +27,7 @@
  * @param age time since it was last confirmed to be the newest
  * @param most largest age for that, 0: any
  */
-bool gb_caller_current(gb_time age, gb_time most);
+bool gb_caller_config_usable(gb_time age, gb_time most);
 /** Identify the caller of a queue.  The organisation that is filled in belongs
  * to the configuration.
  * @param key of the request, or null
--- a/libgooseberry/node/handover.c
+++ b/libgooseberry/node/handover.c
@@ -38,12 +38,12 @@
 	gb_event(node->events, GB_EVENT_ALWAYS, "handover_failed",
 	    "{s:s, s:s, s:I}", "member", node->handover.to, "why", why, "tries",
 	    (json_int_t)node->handover.tries);
-	node->handover.under_way = false;
+	node->handover.in_progress = false;
 	if (!node->leaving)
 		return;
 	if (node->handover.tries < HANDOVER_TRIES_MAX)
 		handover_ask(node);
-	if (!node->handover.under_way)
+	if (!node->handover.in_progress)
 		gb_pool_release(node->pool, node_now());
 }
 
@@ -51,9 +51,9 @@
 handover_answered(void *data, gb_verdict verdict, void *arg)
 {
 	struct gb_node *node = data;
-	const gb_succeed_res *res = arg;
+	const gb_takeover_res *res = arg;
 
-	if (!node->handover.under_way || node->handover.begun)
+	if (!node->handover.in_progress || node->handover.begun)
 		return;
 	if (verdict != GB_RUN)
 		handover_failed(node, "the member did not answer");
@@ -70,13 +70,13 @@
 	struct succession_member *order =
 	    gb_calloc(HASH_COUNT(node->members), sizeof(*order));
 	size_t count = node_members_order(node, order);
-	gb_succeed ask = {0};
+	gb_takeover_request ask = {0};
 
 	if (gb_pool_owns(node->pool) && node->handover.tries < count) {
 		snprintf(node->handover.to, sizeof(node->handover.to), "%s",
 		    order[node->handover.tries].addr);
 		node->handover.tries++;
-		node->handover.under_way = true;
+		node->handover.in_progress = true;
 		node->handover.begun = false;
 		node->handover.deadline = node_now() + HANDOVER_CLAIM_TIMEOUT;
 		node->handover.epoch = gb_pool_epoch(node->pool);
@@ -98,17 +98,18 @@
 {
 	if (!NODE_USES(node, GB_FEATURE_HANDOVER))
 		return false;
-	if (node->handover.under_way)
+	if (node->handover.in_progress)
 		return true;
 	node->handover.tries = 0;
 	handover_ask(node);
-	return node->handover.under_way;
+	return node->handover.in_progress;
 }
 
 void
 node_handover_tick(struct gb_node *node)
 {
-	if (node->handover.under_way && node->handover.deadline <= node_now()) {
+	if (node->handover.in_progress &&
+	    node->handover.deadline <= node_now()) {
 		/* A claim of another member would come too late for callers
 		 * that wait: release the pool. */
 		node->handover.tries = HANDOVER_TRIES_MAX;
@@ -140,20 +141,21 @@
 bool
 node_handover_done(struct gb_node *node, uint64_t epoch)
 {
-	if (!node->handover.under_way)
+	if (!node->handover.in_progress)
 		return false;
-	node->handover.under_way = false;
+	node->handover.in_progress = false;
 	if (epoch <= node->handover.epoch)
 		epoch = node->handover.epoch + 1;
-	watch_handed(&node->watch, node_now(), node->handover.to, epoch);
+	watch_pool_handed_over(
+	    &node->watch, node_now(), node->handover.to, epoch);
 	return true;
 }
 
 void
-node_serve_succeed(
-    struct gb_node *node, struct gb_rpc_call *call, const gb_succeed *ask)
+node_serve_succeed(struct gb_node *node, struct gb_rpc_call *call,
+    const gb_takeover_request *ask)
 {
-	gb_succeed_res res = {0};
+	gb_takeover_res res = {0};
 
 	res.begun = node->config != NULL && !node->leaving &&
 		    !gb_pool_owns(node->pool) &&
@@ -166,6 +168,6 @@
 	    (json_int_t)ask->epoch, "begun", (int)res.begun);
 	if (!res.begun)
 		return;
-	watch_lost(&node->watch, node_now(), 0);
-	gb_pool_take(node->pool, node_now(), ask->epoch, TAKEOVER_REQUESTED);
+	watch_pool_lost(&node->watch, node_now(), 0);
+	gb_pool_acquire(node->pool, node_now(), ask->epoch, TAKEOVER_REQUESTED);
 }
--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -184,7 +184,7 @@
 intake_may_wait(const struct intake *in)
 {
 	return node_now() - in->began <=
-	       OWNER_WAIT + OWNER_WAIT_READS * in->node->watch.store_took;
+	       OWNER_WAIT + OWNER_WAIT_READS * in->node->watch.store_read_time;
 }
 
 static void
@@ -303,7 +303,7 @@
 		watch_hello_now(&in->node->watch, node_now());
 		intake_retry(in);
 		return;
-	case GB_FLOW_BEHIND:
+	case GB_FLOW_CONFIG_OLDER:
 		intake_retry(in);
 		return;
 	case GB_FLOW_MAYBE:
@@ -397,8 +397,8 @@
 budget_allows(struct intake *in, gb_time now)
 {
 	struct gb_node *node = in->node;
-	uint64_t rate =
-	    gb_link_rate(gb_env_link(node->env)) / 2 / (node->known_count + 1);
+	uint64_t rate = gb_link_rate(gb_env_link(node->env)) / 2 /
+			(node->known_members_count + 1);
 	gb_time passed = now - node->budget_at;
 	uint64_t bytes = flow_bytes(&in->submit->flow);
 
@@ -430,7 +430,7 @@
 	}
 	if (NODE_USES(in->node, GB_FEATURE_STORE_WITHOUT_OWNER) &&
 	    (!NODE_USES(in->node, GB_FEATURE_STORE_WHILE_QUICK) ||
-		watch_store_quick(&in->node->watch, now))) {
+		watch_store_is_fast(&in->node->watch, now))) {
 		intake_write(in);
 	} else if (intake_may_wait(in)) {
 		intake_retry(in);
@@ -446,7 +446,7 @@
 intake_shed(const struct intake *in)
 {
 	return in->submit != NULL && !in->maybe_done &&
-	       shed_refuses(in->node->shed_told, in->submit->flow.id);
+	       shed_rejects(in->node->owner_shed_percent, in->submit->flow.id);
 }
 
 static void
@@ -456,7 +456,7 @@
 
 	answer.verdict = GB_FLOW_REFUSED;
 	answer.retry_after_us = SHED_RETRY;
-	in->node->sheds++;
+	in->node->flows_shed++;
 	intake_finish(in, &answer);
 }
 
--- a/libgooseberry/node/members.c
+++ b/libgooseberry/node/members.c
@@ -61,9 +61,9 @@
 		member->incarnation = hello->incarnation;
 		member->started = now - hello->up_us;
 	}
-	gb_pool_member(node->pool, now, hello->addr, !hello->leaving);
+	gb_pool_member_update(node->pool, now, hello->addr, !hello->leaving);
 	if (!hello->leaving)
-		gb_pool_alive(node->pool, now, hello->incarnation);
+		gb_pool_process_alive(node->pool, now, hello->incarnation);
 	return member;
 }
 
@@ -76,14 +76,16 @@
 	free(node->known_members);
 	node->known_members =
 	    gb_calloc(HASH_COUNT(node->members) + 1, GB_NAME_MAX + 1);
-	node->known_count = 0;
-	node->known_vers = 0;
+	node->known_members_count = 0;
+	node->known_members_vers = 0;
 	for (member = node->members; member != NULL; member = member->hh.next) {
 		if (now - member->last_heard <= MEMBER_TIMEOUT)
-			snprintf(node->known_members[node->known_count++],
+			snprintf(
+			    node->known_members[node->known_members_count++],
 			    GB_NAME_MAX + 1, "%s", member->addr);
 	}
-	watch_members(&node->watch, (unsigned int)node->known_count);
+	watch_set_members(
+	    &node->watch, (unsigned int)node->known_members_count);
 }
 
 size_t
@@ -118,8 +120,8 @@
 
 	for (member = node->members; member != NULL; member = member->hh.next)
 		member->rank = SUCCESSION_UNRANKED;
-	node->ranked =
-	    count > SUCCESSION_MOST ? SUCCESSION_MOST : (uint32_t)count;
+	node->ranked = count > SUCCESSION_RANKED_MAX ? SUCCESSION_RANKED_MAX
+						     : (uint32_t)count;
 	for (i = 0; i < node->ranked; i++) {
 		HASH_FIND_STR(node->members, order[i].addr, member);
 		if (member != NULL)
--- a/libgooseberry/node/metrics.c
+++ b/libgooseberry/node/metrics.c
@@ -49,7 +49,7 @@
 {
 	struct gb_pool_org_stat *orgs =
 	    gb_calloc(METRICS_ORGS_MAX, sizeof(*orgs));
-	size_t count = gb_pool_orgs(pool, orgs, METRICS_ORGS_MAX);
+	size_t count = gb_pool_org_stats(pool, orgs, METRICS_ORGS_MAX);
 	size_t i;
 
 	for (i = 0; i < count; i++) {
@@ -130,7 +130,7 @@
 		node->events == NULL ? 0 : gb_events_dropped(node->events)},
 	    {"gooseberry_flows_shed",
 		"Flows turned away since the owner's link is full.",
-		node->sheds},
+		node->flows_shed},
 	    {"gooseberry_shed_percent",
 		"Share that this owner tells members to turn away.",
 		node->shed.percent},
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -180,9 +180,9 @@
 {
 	const struct gb_node *node = data;
 
-	link->queued = gb_link_queued(gb_env_link(node->env), node_now());
+	link->queued = gb_link_backlog(gb_env_link(node->env), node_now());
 	link->bytes_per_s = gb_link_rate(gb_env_link(node->env));
-	link->use = gb_link_use(gb_env_link(node->env));
+	link->use = gb_link_utilisation(gb_env_link(node->env));
 }
 
 static void
@@ -194,11 +194,11 @@
 
 	owner_monitor_owner_changed(node, owns, epoch);
 	if (!owns && !handed)
-		watch_lost(&node->watch, node_now(), 0);
+		watch_pool_lost(&node->watch, node_now(), 0);
 	if (!owns)
 		node_members_keep_known(node);
 	if (handed)
-		gb_pool_handed(node->pool);
+		gb_pool_handed_over(node->pool);
 	node->released = !owns && !handed && node->leaving;
 	if (owns)
 		node->owned_at = node_now();
@@ -373,7 +373,7 @@
 }
 
 void
-gb_node_config_seen(struct gb_node *node, const char *text, size_t len)
+gb_node_config_received(struct gb_node *node, const char *text, size_t len)
 {
 	struct gb_pool_config *config = node->platform.config_decode(text, len);
 
@@ -398,7 +398,7 @@
 	    "behind_ms", (json_int_t)(config_behind_for(node) / GB_MSEC),
 	    "queues", (json_int_t)config->queue_count, "keyed", config->keyed,
 	    "orgs", (json_int_t)config->org_count, "keys",
-	    (json_int_t)gb_pool_config_keys(config));
+	    (json_int_t)gb_pool_config_key_count(config));
 	org_errors_log(node, config);
 	gb_pool_config_unref(node->config);
 	node->config = config;
@@ -413,7 +413,7 @@
 gb_node_workers_received(struct gb_node *node,
     const struct gb_pool_entry *entries, size_t count, bool whole)
 {
-	gb_pool_workers(node->pool, node_now(), entries, count, whole);
+	gb_pool_workers_update(node->pool, node_now(), entries, count, whole);
 }
 
 /* Watch ------------------------------------------------------------------- */
@@ -452,7 +452,7 @@
 	row.serial = record.row.serial;
 	row.contested = record.contested;
 	watch_row(&node->watch, node_now(), &row);
-	gb_pool_epoch_seen(node->pool, node_now(), row.epoch);
+	gb_pool_epoch_found(node->pool, node_now(), row.epoch);
 	gb_owner_record_clear(&record);
 }
 
@@ -467,7 +467,7 @@
 		    node->next_partition % GB_POOL_PARTITIONS_RENEWED;
 	else
 		read.partition = node->next_partition++ % GB_POOL_PARTITIONS;
-	watch_reading(&node->watch, node_now());
+	watch_read_sent(&node->watch, node_now());
 	node->platform.read(node->platform.data,
 	    node_call_new(node, NULL, NULL, owner_row_read), &read);
 }
@@ -483,14 +483,14 @@
 	if (gb_pool_owns(node->pool) || gb_pool_acquiring(node->pool)) {
 		if (!gb_pool_owns(node->pool))
 			return;
-		gb_pool_member(node->pool, node_now(), node->settings.addr,
-		    !node->leaving);
+		gb_pool_member_update(node->pool, node_now(),
+		    node->settings.addr, !node->leaving);
 		node_handover_to_larger(node);
 		node_handover_tick(node);
 		return;
 	}
 	switch (watch_next(&node->watch, node_now())) {
-	case WATCH_READ:
+	case WATCH_READ_ROW:
 		owner_row_request(node);
 		break;
 	case WATCH_HELLO:
@@ -501,14 +501,14 @@
 		break;
 	case WATCH_TAKE_OVER:
 		if (node->leaving || node->config == NULL) {
-			watch_lost(&node->watch, node_now(), 0);
+			watch_pool_lost(&node->watch, node_now(), 0);
 			break;
 		}
 		owner_monitor_takeover_decided(node);
 		epoch = node->watch.epoch;
 		cause = watch_takeover_cause(&node->watch, node_now());
-		watch_lost(&node->watch, node_now(), 0);
-		gb_pool_take(node->pool, node_now(), epoch, cause);
+		watch_pool_lost(&node->watch, node_now(), 0);
+		gb_pool_acquire(node->pool, node_now(), epoch, cause);
 		break;
 	default:
 		break;
@@ -551,7 +551,7 @@
 link_events(struct gb_node *node)
 {
 	const struct gb_link *link = gb_env_link(node->env);
-	gb_time queued = gb_link_queued(link, node_now());
+	gb_time queued = gb_link_backlog(link, node_now());
 	unsigned int most = 0;
 	unsigned int i;
 
@@ -567,7 +567,7 @@
 	gb_event(node->events, GB_EVENT_ALWAYS,
 	    node->link_full ? "link_full" : "link_free", "{s:I, s:I, s:s, s:I}",
 	    "queued_ms", (json_int_t)(queued / GB_MSEC), "use_percent",
-	    (json_int_t)(gb_link_use(link) * 100), "most_kind",
+	    (json_int_t)(gb_link_utilisation(link) * 100), "most_kind",
 	    gb_traffic_name(most), "most_bytes",
 	    (json_int_t)gb_link_traffic(link, most)->out);
 }
--- a/libgooseberry/node/node.h
+++ b/libgooseberry/node/node.h
@@ -88,7 +88,7 @@
 
 /** A configuration was received, in its stored form.  It is ignored unless it
  * is newer than the present one. */
-void gb_node_config_seen(struct gb_node *, const char *, size_t);
+void gb_node_config_received(struct gb_node *, const char *, size_t);
 /** Entries of the list of workers were received.
  * @param whole they are all the workers that exist, not just changes
  */
--- a/libgooseberry/node/node_state.h
+++ b/libgooseberry/node/node_state.h
@@ -84,7 +84,7 @@
 
 /** Handover of the pool from this owner to a member. */
 struct node_handover {
-	bool under_way;
+	bool in_progress;
 	bool begun; /**< the member has answered that it claims the pool */
 	char to[GB_NAME_MAX + 1]; /**< address of the member */
 	unsigned int tries;	  /**< members asked so far */
@@ -109,10 +109,10 @@
 	struct watch watch;
 	struct owner_monitor owner_monitor;
 	uint64_t incarnation;
-	struct shed shed; /**< while this node owns the pool */
-	uint64_t sheds;	  /**< flows rejected by load shedding */
+	struct shed shed;    /**< while this node owns the pool */
+	uint64_t flows_shed; /**< flows rejected by load shedding */
 	/** Percentage of new flows to reject, as received from the owner. */
-	uint32_t shed_told;
+	uint32_t owner_shed_percent;
 	/** Bytes of flows that this node may still store while the pool has no
 	 * owner. */
 	int64_t budget;
@@ -144,8 +144,8 @@
 	uint32_t ranked;	   /**< members with a rank */
 	/** Addresses of the other members, as received from the owner. */
 	char (*known_members)[GB_NAME_MAX + 1];
-	size_t known_count;
-	uint64_t known_vers; /**< the owner's version of that list */
+	size_t known_members_count;
+	uint64_t known_members_vers; /**< the owner's version of that list */
 	struct node_call *calls;
 	unsigned int store_failures; /**< failed store calls in a row */
 	gb_time store_probe_at;	     /**< no probe of the store before */
@@ -200,7 +200,7 @@
 bool node_handover_done(struct gb_node *, uint64_t epoch);
 /** Serve an owner's request to take the pool over. */
 void node_serve_succeed(
-    struct gb_node *, struct gb_rpc_call *, const gb_succeed *);
+    struct gb_node *, struct gb_rpc_call *, const gb_takeover_request *);
 
 /* members.c */
 /** This owner received a hello of a member. */
--- a/libgooseberry/node/owner_monitor.c
+++ b/libgooseberry/node/owner_monitor.c
@@ -80,7 +80,7 @@
 	gb_event(node->events, GB_EVENT_ALWAYS, "owner_suspected",
 	    "{s:s, s:I, s:I, s:I}", "owner", node->watch.owner, "silent_ms",
 	    monitor_ms(node_now() - node->watch.last_heard), "members",
-	    (json_int_t)node->known_count, "asked", (json_int_t)asked);
+	    (json_int_t)node->known_members_count, "asked", (json_int_t)asked);
 }
 
 static json_int_t
@@ -129,7 +129,7 @@
 	    (json_int_t)watch->refused, "vacant", watch->vacant, "cause",
 	    watch_cause_name(watch->cause), "epoch", (json_int_t)watch->epoch,
 	    "known_ms", monitor_ms(known), "rank", monitor_rank(watch),
-	    "members", (json_int_t)node->known_count, "asked",
+	    "members", (json_int_t)node->known_members_count, "asked",
 	    (json_int_t)watch->asked, "words", (json_int_t)watch->votes, "deaf",
 	    (json_int_t)watch->votes_unreachable, "hearing",
 	    (json_int_t)watch->votes_reachable, "poll_ms_ago",
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -43,7 +43,7 @@
 	hello->cpu_milli = node->cpu_milli;
 	hello->up_us = node_now() - node->started;
 	hello->leaving = node->leaving;
-	hello->members_known = node->known_vers;
+	hello->members_known = node->known_members_vers;
 }
 
 static void
@@ -51,18 +51,18 @@
 {
 	u_int i;
 
-	if (res->members_vers == node->known_vers)
+	if (res->members_vers == node->known_members_vers)
 		return;
-	node->known_vers = res->members_vers;
+	node->known_members_vers = res->members_vers;
 	free(node->known_members);
 	node->known_members =
 	    gb_calloc(res->members.members_len, GB_NAME_MAX + 1);
-	node->known_count = 0;
+	node->known_members_count = 0;
 	for (i = 0; i < res->members.members_len; i++) {
 		if (strcmp(res->members.members_val[i], node->settings.addr) ==
 		    0)
 			continue;
-		snprintf(node->known_members[node->known_count++],
+		snprintf(node->known_members[node->known_members_count++],
 		    GB_NAME_MAX + 1, "%s", res->members.members_val[i]);
 	}
 }
@@ -72,7 +72,7 @@
 {
 	node_config_announced(node, res->config);
 	if (res->config_text.gb_body_len > 0)
-		gb_node_config_seen(node, res->config_text.gb_body_val,
+		gb_node_config_received(node, res->config_text.gb_body_val,
 		    res->config_text.gb_body_len);
 }
 
@@ -83,7 +83,7 @@
 	struct succession place = {SUCCESSION_UNRANKED, 0, 0};
 
 	place.ranked = res->ranked;
-	place.members = (unsigned int)node->known_count;
+	place.members = (unsigned int)node->known_members_count;
 	if (NODE_USES(node, GB_FEATURE_SUCCESSION))
 		place.rank = res->rank;
 	return place;
@@ -93,7 +93,7 @@
 config_send_done(void *data, gb_verdict verdict, void *arg)
 {
 	struct gb_node *node = data;
-	const gb_config_news_res *res = arg;
+	const gb_config_push_res *res = arg;
 
 	node->config_in_flight = false;
 	node->config_resend_at = node_now() + PUSH_REPEAT_PAUSE;
@@ -120,7 +120,7 @@
     struct gb_node *node, const gb_hello_res *res, unsigned int rank)
 {
 	gb_time now = node_now();
-	gb_config_news news;
+	gb_config_push news;
 
 	if (node->config == NULL || res->config >= node->config->version) {
 		node->owner_behind_since = 0;
@@ -168,15 +168,16 @@
 	owner_monitor_hello_answered(node);
 	config_received(node, res);
 	if (res->acquiring) {
-		node->shed_told = 0;
+		node->owner_shed_percent = 0;
 		watch_owner_acquiring(&node->watch, now);
 		return;
 	}
 	if (!res->owner) {
-		watch_denied(&node->watch, now, res->owner_addr, res->epoch);
+		watch_owner_denied(
+		    &node->watch, now, res->owner_addr, res->epoch);
 		return;
 	}
-	gb_pool_epoch_seen(node->pool, now, res->epoch);
+	gb_pool_epoch_found(node->pool, now, res->epoch);
 	known_members_update(node, res);
 	status.epoch = res->epoch;
 	status.vacating = res->vacating && !node->leaving;
@@ -184,7 +185,7 @@
 	status.store_silent = res->store_silent_us;
 	status.largest_milli = res->largest_milli;
 	status.place = succession_from_hello(node, res);
-	node->shed_told = res->shed;
+	node->owner_shed_percent = res->shed;
 	config_send_to_owner(node, res, res->rank);
 	watch_hello_answered(&node->watch, now, &status);
 }
@@ -226,15 +227,15 @@
 	const gb_hello_res *res = arg;
 
 	if (verdict != GB_RUN) {
-		watch_polled(&node->watch, WATCH_VOTE_NONE);
+		watch_add_vote(&node->watch, WATCH_VOTE_NONE);
 		return;
 	}
 	config_received(node, res);
 	if (res->owner || res->acquiring ||
 	    res->owner_heard_us < NODE_OWNER_SILENCE)
-		watch_polled(&node->watch, WATCH_VOTE_REACHABLE);
+		watch_add_vote(&node->watch, WATCH_VOTE_REACHABLE);
 	else
-		watch_polled(&node->watch, WATCH_VOTE_UNREACHABLE);
+		watch_add_vote(&node->watch, WATCH_VOTE_UNREACHABLE);
 }
 
 void
@@ -246,12 +247,14 @@
 	size_t i;
 
 	hello_fill(node, &hello);
-	from = node->known_count == 0
-		   ? 0
-		   : gb_random_next(&node->watch.seed) % node->known_count;
-	for (i = 0; i < node->known_count && asked < POLL_MEMBERS_MAX; i++) {
+	from =
+	    node->known_members_count == 0
+		? 0
+		: gb_random_next(&node->watch.seed) % node->known_members_count;
+	for (i = 0; i < node->known_members_count && asked < POLL_MEMBERS_MAX;
+	     i++) {
 		const char *addr =
-		    node->known_members[(from + i) % node->known_count];
+		    node->known_members[(from + i) % node->known_members_count];
 
 		if (strcmp(addr, node->watch.owner) == 0)
 			continue;
@@ -259,9 +262,9 @@
 	}
 	owner_monitor_suspected(node, asked);
 	watch_poll_begun(&node->watch, node_now(), asked);
-	for (i = 0; i < node->known_count && asked > 0; i++) {
+	for (i = 0; i < node->known_members_count && asked > 0; i++) {
 		const char *addr =
-		    node->known_members[(from + i) % node->known_count];
+		    node->known_members[(from + i) % node->known_members_count];
 
 		if (strcmp(addr, node->watch.owner) == 0)
 			continue;
@@ -308,11 +311,11 @@
 
 	res.rank = SUCCESSION_UNRANKED;
 	node_config_announced(node, hello->config);
-	gb_pool_epoch_seen(node->pool, now, hello->epoch);
+	gb_pool_epoch_found(node->pool, now, hello->epoch);
 	res.owner = gb_pool_owns(node->pool) || node->released;
 	res.acquiring = gb_pool_loading(node->pool);
 	res.vacating =
-	    node->released || (node->leaving && !node->handover.under_way);
+	    node->released || (node->leaving && !node->handover.in_progress);
 	res.epoch = gb_pool_epoch(node->pool);
 	/* The epoch of the member that the pool was handed to may be newer. */
 	if (node->watch.epoch > res.epoch)
@@ -341,11 +344,11 @@
 
 static void
 serve_config(
-    struct gb_node *node, struct gb_rpc_call *call, const gb_config_news *news)
+    struct gb_node *node, struct gb_rpc_call *call, const gb_config_push *news)
 {
-	gb_config_news_res res = {0};
+	gb_config_push_res res = {0};
 
-	gb_node_config_seen(
+	gb_node_config_received(
 	    node, news->text.gb_body_val, news->text.gb_body_len);
 	res.config = node->config == NULL ? 0 : node->config->version;
 	gb_rpc_call_reply(call, &res);
--- a/libgooseberry/node/renewal.c
+++ b/libgooseberry/node/renewal.c
@@ -26,23 +26,23 @@
 
 /** Longest time between two renewals of a working owner. */
 static gb_time
-renewal_time_max(gb_time store_took)
+renewal_time_max(gb_time store_read_time)
 {
-	return RENEWAL_TIME_MAX + RENEWAL_WRITE_FACTOR * store_took;
+	return RENEWAL_TIME_MAX + RENEWAL_WRITE_FACTOR * store_read_time;
 }
 
 bool
-renewal_read_due(const struct renewal *r, gb_time now, gb_time store_took)
+renewal_read_due(const struct renewal *r, gb_time now, gb_time store_read_time)
 {
 	return r->read_at == 0 ||
-	       now - r->read_at >= renewal_time_max(store_took);
+	       now - r->read_at >= renewal_time_max(store_read_time);
 }
 
 void
 renewal_add_read(
-    struct renewal *r, gb_time sent, gb_time store_took, uint64_t serial)
+    struct renewal *r, gb_time sent, gb_time store_read_time, uint64_t serial)
 {
-	if (!renewal_read_due(r, sent, store_took))
+	if (!renewal_read_due(r, sent, store_read_time))
 		return;
 	if (r->read_at != 0 && serial == r->serial) {
 		r->state = RENEWAL_STOPPED;
--- a/libgooseberry/node/renewal.h
+++ b/libgooseberry/node/renewal.h
@@ -25,13 +25,14 @@
 /** Start anew: the owner answered, or is a different one. */
 void renewal_reset(struct renewal *);
 /** Whether the last read is old enough to compare it with another one. */
-bool renewal_read_due(const struct renewal *, gb_time now, gb_time store_took);
+bool renewal_read_due(
+    const struct renewal *, gb_time now, gb_time store_read_time);
 /** Add a read that found the same owner in the row.
  * @param sent when the read was sent
- * @param store_took duration of the read in microseconds
+ * @param store_read_time duration of the read in microseconds
  * @param serial of the row
  */
 void renewal_add_read(
-    struct renewal *, gb_time sent, gb_time store_took, uint64_t serial);
+    struct renewal *, gb_time sent, gb_time store_read_time, uint64_t serial);
 
 #endif
--- a/libgooseberry/node/shed.c
+++ b/libgooseberry/node/shed.c
@@ -52,7 +52,7 @@
 }
 
 bool
-shed_refuses(uint32_t percent, const char *id)
+shed_rejects(uint32_t percent, const char *id)
 {
 	return gb_hash(id, strlen(id)) % 100 < percent;
 }
--- a/libgooseberry/node/shed.h
+++ b/libgooseberry/node/shed.h
@@ -21,6 +21,6 @@
 void shed_tick(struct shed *, gb_time now, uint64_t bytes, uint64_t rate);
 /** Whether to reject the flow with this id at the given percentage.  The answer
  * for one id and percentage is always the same. */
-bool shed_refuses(uint32_t percent, const char *id);
+bool shed_rejects(uint32_t percent, const char *id);
 
 #endif
--- a/libgooseberry/node/succession.c
+++ b/libgooseberry/node/succession.c
@@ -78,9 +78,9 @@
 
 gb_time
 succession_delay(
-    const struct succession *order, gb_time store_took, uint64_t *seed)
+    const struct succession *order, gb_time store_read_time, uint64_t *seed)
 {
-	gb_time claim = SUCCESSION_CLAIM_READS * store_took;
+	gb_time claim = SUCCESSION_CLAIM_READS * store_read_time;
 	unsigned int claims = SUCCESSION_UNRANKED_CLAIMS;
 
 	if (claim < SUCCESSION_CLAIM_MIN)
--- a/libgooseberry/node/succession.h
+++ b/libgooseberry/node/succession.h
@@ -10,7 +10,7 @@
 
 /** Number of successors that get a rank: more than are lost together with the
  * owner when a third of 35 nodes is killed. */
-#define SUCCESSION_MOST 16
+#define SUCCESSION_RANKED_MAX 16
 /** Rank of a node that is not among the successors, or does not know. */
 #define SUCCESSION_UNRANKED UINT32_MAX
 
@@ -36,9 +36,9 @@
 };
 
 /** How long a node waits before it claims a vacant pool.
- * @param store_took duration of its last read of the store
+ * @param store_read_time duration of its last read of the store
  */
 gb_time succession_delay(
-    const struct succession *, gb_time store_took, uint64_t *seed);
+    const struct succession *, gb_time store_read_time, uint64_t *seed);
 
 #endif
--- a/libgooseberry/node/watch.c
+++ b/libgooseberry/node/watch.c
@@ -225,8 +225,9 @@
 		return;
 	w->vacant = true;
 	w->cause = cause;
-	w->takeover_at = now + watch_size_delay(w) +
-			 succession_delay(&w->place, w->store_took, &w->seed);
+	w->takeover_at =
+	    now + watch_size_delay(w) +
+	    succession_delay(&w->place, w->store_read_time, &w->seed);
 }
 
 /** Whether the votes of the polled members allow a takeover. */
@@ -269,8 +270,8 @@
 watch_row_known(const struct watch *w)
 {
 	return w->renewal.state != RENEWAL_UNKNOWN ||
-	       (w->store_took >= WATCH_STORE_READ_USUAL && w->contested == 0 &&
-		   w->place.members >= 2);
+	       (w->store_read_time >= WATCH_STORE_READ_USUAL &&
+		   w->contested == 0 && w->place.members >= 2);
 }
 
 /** Next action while the owner is silent or refuses connections. */
@@ -278,7 +279,7 @@
 watch_suspicion_next(struct watch *w, gb_time now)
 {
 	if (w->renewal.read_at == 0)
-		return w->next_read <= now ? WATCH_READ : WATCH_NOTHING;
+		return w->next_read <= now ? WATCH_READ_ROW : WATCH_NOTHING;
 	if (watch_owner_terminated(w)) {
 		watch_set_vacant(w, now, WATCH_CAUSE_REFUSED);
 		return WATCH_NOTHING;
@@ -311,7 +312,7 @@
 watch_read_due(const struct watch *w, gb_time now)
 {
 	return w->next_read <= now && watch_hello_overdue(w, now) &&
-	       renewal_read_due(&w->renewal, now, w->store_took);
+	       renewal_read_due(&w->renewal, now, w->store_read_time);
 }
 
 /** Next action other than a hello, while no read is in flight. */
@@ -321,10 +322,10 @@
 	if (w->vacant && w->takeover_at <= now)
 		return WATCH_TAKE_OVER;
 	if (w->vacant || w->owner[0] == '\0')
-		return w->next_read <= now ? WATCH_READ : WATCH_NOTHING;
+		return w->next_read <= now ? WATCH_READ_ROW : WATCH_NOTHING;
 	if ((w->owner_lacks_store && w->next_read <= now) ||
 	    watch_read_due(w, now))
-		return WATCH_READ;
+		return WATCH_READ_ROW;
 	if (w->suspect_after <= now &&
 	    (watch_owner_silence(w, now) > WATCH_SUSPICION_TIMEOUT ||
 		w->refused >= WATCH_REFUSALS_MIN))
@@ -354,7 +355,7 @@
 }
 
 void
-watch_reading(struct watch *w, gb_time now)
+watch_read_sent(struct watch *w, gb_time now)
 {
 	w->read_compared = watch_read_compared(w, now);
 	w->read_in_flight = true;
@@ -378,7 +379,7 @@
 {
 	if (!w->owner_lacks_store)
 		return;
-	if (w->store_took >= WATCH_STORE_READ_SLOW) {
+	if (w->store_read_time >= WATCH_STORE_READ_SLOW) {
 		w->owner_lacks_store = false;
 		w->store_ok_since = 0;
 	} else if (w->store_ok_since != 0 &&
@@ -398,11 +399,11 @@
 	const char *addr = row->addr == NULL ? "" : row->addr;
 
 	if (w->read_in_flight) {
-		w->store_took = now - w->read_sent;
+		w->store_read_time = now - w->read_sent;
 		w->store_read_at = now;
 	}
 	w->read_in_flight = false;
-	w->next_read = now + WATCH_READ_INTERVAL + w->store_took;
+	w->next_read = now + WATCH_READ_INTERVAL + w->store_read_time;
 	if (addr[0] == '\0' || strcmp(addr, w->self) == 0) {
 		w->epoch = row->epoch;
 		watch_set_vacant(w, now,
@@ -414,14 +415,14 @@
 		return;
 	}
 	if (row->epoch != w->epoch || strcmp(addr, w->owner) != 0) {
-		watch_handed(w, now, addr, row->epoch);
+		watch_pool_handed_over(w, now, addr, row->epoch);
 		w->contested = row->contested;
 		return;
 	}
 	w->contested = row->contested;
 	if (w->read_compared)
 		renewal_add_read(
-		    &w->renewal, w->read_sent, w->store_took, row->serial);
+		    &w->renewal, w->read_sent, w->store_read_time, row->serial);
 	watch_store_answered(w, now);
 }
 
@@ -479,7 +480,8 @@
 }
 
 void
-watch_handed(struct watch *w, gb_time now, const char *addr, uint64_t epoch)
+watch_pool_handed_over(
+    struct watch *w, gb_time now, const char *addr, uint64_t epoch)
 {
 	snprintf(w->owner, sizeof(w->owner), "%s", addr);
 	w->epoch = epoch;
@@ -493,7 +495,7 @@
 }
 
 void
-watch_members(struct watch *w, unsigned int members)
+watch_set_members(struct watch *w, unsigned int members)
 {
 	w->place.rank = SUCCESSION_UNRANKED;
 	w->place.ranked = 0;
@@ -508,13 +510,14 @@
 }
 
 void
-watch_denied(struct watch *w, gb_time now, const char *owner, uint64_t epoch)
+watch_owner_denied(
+    struct watch *w, gb_time now, const char *owner, uint64_t epoch)
 {
 	w->hello_in_flight = false;
 	w->next_hello = now + WATCH_HELLO_INTERVAL / 2;
 	if (epoch > w->epoch && owner[0] != '\0' &&
 	    strcmp(owner, w->self) != 0) {
-		watch_handed(w, now, owner, epoch);
+		watch_pool_handed_over(w, now, owner, epoch);
 		return;
 	}
 	/* The row names it, but it has restarted since.  It will find that in
@@ -559,7 +562,7 @@
 }
 
 void
-watch_polled(struct watch *w, enum watch_vote vote)
+watch_add_vote(struct watch *w, enum watch_vote vote)
 {
 	w->votes++;
 	if (vote == WATCH_VOTE_REACHABLE)
@@ -569,18 +572,18 @@
 }
 
 bool
-watch_store_quick(struct watch *w, gb_time now)
+watch_store_is_fast(struct watch *w, gb_time now)
 {
 	if (w->store_read_at != 0 &&
 	    now - w->store_read_at < WATCH_STORE_READ_MAX_AGE)
-		return w->store_took < WATCH_STORE_READ_USUAL;
+		return w->store_read_time < WATCH_STORE_READ_USUAL;
 	if (w->next_read > now)
 		w->next_read = now;
 	return false;
 }
 
 void
-watch_lost(struct watch *w, gb_time now, gb_time pause)
+watch_pool_lost(struct watch *w, gb_time now, gb_time pause)
 {
 	w->vacant = false;
 	w->owner_lacks_store = false;
--- a/libgooseberry/node/watch.h
+++ b/libgooseberry/node/watch.h
@@ -14,7 +14,7 @@
 /** What to do next. */
 enum watch_action {
 	WATCH_NOTHING,
-	WATCH_READ,	/**< read the owner's row from the store */
+	WATCH_READ_ROW, /**< read the owner's row from the store */
 	WATCH_HELLO,	/**< send a hello to the owner */
 	WATCH_POLL,	/**< ask other members whether they reach the owner */
 	WATCH_TAKE_OVER /**< claim the pool */
@@ -85,7 +85,7 @@
 	gb_time suspect_after;	 /**< no suspicion before: a member has
 				    reached the owner */
 	struct succession place; /**< of this node, as the owner sent it last */
-	gb_time store_took;	 /**< duration of the last answered read */
+	gb_time store_read_time; /**< duration of the last answered read */
 	gb_time store_read_at;	 /**< when that answer came, 0: none yet */
 	uint32_t own_milli;	 /**< processor of this node in milli-cores */
 	uint32_t largest_milli;	 /**< of the largest live member, 0: unknown */
@@ -99,7 +99,7 @@
 /** Return what the caller has to do now. */
 enum watch_action watch_next(struct watch *, gb_time now);
 /** A read of the owner's row was sent. */
-void watch_reading(struct watch *, gb_time now);
+void watch_read_sent(struct watch *, gb_time now);
 /** The owner's row, as a partition of the tables has it. */
 struct watch_row {
 	const char *addr; /**< null or empty: no owner */
@@ -133,17 +133,17 @@
     struct watch *, gb_time now, const struct watch_owner_status *);
 /** The owner has handed the pool over to the member `addr`, or that member was
  * found to be a newer owner. */
-void watch_handed(
+void watch_pool_handed_over(
     struct watch *, gb_time now, const char *addr, uint64_t epoch);
 /** Set the number of members that this node knows after it has owned the pool
  * itself. */
-void watch_members(struct watch *, unsigned int members);
+void watch_set_members(struct watch *, unsigned int members);
 /** Send a hello at once: the presumed owner has answered that it is not the
  * owner. */
 void watch_hello_now(struct watch *, gb_time now);
 /** The presumed owner answered that it does not own the pool, and named the
  * owner and epoch that it knows. */
-void watch_denied(
+void watch_owner_denied(
     struct watch *, gb_time now, const char *owner, uint64_t epoch);
 /** The node in the owner's row is still taking the pool over: wait for it. */
 void watch_owner_acquiring(struct watch *, gb_time now);
@@ -154,7 +154,7 @@
 /** A poll was sent to so many members. */
 void watch_poll_begun(struct watch *, gb_time now, unsigned int members);
 /** A polled member has answered, or failed to. */
-void watch_polled(struct watch *, enum watch_vote);
+void watch_add_vote(struct watch *, enum watch_vote);
 /** Whether the new owner is loading the stored state for longer than usual, as
  * over a slow link.  It can't accept flows before it has finished. */
 bool watch_owner_loads_slowly(const struct watch *, gb_time now);
@@ -166,9 +166,9 @@
 gb_time watch_owner_silence(const struct watch *, gb_time now);
 /** Whether the store has answered recently, and as quickly as usual.  If this
  * is unknown, the owner's row is read at once. */
-bool watch_store_quick(struct watch *, gb_time now);
+bool watch_store_is_fast(struct watch *, gb_time now);
 /** This node has lost the pool or failed to claim it.  The row is read again
  * after the given pause. */
-void watch_lost(struct watch *, gb_time now, gb_time pause);
+void watch_pool_lost(struct watch *, gb_time now, gb_time pause);
 
 #endif
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -20,9 +20,10 @@
 /** Advice service of a queue, and the time that a call to it takes. */
 struct gb_pool_advice {
 	bool needed;
-	gb_time decide_us;   /**< time of each call */
-	gb_time per_item_us; /**< additional time for each worker in the call */
-	gb_time valid_us;    /**< validity of a ticket */
+	gb_time decide_us; /**< time of each call */
+	gb_time
+	    per_worker_us; /**< additional time for each worker in the call */
+	gb_time valid_us;  /**< validity of a ticket */
 };
 
 /** A queue of flows. */
@@ -33,9 +34,10 @@
 	char service[GB_NAME_MAX + 1];
 	uint32_t priority; /**< 0 is the most urgent */
 	uint32_t max_attempts;
-	double stretch; /**< factor of the objective: applied to the run time of
-			   the longest chain of steps */
-	gb_time target_us; /**< constant part of the objective, added to that */
+	double objective_factor;   /**< factor of the objective: applied to the
+			     run time of   the longest chain of steps */
+	gb_time objective_base_us; /**< constant part of the objective, added to
+				      that */
 	struct gb_pool_advice advice;
 	bool anonymous; /**< callers need no key */
 };
@@ -51,11 +53,11 @@
  * stay in use. */
 enum gb_pool_org_error {
 	GB_POOL_ORG_VALID,
-	GB_POOL_ORG_UNNAMED,	/**< no name, or one that is too long */
-	GB_POOL_ORG_TWICE,	/**< another organisation has its name */
-	GB_POOL_ORG_RANGE,	/**< a weight or quota is out of range */
-	GB_POOL_ORG_KEY,	/**< a key is empty or not a string */
-	GB_POOL_ORG_KEY_SHARED, /**< a key belongs to another organisation */
+	GB_POOL_ORG_UNNAMED,	 /**< no name, or one that is too long */
+	GB_POOL_ORG_DUPLICATE,	 /**< another organisation has its name */
+	GB_POOL_ORG_RANGE,	 /**< a weight or quota is out of range */
+	GB_POOL_ORG_KEY_INVALID, /**< a key is empty or not a string */
+	GB_POOL_ORG_KEY_SHARED,	 /**< a key belongs to another organisation */
 	GB_POOL_ORG_ERRORS
 };
 
@@ -101,9 +103,9 @@
 struct gb_pool_config *gb_pool_config_new(size_t queues, size_t services);
 /** Sorts the queues once all are filled in; they can't be found before. */
 void gb_pool_config_seal(struct gb_pool_config *);
-/** Adds an organisation unless it is invalid.  gb_pool_config_orgs allocates
- * space for `max` organisations first. */
-void gb_pool_config_orgs(struct gb_pool_config *, size_t max);
+/** Adds an organisation unless it is invalid.  gb_pool_config_orgs_alloc
+ * allocates space for `max` organisations first. */
+void gb_pool_config_orgs_alloc(struct gb_pool_config *, size_t max);
 enum gb_pool_org_error gb_pool_config_org_add(
     struct gb_pool_config *, const struct gb_pool_org *);
 /** Adds a key to the organisation that was added last. */
@@ -124,7 +126,7 @@
 const struct gb_pool_org *gb_pool_config_org(
     const struct gb_pool_config *, const char *name);
 /** Number of keys of all organisations. */
-size_t gb_pool_config_keys(const struct gb_pool_config *);
+size_t gb_pool_config_key_count(const struct gb_pool_config *);
 /** Frees the organisations and keys of a configuration. */
 void gb_pool_config_orgs_free(struct gb_pool_config *);
 struct gb_pool_config *gb_pool_config_ref(struct gb_pool_config *);
@@ -133,7 +135,8 @@
     const struct gb_pool_config *, const char *name);
 /** Whether the configuration names a service, in its list of services or in a
  * queue. */
-bool gb_pool_config_serves(const struct gb_pool_config *, const char *service);
+bool gb_pool_config_has_service(
+    const struct gb_pool_config *, const char *service);
 /** Returns the queue of a request, by the longest prefix of the path for that
  * host; null if there is none. */
 const struct gb_pool_queue *gb_pool_config_route(
@@ -332,7 +335,7 @@
 	const char *to;	  /**< empty: to the last row */
 	uint32_t limit;
 	/** Minimum timeout of the answer, 0: the usual timeout of reads. */
-	gb_time patience;
+	gb_time min_timeout;
 };
 
 struct gb_pool_read_res {
@@ -460,19 +463,19 @@
 
 /** Tries to become the owner after the one of epoch `after`; gives up when the
  * store names a later one. */
-void gb_pool_take(
+void gb_pool_acquire(
     struct gb_pool *, gb_time now, uint64_t after, enum takeover_cause);
 /** Notes that the pool was lost to a process that this one had asked to take
  * over. */
-void gb_pool_handed(struct gb_pool *);
+void gb_pool_handed_over(struct gb_pool *);
 /** Handles that another process was found alive and not stopping; it may have
  * owned the pool before. */
-void gb_pool_alive(struct gb_pool *, gb_time now, uint64_t incarnation);
+void gb_pool_process_alive(struct gb_pool *, gb_time now, uint64_t incarnation);
 /** Writes what is pending, then gives up the ownership. */
 void gb_pool_release(struct gb_pool *, gb_time now);
 /** Handles that a later epoch of ownership was found; the ownership of this
  * node then ends. */
-void gb_pool_epoch_seen(struct gb_pool *, gb_time now, uint64_t epoch);
+void gb_pool_epoch_found(struct gb_pool *, gb_time now, uint64_t epoch);
 bool gb_pool_owns(const struct gb_pool *);
 /** Whether this node is taking over the pool. */
 bool gb_pool_acquiring(const struct gb_pool *);
@@ -488,10 +491,10 @@
 void gb_pool_configure(struct gb_pool *, gb_time now, struct gb_pool_config *);
 /** Applies entries of the worker list that are new or have changed; a whole
  * list has all workers. */
-void gb_pool_workers(struct gb_pool *, gb_time now,
+void gb_pool_workers_update(struct gb_pool *, gb_time now,
     const struct gb_pool_entry *, size_t count, bool whole);
 /** Adds or updates a member through which the advice service may be called. */
-void gb_pool_member(
+void gb_pool_member_update(
     struct gb_pool *, gb_time now, const char *addr, bool usable);
 
 /** Submits a flow; the answer comes through ops.answer. */
@@ -566,7 +569,7 @@
 };
 
 /** Fills in at most `max` organisations; returns how many. */
-size_t gb_pool_orgs(
+size_t gb_pool_org_stats(
     const struct gb_pool *, struct gb_pool_org_stat *out, size_t max);
 
 /* Events ------------------------------------------------------------------ */
--- a/libgooseberry/pool/admit.c
+++ b/libgooseberry/pool/admit.c
@@ -39,7 +39,8 @@
 		return 0;
 	for (i = 0; i < flow->steps.steps_len; i++)
 		work += flow->steps.steps_val[i].estimate_us;
-	return queue->target_us + (gb_time)(queue->stretch * (double)work);
+	return queue->objective_base_us +
+	       (gb_time)(queue->objective_factor * (double)work);
 }
 
 /** Whether a step needs more at once than the quota of its organisation
@@ -66,7 +67,7 @@
 pool_admit(struct gb_pool *pool, const gb_flow *flow, gb_time *retry_after,
     const char **why)
 {
-	gb_time wait = pool_pace_wait(pool);
+	gb_time wait = pool_pace_starts_wait(pool);
 
 	*retry_after = ADMIT_RETRY;
 	if (admit_over_quota(pool, flow)) {
--- a/libgooseberry/pool/advice.c
+++ b/libgooseberry/pool/advice.c
@@ -42,7 +42,7 @@
 #define ADVICE_NAMES_PER_BATCH 60
 
 void
-pool_advice_channel(struct gb_pool *pool, const char *addr, bool usable)
+pool_advice_channel_update(struct gb_pool *pool, const char *addr, bool usable)
 {
 	struct pool_channel *channel = NULL;
 	size_t i;
@@ -166,7 +166,7 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < count && i < POOL_ADVICE_MOST; i++)
+	for (i = 0; i < count && i < POOL_ADVICE_WORKERS_MAX; i++)
 		ask->workers.workers_val[ask->workers.workers_len++] =
 		    pool->workers[workers[i]]->entry.id;
 }
@@ -186,9 +186,9 @@
 	HASH_ADD(hh, pool->advice_calls, id, sizeof(call->id), call);
 	channel->call = call->id;
 	if (first)
-		flow->steps[step_number].asks_in_flight++;
+		flow->steps[step_number].approval_calls_in_flight++;
 	else
-		flow->steps[step_number].renews_in_flight++;
+		flow->steps[step_number].ticket_calls_in_flight++;
 	pool->stats.advice_calls++;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "advice_ask",
 	    "{s:s, s:I, s:s, s:I, s:b}", "flow", flow->spec.id, "step",
@@ -204,7 +204,7 @@
     const uint32_t *workers, uint32_t count, uint32_t limit)
 {
 	struct pool_channel *channel = channel_find_free(pool);
-	char *names[POOL_ADVICE_MOST];
+	char *names[POOL_ADVICE_WORKERS_MAX];
 	char step_name[GB_NAME_MAX + 1];
 	gb_advice_ask ask = {0};
 
@@ -261,13 +261,14 @@
 	uint32_t names;
 
 	*batches = 1;
-	if (!POOL_USES(pool, GB_FEATURE_ADVICE_CHANNELS) ||
+	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_ADVICE_CHANNELS) ||
 	    (step->spec->flags & GB_STEP_GANG) == 0 || batch_limit < 2 ||
-	    advice->per_item_us * POOL_ADVICE_MOST < advice->decide_us / 2)
-		return POOL_ADVICE_MOST;
+	    advice->per_worker_us * POOL_ADVICE_WORKERS_MAX <
+		advice->decide_us / 2)
+		return POOL_ADVICE_WORKERS_MAX;
 	names = gang_worker_count(pool, step) * ADVICE_NAMES_PER_WORKER;
-	if (names < POOL_ADVICE_MOST)
-		names = POOL_ADVICE_MOST;
+	if (names < POOL_ADVICE_WORKERS_MAX)
+		names = POOL_ADVICE_WORKERS_MAX;
 	if (names > ADVICE_NAMES_MAX)
 		names = ADVICE_NAMES_MAX;
 	if (batch_limit > ADVICE_BATCHES_MAX)
@@ -276,8 +277,8 @@
 	    (names + ADVICE_NAMES_PER_BATCH - 1) / ADVICE_NAMES_PER_BATCH;
 	if (*batches > batch_limit)
 		*batches = batch_limit;
-	if (names > *batches * POOL_ADVICE_MOST)
-		names = *batches * POOL_ADVICE_MOST;
+	if (names > *batches * POOL_ADVICE_WORKERS_MAX)
+		names = *batches * POOL_ADVICE_WORKERS_MAX;
 	return names;
 }
 
@@ -324,12 +325,12 @@
 {
 	const struct pool_step *step = &flow->steps[step_number];
 
-	if (!pool_pace_advice(pool))
+	if (!pool_pace_may_ask_advice(pool))
 		return false;
 	if (count == 0)
-		return step->asks_in_flight == 0 &&
+		return step->approval_calls_in_flight == 0 &&
 		       ask_others(pool, flow, step_number);
-	return step->renews_in_flight == 0 &&
+	return step->ticket_calls_in_flight == 0 &&
 	       ask_channel(pool, flow, step_number, workers, count, 0);
 }
 
@@ -400,7 +401,7 @@
 	for (i = 0; i < res->approved.approved_len; i++)
 		approval_set(pool, step, &res->approved.approved_val[i],
 		    call->sent, expires);
-	if (step->approved_count == 0 && step->asks_in_flight == 0) {
+	if (step->approved_count == 0 && step->approval_calls_in_flight == 0) {
 		step->advice = POOL_ADVICE_NONE;
 		step->advice_retry_at = pool->now + ADVICE_RETRY_DELAY;
 		step_clear_asked(step);
@@ -414,9 +415,9 @@
 	struct pool_step *step = &flow->steps[call->step];
 
 	if (call->first) {
-		step->asks_in_flight--;
+		step->approval_calls_in_flight--;
 	} else {
-		step->renews_in_flight--;
+		step->ticket_calls_in_flight--;
 		/* Capacity that was claimed until the tickets arrive is used
 		 * now, or released. */
 		if (step->claim_until == 0)
@@ -424,7 +425,7 @@
 	}
 	if (res->status == GB_ADVICE_OK)
 		advice_apply(pool, flow, call, res);
-	else if (call->first && step->asks_in_flight == 0)
+	else if (call->first && step->approval_calls_in_flight == 0)
 		step_clear_asked(step);
 }
 
--- a/libgooseberry/pool/call.c
+++ b/libgooseberry/pool/call.c
@@ -22,7 +22,7 @@
 }
 
 struct pool_call *
-pool_call_take(struct gb_pool *pool, uint64_t id)
+pool_call_remove(struct gb_pool *pool, uint64_t id)
 {
 	struct pool_call *call;
 
@@ -37,7 +37,7 @@
 }
 
 void
-pool_call_forget(struct gb_pool *pool, uint64_t id)
+pool_call_clear_run(struct gb_pool *pool, uint64_t id)
 {
 	struct pool_call *call;
 
--- a/libgooseberry/pool/config.c
+++ b/libgooseberry/pool/config.c
@@ -71,7 +71,8 @@
 }
 
 bool
-gb_pool_config_serves(const struct gb_pool_config *config, const char *service)
+gb_pool_config_has_service(
+    const struct gb_pool_config *config, const char *service)
 {
 	size_t i;
 
--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -243,7 +243,7 @@
 }
 
 bool
-pool_crash_stored(const struct pool_task *task)
+pool_crash_needs_store(const struct pool_task *task)
 {
 	return (task->suspect != NULL || task->plan != NULL) && !task->done;
 }
@@ -316,7 +316,8 @@
 /* Planned starts ---------------------------------------------------------- */
 
 void
-pool_crash_unseen(struct gb_pool *pool, const struct pool_worker *worker)
+pool_crash_mark_unknown_loss(
+    struct gb_pool *pool, const struct pool_worker *worker)
 {
 	uint32_t i;
 
@@ -324,19 +325,19 @@
 		return;
 	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
 		if (!pool->partitions[i].reconciled)
-			pool->partitions[i].lost_unseen = true;
+			pool->partitions[i].has_unknown_losses = true;
 	}
 }
 
 void
-pool_crash_watch(struct gb_pool *pool, uint32_t partition)
+pool_crash_plan_starts(struct gb_pool *pool, uint32_t partition)
 {
 	struct pool_flow *flow;
 
 	TAILQ_FOREACH(flow, &pool->open, open_next)
 	{
 		if (flow->partition == partition && !flow->fresh)
-			flow->watched = true;
+			flow->plan_starts = true;
 	}
 }
 
@@ -366,7 +367,7 @@
 }
 
 void
-pool_crash_plans_left(
+pool_crash_plan_release(
     struct gb_pool *pool, struct pool_step *step, uint32_t index)
 {
 	struct pool_task *task = &step->tasks[index];
@@ -384,14 +385,14 @@
 {
 	if (step->tasks[index].plan == NULL)
 		return;
-	pool_crash_plans_left(pool, step, index);
+	pool_crash_plan_release(pool, step, index);
 	free(step->tasks[index].plan);
 	step->tasks[index].plan = NULL;
 	step->plans--;
 }
 
 uint32_t
-pool_crash_planned_on(
+pool_crash_planned_count(
     const struct pool_step *step, const struct pool_worker *worker)
 {
 	uint32_t count = 0;
@@ -435,7 +436,7 @@
 }
 
 bool
-pool_crash_on_probation(const struct pool_worker *worker)
+pool_crash_has_new_suspect(const struct pool_worker *worker)
 {
 	const struct pool_run *run;
 
@@ -450,7 +451,7 @@
 }
 
 bool
-pool_crash_has_new(
+pool_crash_has_new_run(
     const struct pool_worker *worker, const struct pool_flow *but)
 {
 	const struct pool_run *run;
@@ -580,7 +581,7 @@
 		unreachable->begun = run_is_confirmed(run);
 		unreachable->early = run_is_confirmed(run);
 		unreachable->sole_suspect =
-		    !pool_crash_has_new(worker, run->flow);
+		    !pool_crash_has_new_run(worker, run->flow);
 		run_task(run)->suspect->keep_until =
 		    pool->now + CRASH_EVIDENCE_TIMEOUT;
 		pool_flow_changed(pool, run->flow, true);
@@ -598,7 +599,8 @@
 	{
 		run->lost_early =
 		    !lost_together && run_is_confirmed(run) && run_is_new(run);
-		run->lost_sole_suspect = !pool_crash_has_new(worker, run->flow);
+		run->lost_sole_suspect =
+		    !pool_crash_has_new_run(worker, run->flow);
 	}
 }
 
@@ -672,7 +674,7 @@
 }
 
 void
-pool_crash_worker_known(
+pool_crash_losses_resolve(
     struct gb_pool *pool, struct pool_worker *worker, bool crashed)
 {
 	struct pool_loss *loss;
@@ -685,7 +687,7 @@
 }
 
 void
-pool_crash_worker_forget(struct pool_worker *worker)
+pool_crash_losses_drop(struct pool_worker *worker)
 {
 	struct pool_loss *loss;
 
@@ -698,7 +700,8 @@
 /* Blocked starts ---------------------------------------------------------- */
 
 bool
-pool_crash_held(const struct pool_flow *flow, const struct pool_task *task)
+pool_crash_start_blocked(
+    const struct pool_flow *flow, const struct pool_task *task)
 {
 	const struct pool_crash_suspect *suspect = task->suspect;
 
@@ -713,7 +716,7 @@
 }
 
 uint32_t
-pool_crash_held_count(
+pool_crash_blocked_count(
     const struct pool_flow *flow, const struct pool_step *step)
 {
 	uint32_t count = 0;
@@ -724,7 +727,7 @@
 		const struct pool_task *task = &step->tasks[i];
 
 		count += !task->done && TAILQ_EMPTY(&task->runs) &&
-			 pool_crash_held(flow, task);
+			 pool_crash_start_blocked(flow, task);
 	}
 	return count;
 }
--- a/libgooseberry/pool/crash.h
+++ b/libgooseberry/pool/crash.h
@@ -20,31 +20,32 @@
 void pool_crash_run_lapsed(struct gb_pool *, const struct pool_run *);
 /** Resolves the recorded losses of an unreachable worker once it has answered,
  * or another incarnation in its place (`crashed`). */
-void pool_crash_worker_known(
+void pool_crash_losses_resolve(
     struct gb_pool *, struct pool_worker *, bool crashed);
-void pool_crash_worker_forget(struct pool_worker *);
+void pool_crash_losses_drop(struct pool_worker *);
 /** Whether a crash suspect was just started on a worker, so that no other task
  * may be started there. */
-bool pool_crash_on_probation(const struct pool_worker *);
+bool pool_crash_has_new_suspect(const struct pool_worker *);
 /** Whether a run of a flow other than `but` was just started on a worker. */
-bool pool_crash_has_new(
+bool pool_crash_has_new_run(
     const struct pool_worker *, const struct pool_flow *but);
 /** Whether a task may not be started yet: its start or its crashes are not
  * stored, or it may be over the limit of crashes. */
-bool pool_crash_held(const struct pool_flow *, const struct pool_task *);
+bool pool_crash_start_blocked(
+    const struct pool_flow *, const struct pool_task *);
 /** Number of tasks of a step without a run that may not be started yet. */
-uint32_t pool_crash_held_count(
+uint32_t pool_crash_blocked_count(
     const struct pool_flow *, const struct pool_step *);
 /** Counts workers that have been unreachable for too long as crashed, and fails
  * the flow if one of its tasks is over the limit. */
 void pool_crash_sweep(struct gb_pool *, struct pool_flow *);
 /** Notes that a worker was lost which has not answered this owner, so that
  * partitions that are not reconciled don't know what it ran. */
-void pool_crash_unseen(struct gb_pool *, const struct pool_worker *);
+void pool_crash_mark_unknown_loss(struct gb_pool *, const struct pool_worker *);
 /** Handles that a partition was reconciled although workers were lost: from now
  * on, starts of flows that may have been started on these are stored before
  * they are sent. */
-void pool_crash_watch(struct gb_pool *, uint32_t partition);
+void pool_crash_plan_starts(struct gb_pool *, uint32_t partition);
 /** Plans the start of a task on a worker: the start is stored first, and claims
  * its capacity. */
 void pool_crash_plan(struct gb_pool *, struct pool_flow *, uint32_t step,
@@ -54,12 +55,12 @@
     const struct gb_pool *, const struct pool_task *);
 /** Releases the capacity that a planned start claims, before the start is
  * sent. */
-void pool_crash_plans_left(
+void pool_crash_plan_release(
     struct gb_pool *, struct pool_step *, uint32_t index);
 /** Removes a planned start that was not sent, or whose run has ended. */
 void pool_crash_plan_drop(struct gb_pool *, struct pool_step *, uint32_t index);
 /** Number of planned starts of a step on a worker that are not sent. */
-uint32_t pool_crash_planned_on(
+uint32_t pool_crash_planned_count(
     const struct pool_step *, const struct pool_worker *);
 void pool_crash_plans_drop(struct gb_pool *, struct pool_step *);
 /** Loads the stored crashes of a task, with the incarnations of its first
@@ -68,7 +69,7 @@
     const gb_task_crashes *, const int64_t *incarnations, u_int known);
 /** Whether a task has crashes or a planned start to be stored; the next
  * function fills them in. */
-bool pool_crash_stored(const struct pool_task *);
+bool pool_crash_needs_store(const struct pool_task *);
 void pool_crash_fill(const struct pool_task *, gb_task_crashes *);
 /** Appends the incarnations of the unreachable workers of a task. */
 void pool_crash_fill_incarnations(const struct pool_task *, gb_flow_state *);
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -57,7 +57,7 @@
 {
 	const struct pool_worker *worker =
 	    pool_crash_plan_worker(pool, &step->tasks[index]);
-	gb_res avail = pool_fit_free(worker);
+	gb_res avail = pool_fit_free_capacity(worker);
 
 	return pool_fit_usable(pool, worker, flow->partition) &&
 	       avail.cpu >= 0 && avail.mem >= 0 && avail.accel >= 0 &&
@@ -73,7 +73,7 @@
 	struct pool_worker *worker =
 	    pool_crash_plan_worker(pool, &step->tasks[index]);
 
-	pool_crash_plans_left(pool, step, index);
+	pool_crash_plan_release(pool, step, index);
 	pool_run_start(pool, flow, step_number, index, run_number, worker,
 	    step_worker_ticket(pool, step, worker->handle));
 }
@@ -83,7 +83,7 @@
 plan_is_due(const struct pool_flow *flow, const struct pool_task *task)
 {
 	return task->plan != NULL && !task->done && TAILQ_EMPTY(&task->runs) &&
-	       !pool_crash_held(flow, task);
+	       !pool_crash_start_blocked(flow, task);
 }
 
 /** Sends the planned starts of a gang once all are stored. Drops them if a
@@ -99,7 +99,7 @@
 	uint32_t i;
 
 	if (step->active > 0 || step->plans == 0 ||
-	    pool_crash_held_count(flow, step) > 0)
+	    pool_crash_blocked_count(flow, step) > 0)
 		return;
 	startable =
 	    step->plans == count &&
@@ -157,9 +157,9 @@
 		struct pool_task *task = &step->tasks[i];
 
 		if (task->done || !TAILQ_EMPTY(&task->runs) ||
-		    pool_crash_held(flow, task))
+		    pool_crash_start_blocked(flow, task))
 			continue;
-		if (flow->watched) {
+		if (flow->plan_starts) {
 			pool_crash_plan(pool, flow, step_number, i,
 			    pool->workers[workers[placed++]]);
 			continue;
@@ -216,8 +216,8 @@
 		return true;
 	for (i = 0; i < step->claim_count && pool->now < step->claim_until;
 	     i++) {
-		gb_res avail =
-		    pool_fit_free(pool->workers[step->claims[i].worker]);
+		gb_res avail = pool_fit_free_capacity(
+		    pool->workers[step->claims[i].worker]);
 
 		/* Free capacity excludes what is claimed. */
 		if (avail.cpu < 0 || avail.mem < 0 || avail.accel < 0)
@@ -274,7 +274,7 @@
 	const struct gb_pool_advice *advice = &flow->advice;
 
 	return advice->decide_us +
-	       advice->per_item_us * (gb_time)step->spec->count / 2 +
+	       advice->per_worker_us * (gb_time)step->spec->count / 2 +
 	       DISPATCH_ADVICE_ROUND_TRIP;
 }
 
@@ -323,11 +323,12 @@
 	case POOL_PREEMPT_NONE:
 		break;
 	}
-	if (!POOL_USES(pool, GB_FEATURE_RESERVATION) ||
+	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_RESERVATION) ||
 	    !pool_reserve(pool, flow, step, &flow->wait, workers))
 		flow->wait = 0;
-	else if (POOL_USES(pool, GB_FEATURE_TICKET_RENEWAL) &&
-		 POOL_ADVICE_NEEDED(flow) && step->renews_in_flight == 0 &&
+	else if (POOL_FEATURE_ENABLED(pool, GB_FEATURE_TICKET_RENEWAL) &&
+		 POOL_ADVICE_NEEDED(flow) &&
+		 step->ticket_calls_in_flight == 0 &&
 		 flow->wait < step_advice_time(flow, step) &&
 		 !step_has_tickets(pool, step, workers))
 		step_renew_tickets(
@@ -343,7 +344,7 @@
 {
 	struct pool_step *step = &flow->steps[step_number];
 
-	if (step->asks_in_flight > 0 ||
+	if (step->approval_calls_in_flight > 0 ||
 	    step->asked_count >= pool->worker_count ||
 	    pool_fit_slots(pool, flow, step) >=
 		(uint64_t)step->spec->count * DISPATCH_SLOTS_RATIO_MIN)
@@ -358,8 +359,8 @@
     struct gb_pool *pool, struct pool_flow *flow, struct pool_step *step)
 {
 	flow->wait = 0;
-	if (!flow->quota_waited) {
-		flow->quota_waited = true;
+	if (!flow->waited_for_quota) {
+		flow->waited_for_quota = true;
 		flow->org->quota_waits++;
 		gb_event(pool->cfg.events, GB_EVENT_NORMAL, "quota_wait",
 		    "{s:s, s:s, s:I, s:I, s:I, s:I, s:I}", "flow",
@@ -382,7 +383,7 @@
 	struct pool_step *step = &flow->steps[step_number];
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
 	bool advice = POOL_ADVICE_NEEDED(flow);
-	uint32_t wanted = pool_flow_waiting(pool, flow, step);
+	uint32_t wanted = pool_flow_startable_count(pool, flow, step);
 	uint32_t allowed;
 	uint32_t started;
 	uint32_t placeable = 0;
@@ -396,8 +397,8 @@
 		return false;
 	}
 	wanted = allowed;
-	pool->waiting_bytes += pool_pace_bytes(flow, wanted);
-	if (!pool_pace_starts(pool)) {
+	pool->waiting_bytes += pool_pace_start_bytes(flow, wanted);
+	if (!pool_pace_may_send_starts(pool)) {
 		pool->work_changed = true;
 		return false;
 	}
@@ -409,7 +410,7 @@
 	workers = gb_calloc(wanted, sizeof(*workers));
 	started = pool_fit_place(pool, flow, step, wanted, true, workers);
 	step_start(pool, flow, step_number, workers, started);
-	if (started < wanted && step->renews_in_flight == 0)
+	if (started < wanted && step->ticket_calls_in_flight == 0)
 		placeable = pool_fit_place(
 		    pool, flow, step, wanted - started, false, workers);
 	if (placeable > 0 && advice && pool_advice_channel_free(pool))
@@ -464,10 +465,10 @@
 	struct pool_step *step = &flow->steps[step_number];
 	gb_time in;
 
-	if (!POOL_USES(pool, GB_FEATURE_ADVICE_PREFETCH) ||
-	    step->advice != POOL_ADVICE_NONE || step->asks_in_flight > 0 ||
-	    !POOL_ADVICE_NEEDED(flow) || step->done > 0 ||
-	    step->advice_retry_at > pool->now ||
+	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_ADVICE_PREFETCH) ||
+	    step->advice != POOL_ADVICE_NONE ||
+	    step->approval_calls_in_flight > 0 || !POOL_ADVICE_NEEDED(flow) ||
+	    step->done > 0 || step->advice_retry_at > pool->now ||
 	    !pool_advice_channel_free(pool))
 		return;
 	in = step_ready_in(pool, flow, step);
@@ -502,7 +503,7 @@
 	uint32_t worker;
 	uint32_t i;
 
-	if (!POOL_USES(pool, GB_FEATURE_SPECULATION) ||
+	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_SPECULATION) ||
 	    (step->spec->flags & GB_STEP_SPECULATIVE) == 0 ||
 	    (step->spec->flags & GB_STEP_GANG) != 0 ||
 	    !pool_flow_step_ready(flow, step))
@@ -563,10 +564,11 @@
 {
 	uint32_t i;
 
-	pool->gangs_wait = 0;
+	pool->waiting_gang_cores = 0;
 	pool->capacity = 0;
 	for (i = 0; i < count; i++)
-		pool->gangs_wait += pool_rank_gangs_wait(pool, flows[i]);
+		pool->waiting_gang_cores +=
+		    pool_rank_waiting_gang_cores(pool, flows[i]);
 	for (i = 0; i < pool->worker_count; i++) {
 		if (pool_worker_offered(pool->workers[i]) &&
 		    !pool->workers[i]->over)
@@ -588,11 +590,11 @@
 	{
 		if (!flow_is_dispatchable(pool, flow))
 			continue;
-		pool_rank_flow(pool, flow);
+		pool_rank_update_flow(pool, flow);
 		flows[count++] = flow;
 	}
 	count_gang_demand(pool, flows, count);
-	pool_quota_doubt(pool);
+	pool_quota_update_uncertain(pool);
 	qsort(flows, count, sizeof(*flows), flow_compare);
 	pool_reservations_clear(pool);
 	pool->waiting_bytes = 0;
--- a/libgooseberry/pool/fit.c
+++ b/libgooseberry/pool/fit.c
@@ -34,7 +34,7 @@
 #define FIT_NEW_RUN_PENALTY 10.0
 
 gb_res
-pool_fit_free(const struct pool_worker *worker)
+pool_fit_free_capacity(const struct pool_worker *worker)
 {
 	gb_res avail = worker->entry.capacity;
 
@@ -52,7 +52,7 @@
 	       !worker->over && !worker->foreign && !worker->entry.draining &&
 	       pool_incarnation_listed(worker) && !worker->maybe_restarted &&
 	       worker->silent == 0 && worker->quarantined_until <= pool->now &&
-	       !pool_crash_on_probation(worker);
+	       !pool_crash_has_new_suspect(worker);
 }
 
 static bool
@@ -136,7 +136,7 @@
 		if (run->flow == flow && &flow->steps[run->step] == step)
 			count++;
 	}
-	return count + pool_crash_planned_on(step, worker);
+	return count + pool_crash_planned_count(step, worker);
 }
 
 /** A worker that can run tasks of the step. */
@@ -181,7 +181,7 @@
 	 * emptiest worker first. */
 	if (step->suspects > 0 && !gang)
 		score = -free_share;
-	if (step->suspects > 0 && pool_crash_has_new(worker, flow))
+	if (step->suspects > 0 && pool_crash_has_new_run(worker, flow))
 		score += FIT_NEW_RUN_PENALTY;
 	if (step->spec->rack[0] != '\0' &&
 	    strcmp(step->spec->rack, worker->rack) != 0)
@@ -190,7 +190,7 @@
 		score += FIT_RESERVED_PENALTY;
 	if (worker->failures > 0)
 		score += 1.0;
-	if (!POOL_USES(pool, GB_FEATURE_FAST_WORKERS))
+	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_FAST_WORKERS))
 		return score;
 	/* Flows with spare time leave the fast workers to the others. */
 	if (fit_spare_ratio(pool, flow) > FIT_SPARE_RATIO)
@@ -219,7 +219,7 @@
 	if (tickets && POOL_ADVICE_NEEDED(flow) &&
 	    pool_fit_ticket(pool, step, worker->handle) == NULL)
 		return false;
-	avail = pool_fit_free(worker);
+	avail = pool_fit_free_capacity(worker);
 	if (worker->reserved_at != 0 &&
 	    pool->now + pool_rank_estimate(pool, flow, step) >
 		worker->reserved_at)
--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -99,7 +99,7 @@
 	    hh, pool->flows, flow->spec.id, strlen(flow->spec.id), flow);
 	TAILQ_INSERT_TAIL(&pool->open, flow, open_next);
 	pool->open_count++;
-	pool_rank_learn(pool, flow);
+	pool_rank_update_flow_size(pool, flow);
 	return flow;
 }
 
@@ -165,7 +165,7 @@
 pool_flow_changed(struct gb_pool *pool, struct pool_flow *flow, bool urgent)
 {
 	flow->change++;
-	pool_writer_dirty(pool, flow, urgent);
+	pool_writer_mark_dirty(pool, flow, urgent);
 }
 
 /* Waiting callers --------------------------------------------------------- */
@@ -220,10 +220,10 @@
  * stored. An answer that waits for the 30 to 60 ms that this takes is the final
  * one, and saves them another question and its interval. */
 void
-pool_flow_ask(struct gb_pool *pool, struct pool_flow *flow, uint64_t token)
+pool_flow_query(struct gb_pool *pool, struct pool_flow *flow, uint64_t token)
 {
 	struct pool_waiter *waiter = gb_calloc(1, sizeof(*waiter));
-	gb_flow_status shown = pool_flow_shown(flow);
+	gb_flow_status shown = pool_flow_visible_status(flow);
 
 	waiter->token = token;
 	waiter->change = flow->change;
@@ -240,7 +240,7 @@
 }
 
 void
-pool_flow_ask_ends(struct gb_pool *pool, struct pool_flow *flow)
+pool_flow_answer_queries(struct gb_pool *pool, struct pool_flow *flow)
 {
 	struct pool_waiter *waiter;
 	struct pool_waiter *next;
@@ -251,7 +251,7 @@
 		if (!waiter->asks)
 			continue;
 		STAILQ_REMOVE(&flow->waiters, waiter, pool_waiter, next);
-		waiter->status = pool_flow_shown(flow);
+		waiter->status = pool_flow_visible_status(flow);
 		flow_answer(pool, waiter, GB_FLOW_ACCEPTED);
 		free(waiter);
 	}
@@ -312,7 +312,7 @@
 }
 
 gb_flow_status
-pool_flow_shown(const struct pool_flow *flow)
+pool_flow_visible_status(const struct pool_flow *flow)
 {
 	if (flow->status >= GB_FLOW_SUCCEEDED &&
 	    (flow->closed || flow->stored >= flow->change))
@@ -346,8 +346,8 @@
 }
 
 uint32_t
-pool_flow_waiting(const struct gb_pool *pool, const struct pool_flow *flow,
-    const struct pool_step *step)
+pool_flow_startable_count(const struct gb_pool *pool,
+    const struct pool_flow *flow, const struct pool_step *step)
 {
 	uint32_t remaining = step->spec->count - step->done;
 	uint32_t blocked;
@@ -358,13 +358,14 @@
 	    !step->fresh)
 		return 0;
 	if ((step->spec->flags & GB_STEP_GANG) != 0)
-		return step->active > 0 || pool_crash_held_count(flow, step) > 0
+		return step->active > 0 ||
+			       pool_crash_blocked_count(flow, step) > 0
 			   ? 0
 			   : remaining;
 	/* Finished tasks may have a run that is still being stopped. */
 	remaining =
 	    remaining > step->active_open ? remaining - step->active_open : 0;
-	blocked = pool_crash_held_count(flow, step);
+	blocked = pool_crash_blocked_count(flow, step);
 	return remaining > blocked ? remaining - blocked : 0;
 }
 
@@ -499,7 +500,7 @@
 step_fail_task(struct gb_pool *pool, struct pool_flow *flow,
     struct pool_task *task, uint64_t run_number)
 {
-	if (!pool_task_failed_once(task, run_number))
+	if (!pool_task_count_failed_run(task, run_number))
 		return; /* already counted, perhaps for another member of the
 			   gang */
 	pool_flow_changed(pool, flow, false);
@@ -509,7 +510,7 @@
 }
 
 void
-pool_flow_ended(struct gb_pool *pool, struct pool_flow *flow,
+pool_flow_run_ended(struct gb_pool *pool, struct pool_flow *flow,
     const struct gb_pool_run_report *report, struct pool_worker *worker)
 {
 	struct pool_step *step = &flow->steps[report->step];
@@ -539,8 +540,9 @@
 		step_finish_task(pool, flow, report->step, report->index);
 		return;
 	}
-	if (report->outcome == GB_POOL_FAILED && run_time > step->failed_took)
-		step->failed_took = run_time;
+	if (report->outcome == GB_POOL_FAILED &&
+	    run_time > step->failed_run_time)
+		step->failed_run_time = run_time;
 	if (report->outcome == GB_POOL_FAILED)
 		step_fail_task(pool, flow, state_task, report->run);
 	pool_flow_gang_broken(
--- a/libgooseberry/pool/flow_state.c
+++ b/libgooseberry/pool/flow_state.c
@@ -61,7 +61,7 @@
 
 	for (i = 0; step->suspects + step->plans > 0 && i < step->spec->count;
 	     i++) {
-		if (!pool_crash_stored(&step->tasks[i]))
+		if (!pool_crash_needs_store(&step->tasks[i]))
 			continue;
 		out = &state->crashes.crashes_val[state->crashes.crashes_len++];
 		out->step = number;
@@ -148,7 +148,7 @@
 }
 
 bool
-pool_task_failed_once(struct pool_task *task, uint64_t run)
+pool_task_count_failed_run(struct pool_task *task, uint64_t run)
 {
 	uint32_t i;
 
@@ -170,7 +170,7 @@
 	u_int i;
 
 	for (i = 0; i < state->failed_runs.failed_runs_len; i++)
-		pool_task_failed_once(
+		pool_task_count_failed_run(
 		    task, state->failed_runs.failed_runs_val[i]);
 	if (state->checkpoint[0] != '\0')
 		pool_task_checkpoint(task, state->checkpoint);
--- a/libgooseberry/pool/health.c
+++ b/libgooseberry/pool/health.c
@@ -43,7 +43,7 @@
 					: worker->quarantine_length * 2;
 	if (worker->quarantine_length > HEALTH_QUARANTINE_MAX)
 		worker->quarantine_length = HEALTH_QUARANTINE_MAX;
-	if (POOL_USES(pool, GB_FEATURE_QUARANTINE))
+	if (POOL_FEATURE_ENABLED(pool, GB_FEATURE_QUARANTINE))
 		worker->quarantined_until =
 		    pool->now + worker->quarantine_length;
 	worker->failures = HEALTH_FAILURES_MAX - 1;
@@ -63,21 +63,21 @@
 	struct pool_step *step = &run->flow->steps[run->step];
 	double expected;
 
-	if (step->took_runs > 0) {
-		expected = (double)step->took / step->took_runs;
+	if (step->done_runs > 0) {
+		expected = (double)step->took / step->done_runs;
 		worker->slowness +=
 		    HEALTH_SLOWNESS_WEIGHT *
 		    ((double)took / expected - worker->slowness);
 	}
 	step->took += took;
-	step->took_runs++;
+	step->done_runs++;
 }
 
 static void
 queue_update_averages(struct gb_pool *pool, const struct pool_run *run)
 {
 	struct pool_queue_stat *stat =
-	    pool_rank_queue(pool, run->flow->spec.queue);
+	    pool_rank_queue_stat(pool, run->flow->spec.queue);
 	double took = (double)(pool->now - run->started);
 	double declared = (double)run->flow->steps[run->step].spec->estimate_us;
 
--- a/libgooseberry/pool/incarnation.c
+++ b/libgooseberry/pool/incarnation.c
@@ -158,7 +158,7 @@
 {
 	return run->start_call == 0 && run->confirmed != 0 &&
 	       run->confirmed < sent &&
-	       (report == NULL || !pool_report_names(report, run));
+	       (report == NULL || !pool_report_lists_run(report, run));
 }
 
 /** Loses the runs of the previous incarnation. Others may have reached the new
@@ -196,8 +196,9 @@
 
 	worker->lapse_at = pool->now;
 	if (maybe_leased && left > 0)
-		worker->lapse_at += left * GB_MSEC * 1000 / POOL_CLOCK_SLOWEST +
-				    POOL_LEASE_MARGIN;
+		worker->lapse_at +=
+		    left * GB_MSEC * 1000 / POOL_CLOCK_RATE_MIN +
+		    POOL_LEASE_MARGIN;
 	else
 		worker->lease_end_ms = 0;
 }
@@ -231,7 +232,7 @@
 	pool_incarnation_fence(worker);
 	/* A successor compares the incarnation that answers it with the stored
 	 * one. */
-	pool_worker_set_mark(pool, worker);
+	pool_worker_set_mark_dirty(pool, worker);
 	pool->work_changed = true;
 }
 
@@ -260,10 +261,10 @@
 	if (incarnation != 0 && worker->recorded_incarnation != 0 &&
 	    incarnation != worker->recorded_incarnation) {
 		worker->missed = pool->now;
-		pool_crash_unseen(pool, worker);
+		pool_crash_mark_unknown_loss(pool, worker);
 	}
 	if (incarnation != worker->recorded_incarnation)
-		pool_worker_set_mark(pool, worker);
+		pool_worker_set_mark_dirty(pool, worker);
 }
 
 void
@@ -298,7 +299,7 @@
 	incarnation_event(pool, worker, entry->incarnation, NULL);
 	pool->stats.workers_ended++;
 	incarnation_runs_lost(pool, worker, pool->now, NULL);
-	pool_crash_worker_known(pool, worker, true);
+	pool_crash_losses_resolve(pool, worker, true);
 	incarnation_begin(pool, worker, 0);
 }
 
--- a/libgooseberry/pool/listing.c
+++ b/libgooseberry/pool/listing.c
@@ -48,11 +48,11 @@
     const struct gb_pool *pool, const struct pool_worker *worker)
 {
 	return pool->config == NULL ||
-	       gb_pool_config_serves(pool->config, worker->entry.service);
+	       gb_pool_config_has_service(pool->config, worker->entry.service);
 }
 
 void
-pool_workers_served(struct gb_pool *pool)
+pool_workers_check_services(struct gb_pool *pool)
 {
 	uint32_t i;
 
@@ -146,7 +146,8 @@
 }
 
 void
-pool_worker_entry(struct gb_pool *pool, const struct gb_pool_entry *listed)
+pool_worker_apply_entry(
+    struct gb_pool *pool, const struct gb_pool_entry *listed)
 {
 	struct pool_worker *worker = pool_worker_find(pool, listed->id);
 	struct gb_pool_entry copy = *listed;
@@ -177,7 +178,7 @@
 		worker->leaving = entry->draining;
 	worker->listed = true;
 	worker->served = worker_service_known(pool, worker);
-	pool_worker_set_want(pool, worker);
+	pool_worker_set_mark_missing(pool, worker);
 	worker_rack(worker);
 	pool->work_changed = true;
 }
--- a/libgooseberry/pool/load.c
+++ b/libgooseberry/pool/load.c
@@ -79,7 +79,7 @@
 	if (!pool_flow_load(pool, flow, state))
 		row_log_unreadable(pool, "states", row);
 	else if (!flow->owned && flow->status < GB_FLOW_SUCCEEDED)
-		pool_writer_dirty(pool, flow, true);
+		pool_writer_mark_dirty(pool, flow, true);
 	flow->ended = pool->now;
 	pool_flow_state_clear(state);
 	free(state);
@@ -158,7 +158,7 @@
 	    pool, POOL_CALL_LOAD_STATES, number, GB_POOL_STATES, "", "");
 	pool_page_add(pool, POOL_CALL_LOAD_WORKERS, number, GB_POOL_OWNERS,
 	    GB_POOL_WORKERS_KEY, GB_POOL_WORKERS_KEY "~");
-	pool_pages_next(pool);
+	pool_pages_send(pool);
 }
 
 /** Requests the next page, or the first page of the next table. */
@@ -185,7 +185,7 @@
 }
 
 /** Applies a page of a partition. */
-static enum pool_load
+static enum pool_load_result
 page_apply(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
@@ -203,35 +203,35 @@
 			load_workers(pool, call->partition, &res->rows[i]);
 	}
 	if (call->kind != POOL_CALL_LOAD_WORKERS) {
-		pool_page_learn(pool,
+		pool_page_update_row_size(pool,
 		    call->kind == POOL_CALL_LOAD_STATES ? GB_POOL_STATES
 							: GB_POOL_FLOWS,
 		    res);
 		load_next(pool, call, res);
 	}
 	if (--partition->loads_in_flight > 0)
-		return POOL_LOAD_GOES_ON;
+		return POOL_LOAD_CONTINUES;
 	load_close_flows(pool, call->partition);
 	return POOL_LOAD_DONE;
 }
 
-enum pool_load
+enum pool_load_result
 pool_load_done(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
 	const struct pool_partition *partition =
 	    &pool->partitions[call->partition];
-	struct pool_page *page = pool_page_answered(pool, call);
-	enum pool_load result = POOL_LOAD_GOES_ON;
+	struct pool_page *page = pool_page_remove_sent(pool, call);
+	enum pool_load_result result = POOL_LOAD_CONTINUES;
 
 	if (call->round == partition->round &&
 	    partition->attach == POOL_ATTACH_LOADING) {
 		if (page != NULL && pool_page_retry(pool, page, res))
-			return POOL_LOAD_GOES_ON;
+			return POOL_LOAD_CONTINUES;
 		result = page_apply(pool, call, res);
 	}
 	pool_page_free(pool, page);
-	pool_pages_next(pool);
+	pool_pages_send(pool);
 	return result;
 }
 
@@ -245,7 +245,7 @@
 		return;
 	pool_page_add(
 	    pool, POOL_CALL_INBOX_LIST, partition, GB_POOL_INBOX, "", "");
-	pool_pages_next(pool);
+	pool_pages_send(pool);
 }
 
 static void
@@ -257,12 +257,12 @@
 	size_t i;
 
 	if (res->row_count > 0)
-		pool->inbox_at = pool->now + INBOX_NEXT_PAUSE;
+		pool->inbox_read_at = pool->now + INBOX_NEXT_PAUSE;
 	for (i = 0; i < res->row_count; i++) {
 		flow = pool_flow_find(pool, res->rows[i].key);
 		if (flow != NULL) {
 			flow->in_inbox = true;
-			pool_writer_dirty(pool, flow, false);
+			pool_writer_mark_dirty(pool, flow, false);
 			continue;
 		}
 		snprintf(to, sizeof(to), "%.200s0", res->rows[i].key);
@@ -289,7 +289,7 @@
 	flow->fresh = true;
 	flow->stored = flow->change;
 	flow->in_inbox = true;
-	pool_writer_dirty(pool, flow, true);
+	pool_writer_mark_dirty(pool, flow, true);
 	pool->work_changed = true;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "flow_adopted", "{s:s}",
 	    "flow", flow->spec.id);
@@ -303,11 +303,11 @@
 		      pool_partition_attached(pool, call->partition);
 
 	if (wanted && call->kind == POOL_CALL_INBOX_LIST) {
-		pool_page_learn(pool, GB_POOL_INBOX, res);
+		pool_page_update_row_size(pool, GB_POOL_INBOX, res);
 		inbox_list_apply(pool, call->partition, res);
 	} else if (wanted) {
 		inbox_flow_apply(pool, res);
 	}
-	pool_page_free(pool, pool_page_answered(pool, call));
-	pool_pages_next(pool);
+	pool_page_free(pool, pool_page_remove_sent(pool, call));
+	pool_pages_send(pool);
 }
--- a/libgooseberry/pool/org.c
+++ b/libgooseberry/pool/org.c
@@ -64,7 +64,7 @@
 }
 
 void
-pool_org_count(struct pool_org *org, bool over_share)
+pool_org_count_accepted(struct pool_org *org, bool over_share)
 {
 	if (org == NULL)
 		return;
@@ -73,7 +73,7 @@
 }
 
 void
-pool_org_refused(struct gb_pool *pool, const char *name)
+pool_org_count_refused(struct gb_pool *pool, const char *name)
 {
 	struct pool_org *org = pool_org_get(pool, name);
 
@@ -98,7 +98,7 @@
 }
 
 size_t
-gb_pool_orgs(
+gb_pool_org_stats(
     const struct gb_pool *pool, struct gb_pool_org_stat *out, size_t max)
 {
 	const struct pool_org *org;
@@ -123,13 +123,13 @@
 }
 
 gb_flow_verdict
-pool_org_judge(const struct gb_pool *pool, const gb_flow_caller *caller)
+pool_org_authorise(const struct gb_pool *pool, const gb_flow_caller *caller)
 {
 	struct gb_pool_key_digest digest;
 	const struct gb_pool_org *org;
 
 	if (pool->config == NULL || pool->config->version < caller->config)
-		return GB_FLOW_BEHIND;
+		return GB_FLOW_CONFIG_OLDER;
 	if (pool->config->version == caller->config ||
 	    caller->key.key_len != sizeof(digest.bytes))
 		return GB_FLOW_ACCEPTED;
--- a/libgooseberry/pool/org.h
+++ b/libgooseberry/pool/org.h
@@ -39,22 +39,23 @@
 void pool_orgs_configure(struct gb_pool *);
 void pool_orgs_free(struct gb_pool *);
 /** Counts an accepted flow of an organisation. */
-void pool_org_count(struct pool_org *, bool over_share);
+void pool_org_count_accepted(struct pool_org *, bool over_share);
 /** Counts a submission of an organisation that was not admitted. */
-void pool_org_refused(struct gb_pool *, const char *name);
+void pool_org_count_refused(struct gb_pool *, const char *name);
 /** Authorises a caller by the newer of two configurations: that of the node
  * which took its call, and the owner's. */
-gb_flow_verdict pool_org_judge(const struct gb_pool *, const gb_flow_caller *);
+gb_flow_verdict pool_org_authorise(
+    const struct gb_pool *, const gb_flow_caller *);
 
 /* share.c */
 /** Charges a submission to the share of its organisation; returns whether it is
  * beyond the share. */
-bool pool_share_take(struct pool_org *, gb_time now);
+bool pool_share_charge(struct pool_org *, gb_time now);
 
 /* quota.c */
 /** Adds a run to the use of its organisation, or removes it. */
-void pool_quota_take(struct pool_org *, const gb_res *);
-void pool_quota_give(struct pool_org *, const gb_res *);
+void pool_quota_add_run(struct pool_org *, const gb_res *);
+void pool_quota_remove_run(struct pool_org *, const gb_res *);
 /** Number of tasks, at most `wanted`, that an organisation may start now. */
 uint32_t pool_quota_fits(const struct gb_pool *, const struct pool_org *,
     const gb_res *each, uint32_t wanted);
@@ -63,6 +64,6 @@
     const struct gb_pool_amount *quota, const gb_res *each, uint32_t count);
 /** Computes the capacity that may be used by runs which this owner doesn't know
  * of. */
-void pool_quota_doubt(struct gb_pool *);
+void pool_quota_update_uncertain(struct gb_pool *);
 
 #endif
--- a/libgooseberry/pool/org_config.c
+++ b/libgooseberry/pool/org_config.c
@@ -60,16 +60,16 @@
 	static const char *const names[GB_POOL_ORG_ERRORS] = {
 	    [GB_POOL_ORG_VALID] = "sound",
 	    [GB_POOL_ORG_UNNAMED] = "unnamed",
-	    [GB_POOL_ORG_TWICE] = "named_twice",
+	    [GB_POOL_ORG_DUPLICATE] = "named_twice",
 	    [GB_POOL_ORG_RANGE] = "out_of_range",
-	    [GB_POOL_ORG_KEY] = "key_unreadable",
+	    [GB_POOL_ORG_KEY_INVALID] = "key_unreadable",
 	    [GB_POOL_ORG_KEY_SHARED] = "key_shared"};
 
 	return names[error];
 }
 
 void
-gb_pool_config_orgs(struct gb_pool_config *config, size_t max)
+gb_pool_config_orgs_alloc(struct gb_pool_config *config, size_t max)
 {
 	config->keyed = true;
 	config->orgs = gb_calloc(max, sizeof(*config->orgs));
@@ -95,7 +95,7 @@
 	if (org->quota.cpu < 0 || org->quota.mem < 0 || org->quota.accel < 0)
 		return GB_POOL_ORG_RANGE;
 	if (gb_pool_config_org(config, org->name) != NULL)
-		return GB_POOL_ORG_TWICE;
+		return GB_POOL_ORG_DUPLICATE;
 	return GB_POOL_ORG_VALID;
 }
 
@@ -127,8 +127,8 @@
 	struct gb_pool_key_digest digest;
 
 	if (text == NULL || text[0] == '\0') {
-		config->org_errors[GB_POOL_ORG_KEY]++;
-		return GB_POOL_ORG_KEY;
+		config->org_errors[GB_POOL_ORG_KEY_INVALID]++;
+		return GB_POOL_ORG_KEY_INVALID;
 	}
 	gb_pool_key_digest(text, &digest);
 	return gb_pool_config_digest_add(config, &digest);
@@ -165,7 +165,7 @@
 }
 
 size_t
-gb_pool_config_keys(const struct gb_pool_config *config)
+gb_pool_config_key_count(const struct gb_pool_config *config)
 {
 	return HASH_COUNT(config->keys);
 }
--- a/libgooseberry/pool/owner.c
+++ b/libgooseberry/pool/owner.c
@@ -57,7 +57,7 @@
 }
 
 bool
-pool_partition_coming(const struct gb_pool *pool, uint32_t partition)
+pool_partition_attach_likely(const struct gb_pool *pool, uint32_t partition)
 {
 	return pool->partitions[partition].attach_failures == 0;
 }
@@ -245,7 +245,7 @@
 	    partitions_at_least(pool, POOL_ATTACH_LOADING) >= OWNER_MAJORITY) {
 		pool->phase = POOL_OWNER_LOADING;
 		pool->epoch = pool->claim_epoch;
-		pool->claimed_at = pool->now;
+		pool->claim_won_at = pool->now;
 		gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "ownership_claimed",
 		    "{s:I}", "epoch", (json_int_t)pool->epoch);
 	}
@@ -281,8 +281,8 @@
 {
 	struct pool_partition *partition = &pool->partitions[number];
 
-	if (partition->row_vacant || number == pool->claim_first ||
-	    pool->now - pool->taken_at > OWNER_RIVAL_TIMEOUT)
+	if (partition->row_vacant || number == pool->claim_deciding_partition ||
+	    pool->now - pool->claim_began_at > OWNER_RIVAL_TIMEOUT)
 		owner_give_up(pool, "another node was first");
 	else
 		partition_attach_retry(pool, partition, ATTACH_RIVAL_PAUSE);
@@ -301,7 +301,7 @@
 		    pool, "another node owns the pool", partition->row_epoch);
 	else if (partition->row_epoch > pool->claim_epoch)
 		owner_give_up(pool, "another node was first");
-	else if (partition->row_own)
+	else if (partition->row_written_by_claim)
 		partition_claimed(pool, number);
 	else if (partition->row_epoch == pool->claim_epoch &&
 		 pool->phase < POOL_OWNER_LOADING)
@@ -321,15 +321,15 @@
 	uint32_t i;
 
 	pool->claim_epoch = pool->epoch + 1;
-	pool->claim_first = GB_POOL_PARTITIONS;
+	pool->claim_deciding_partition = GB_POOL_PARTITIONS;
 	pool->phase = POOL_OWNER_CLAIMING;
 	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
 		const struct pool_partition *partition = &pool->partitions[i];
 
 		if (partition->attach != POOL_ATTACH_READ)
 			continue;
-		if (pool->claim_first == GB_POOL_PARTITIONS)
-			pool->claim_first = i;
+		if (pool->claim_deciding_partition == GB_POOL_PARTITIONS)
+			pool->claim_deciding_partition = i;
 		if (partition->row_epoch >= pool->claim_epoch)
 			pool->claim_epoch = partition->row_epoch + 1;
 		if (partition->row_epoch > newest) {
@@ -358,7 +358,7 @@
 	partition->owner_vers = 0;
 	partition->row_epoch = 0;
 	partition->row_vacant = true;
-	partition->row_own = false;
+	partition->row_written_by_claim = false;
 	memset(
 	    &partition->row_contention, 0, sizeof(partition->row_contention));
 	if (res->row_count == 0)
@@ -368,7 +368,7 @@
 	partition->owner_vers = res->rows[0].vers;
 	partition->row_epoch = row->epoch;
 	partition->row_vacant = row->addr[0] == '\0';
-	partition->row_own =
+	partition->row_written_by_claim =
 	    pool->claim_epoch != 0 && row->epoch == pool->claim_epoch &&
 	    !partition->row_vacant && row->incarnation == pool->cfg.incarnation;
 	partition->row_contention.count = record.contested;
@@ -401,7 +401,7 @@
 		partition_claim(pool, number);
 		return;
 	}
-	if (partition->row_epoch > pool->claim_after &&
+	if (partition->row_epoch > pool->claim_previous_epoch &&
 	    !partition->row_vacant) {
 		owner_give_up(pool, "another node was first");
 		return;
@@ -427,7 +427,7 @@
 	} else if (res->status != GB_STORE_CONFLICT) {
 		partition_attach_failed(pool, call->partition);
 	} else if (pool->phase == POOL_OWNER_CLAIMING &&
-		   call->partition == pool->claim_first) {
+		   call->partition == pool->claim_deciding_partition) {
 		pool_rival_conflict(pool, res);
 		owner_give_up(pool, "another node was first");
 	} else {
@@ -441,26 +441,26 @@
 partition_attached(struct gb_pool *pool, uint32_t number)
 {
 	struct pool_partition *partition = &pool->partitions[number];
-	gb_time lease = pool_worker_lease_most(pool);
+	gb_time lease = pool_worker_lease_max(pool);
 
 	partition->attach = POOL_ATTACH_DONE;
 	partition->attach_failures = 0;
 	partition->renewed = pool->now;
 	partition->attached_at = pool->now;
 	partition->reconcile_at = pool->now +
-				  lease * 1000 / POOL_CLOCK_SLOWEST +
+				  lease * 1000 / POOL_CLOCK_RATE_MIN +
 				  OWNER_RECONCILE_MARGIN;
 	/* Without a row there was no earlier owner. */
 	partition->reconciled = partition->row_epoch == 0;
-	partition->lost_unseen = false;
-	pool->inbox_at = pool->now;
+	partition->has_unknown_losses = false;
+	pool->inbox_read_at = pool->now;
 	pool->work_changed = true;
 	pool_report_partition_attached(pool, number);
 	if (pool->phase == POOL_OWNER_ACTIVE)
 		gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "part_attached",
 		    "{s:I, s:I, s:I}", "part", (json_int_t)number, "epoch",
 		    (json_int_t)pool->epoch, "after_ms",
-		    (json_int_t)((pool->now - pool->taken_at) / GB_MSEC));
+		    (json_int_t)((pool->now - pool->claim_began_at) / GB_MSEC));
 }
 
 static bool
@@ -470,7 +470,7 @@
 
 	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
 		if (!pool_partition_attached(pool, i) &&
-		    pool_partition_coming(pool, i))
+		    pool_partition_attach_likely(pool, i))
 			return true;
 	}
 	return false;
@@ -484,18 +484,19 @@
 	if (pool->phase != POOL_OWNER_LOADING ||
 	    partitions_at_least(pool, POOL_ATTACH_DONE) < OWNER_MAJORITY ||
 	    (partitions_attach_pending(pool) &&
-		pool->now - pool->claimed_at < OWNER_ATTACH_WAIT))
+		pool->now - pool->claim_won_at < OWNER_ATTACH_WAIT))
 		return;
 	pool->phase = POOL_OWNER_ACTIVE;
 	pool->confirmed = pool->now;
 	pool->stats.takeovers++;
-	gb_histogram_add(&pool->stats.takeover_us, pool->now - pool->taken_at);
+	gb_histogram_add(
+	    &pool->stats.takeover_us, pool->now - pool->claim_began_at);
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "ownership_gained",
 	    "{s:I, s:I, s:I, s:I, s:I}", "epoch", (json_int_t)pool->epoch,
 	    "parts", (json_int_t)partitions_at_least(pool, POOL_ATTACH_DONE),
 	    "open_flows", (json_int_t)pool->open_count, "workers",
 	    (json_int_t)pool->worker_count, "took_ms",
-	    (json_int_t)((pool->now - pool->taken_at) / GB_MSEC));
+	    (json_int_t)((pool->now - pool->claim_began_at) / GB_MSEC));
 	pool->ops.owner(pool->ops.data, true, pool->epoch);
 }
 
@@ -504,7 +505,7 @@
     const struct gb_pool_read_res *res)
 {
 	switch (pool_load_done(pool, call, res)) {
-	case POOL_LOAD_GOES_ON:
+	case POOL_LOAD_CONTINUES:
 		break;
 	case POOL_LOAD_DONE:
 		partition_attached(pool, call->partition);
@@ -525,7 +526,7 @@
 		pool->confirmed = call->sent;
 	switch (call->kind) {
 	case POOL_CALL_PROBE:
-		pool_writer_probed(pool, call, res);
+		pool_writer_probe_done(pool, call, res);
 		break;
 	case POOL_CALL_OWNER_READ:
 		partition_row_read_done(pool, call->partition, res);
@@ -541,7 +542,8 @@
 }
 
 void
-pool_owner_take(struct gb_pool *pool, uint64_t after, enum takeover_cause cause)
+pool_owner_acquire(
+    struct gb_pool *pool, uint64_t after, enum takeover_cause cause)
 {
 	uint32_t i;
 
@@ -550,8 +552,8 @@
 	pool->term++;
 	owner_clear(pool);
 	pool->phase = POOL_OWNER_READING;
-	pool->taken_at = pool->now;
-	pool->claim_after = after;
+	pool->claim_began_at = pool->now;
+	pool->claim_previous_epoch = after;
 	memset(&pool->rival, 0, sizeof(pool->rival));
 	pool->claim_cause = cause;
 	memset(&pool->rival, 0, sizeof(pool->rival));
@@ -602,14 +604,14 @@
 	if (!all_reported && pool->now < partition->reconcile_at)
 		return;
 	partition->reconciled = true;
-	if (!all_reported || partition->lost_unseen)
-		pool_crash_watch(pool, number);
+	if (!all_reported || partition->has_unknown_losses)
+		pool_crash_plan_starts(pool, number);
 	pool->work_changed = true;
 	gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "takeover_settled",
 	    "{s:I, s:I, s:I, s:b}", "epoch", (json_int_t)pool->epoch, "part",
 	    (json_int_t)number, "took_ms",
-	    (json_int_t)((pool->now - pool->taken_at) / GB_MSEC), "all_workers",
-	    all_reported);
+	    (json_int_t)((pool->now - pool->claim_began_at) / GB_MSEC),
+	    "all_workers", all_reported);
 }
 
 static void
@@ -625,7 +627,7 @@
 	last_written = number < GB_POOL_PARTITIONS_RENEWED ? partition->renewed
 							   : partition->sent;
 	if (partition->attach == POOL_ATTACH_DONE &&
-	    pool->now - last_written > POOL_OWNER_RENEW)
+	    pool->now - last_written > POOL_OWNER_RENEW_INTERVAL)
 		partition->renew = true;
 }
 
@@ -634,9 +636,9 @@
 {
 	uint32_t i;
 
-	if (pool->inbox_at > pool->now)
+	if (pool->inbox_read_at > pool->now)
 		return;
-	pool->inbox_at = pool->now + OWNER_INBOX_INTERVAL;
+	pool->inbox_read_at = pool->now + OWNER_INBOX_INTERVAL;
 	for (i = 0; i < GB_POOL_PARTITIONS; i++)
 		pool_load_inbox(pool, i);
 }
@@ -649,12 +651,13 @@
 	if (pool->phase == POOL_OWNER_NONE)
 		return;
 	if (pool->phase == POOL_OWNER_RELEASING) {
-		if (pool_writer_idle(pool) || pool->now > pool->release_by)
+		if (pool_writer_idle(pool) ||
+		    pool->now > pool->release_timeout_at)
 			pool_owner_lose(pool, "released", 0);
 		return;
 	}
 	if (pool->phase < POOL_OWNER_LOADING &&
-	    pool->now - pool->taken_at > OWNER_CLAIM_TIMEOUT) {
+	    pool->now - pool->claim_began_at > OWNER_CLAIM_TIMEOUT) {
 		owner_give_up(pool, "most parts could not be claimed in time");
 		return;
 	}
@@ -668,7 +671,7 @@
 }
 
 void
-pool_owner_alive(struct gb_pool *pool, uint64_t incarnation)
+pool_owner_process_alive(struct gb_pool *pool, uint64_t incarnation)
 {
 	uint32_t i;
 
@@ -694,7 +697,7 @@
 		return;
 	}
 	pool->phase = POOL_OWNER_RELEASING;
-	pool->release_by = pool->now + OWNER_RELEASE_TIMEOUT;
+	pool->release_timeout_at = pool->now + OWNER_RELEASE_TIMEOUT;
 	for (i = 0; i < GB_POOL_PARTITIONS; i++)
 		pool->partitions[i].renew = pool_partition_attached(pool, i);
 }
--- a/libgooseberry/pool/pace.c
+++ b/libgooseberry/pool/pace.c
@@ -49,25 +49,26 @@
 {
 	struct gb_pool_link link = {0};
 
-	if (pool->ops.link != NULL && POOL_USES(pool, GB_FEATURE_PACING))
+	if (pool->ops.link != NULL &&
+	    POOL_FEATURE_ENABLED(pool, GB_FEATURE_PACING))
 		pool->ops.link(pool->ops.data, &link);
 	return link;
 }
 
 uint64_t
-pool_pace_rate(const struct gb_pool *pool)
+pool_pace_bandwidth(const struct gb_pool *pool)
 {
 	return pace_link(pool).bytes_per_s;
 }
 
 bool
-pool_pace_starts(const struct gb_pool *pool)
+pool_pace_may_send_starts(const struct gb_pool *pool)
 {
 	return pace_link(pool).queued <= PACE_STARTS_QUEUED_MAX;
 }
 
 bool
-pool_pace_advice(const struct gb_pool *pool)
+pool_pace_may_ask_advice(const struct gb_pool *pool)
 {
 	return pace_link(pool).queued <= PACE_ADVICE_QUEUED_MAX;
 }
@@ -81,7 +82,7 @@
 uint32_t
 pool_pace_first_heartbeats(const struct gb_pool *pool)
 {
-	uint64_t rate = pool_pace_rate(pool);
+	uint64_t rate = pool_pace_bandwidth(pool);
 	uint64_t count =
 	    rate * PACE_FIRST_LINK_TIME / GB_SEC / PACE_FIRST_BYTES;
 
@@ -97,13 +98,13 @@
 }
 
 uint64_t
-pool_pace_bytes(const struct pool_flow *flow, uint32_t tasks)
+pool_pace_start_bytes(const struct pool_flow *flow, uint32_t tasks)
 {
 	return (uint64_t)tasks * (PACE_START_BYTES + strlen(flow->spec.spec));
 }
 
 gb_time
-pool_pace_wait(const struct gb_pool *pool)
+pool_pace_starts_wait(const struct gb_pool *pool)
 {
 	struct gb_pool_link link = pace_link(pool);
 
--- a/libgooseberry/pool/page.c
+++ b/libgooseberry/pool/page.c
@@ -61,7 +61,7 @@
 static uint64_t
 pages_link_bytes(const struct gb_pool *pool)
 {
-	return pool_pace_rate(pool) * PAGES_LINK_TIME / GB_SEC;
+	return pool_pace_bandwidth(pool) * PAGES_LINK_TIME / GB_SEC;
 }
 
 static uint32_t
@@ -116,7 +116,7 @@
 			 ? 1
 			 : page_rows(pool, page->table);
 	if (pages_paced(pool))
-		read.patience = PAGE_TIMEOUT;
+		read.min_timeout = PAGE_TIMEOUT;
 	call->partition = page->partition;
 	call->round = page->round;
 	page->call = call->id;
@@ -128,7 +128,7 @@
 }
 
 void
-pool_pages_next(struct gb_pool *pool)
+pool_pages_send(struct gb_pool *pool)
 {
 	struct pool_page *page;
 
@@ -162,7 +162,7 @@
 }
 
 struct pool_page *
-pool_page_answered(struct gb_pool *pool, const struct pool_call *call)
+pool_page_remove_sent(struct gb_pool *pool, const struct pool_call *call)
 {
 	struct pool_page *page;
 
@@ -191,7 +191,7 @@
 }
 
 void
-pool_page_learn(struct gb_pool *pool, enum gb_pool_table table,
+pool_page_update_row_size(struct gb_pool *pool, enum gb_pool_table table,
     const struct gb_pool_read_res *res)
 {
 	uint64_t bytes = 0;
--- a/libgooseberry/pool/pool.c
+++ b/libgooseberry/pool/pool.c
@@ -128,24 +128,24 @@
 /* Ownership --------------------------------------------------------------- */
 
 void
-gb_pool_take(struct gb_pool *pool, gb_time now, uint64_t after,
+gb_pool_acquire(struct gb_pool *pool, gb_time now, uint64_t after,
     enum takeover_cause cause)
 {
 	pool->now = now;
-	pool_owner_take(pool, after, cause);
+	pool_owner_acquire(pool, after, cause);
 }
 
 void
-gb_pool_handed(struct gb_pool *pool)
+gb_pool_handed_over(struct gb_pool *pool)
 {
 	contention_release(&pool->contention);
 }
 
 void
-gb_pool_alive(struct gb_pool *pool, gb_time now, uint64_t incarnation)
+gb_pool_process_alive(struct gb_pool *pool, gb_time now, uint64_t incarnation)
 {
 	pool->now = now;
-	pool_owner_alive(pool, incarnation);
+	pool_owner_process_alive(pool, incarnation);
 }
 
 void
@@ -156,7 +156,7 @@
 }
 
 void
-gb_pool_epoch_seen(struct gb_pool *pool, gb_time now, uint64_t epoch)
+gb_pool_epoch_found(struct gb_pool *pool, gb_time now, uint64_t epoch)
 {
 	pool->now = now;
 	if (epoch <= pool->epoch)
@@ -186,7 +186,7 @@
 	 * slow. */
 	return pool->phase == POOL_OWNER_LOADING ||
 	       (pool->phase == POOL_OWNER_CLAIMING &&
-		   pool->partitions[pool->claim_first].attach >=
+		   pool->partitions[pool->claim_deciding_partition].attach >=
 		       POOL_ATTACH_LOADING);
 }
 
@@ -220,12 +220,12 @@
 		pool_flow_configure(pool, flow);
 	}
 	pool_orgs_configure(pool);
-	pool_workers_served(pool);
+	pool_workers_check_services(pool);
 	pool->work_changed = true;
 }
 
 void
-gb_pool_workers(struct gb_pool *pool, gb_time now,
+gb_pool_workers_update(struct gb_pool *pool, gb_time now,
     const struct gb_pool_entry *entries, size_t count, bool whole)
 {
 	size_t i;
@@ -237,14 +237,15 @@
 			pool->workers[i]->listed = false;
 	}
 	for (i = 0; i < count; i++)
-		pool_worker_entry(pool, &entries[i]);
+		pool_worker_apply_entry(pool, &entries[i]);
 }
 
 void
-gb_pool_member(struct gb_pool *pool, gb_time now, const char *addr, bool usable)
+gb_pool_member_update(
+    struct gb_pool *pool, gb_time now, const char *addr, bool usable)
 {
 	pool->now = now;
-	pool_advice_channel(pool, addr, usable);
+	pool_advice_channel_update(pool, addr, usable);
 }
 
 /* Callers ----------------------------------------------------------------- */
@@ -269,7 +270,7 @@
 
 	if (pool_partition_attached(pool, partition))
 		return true;
-	if (pool_partition_coming(pool, partition)) {
+	if (pool_partition_attach_likely(pool, partition)) {
 		pool_answer(pool, token, GB_FLOW_NOT_OWNER, 0);
 		return false;
 	}
@@ -295,10 +296,10 @@
 	flow = pool_flow_new(pool, &copy);
 	flow->config = submit->caller.config;
 	flow->fresh = true;
-	flow->spec.over_share = pool_share_take(flow->org, pool->now);
+	flow->spec.over_share = pool_share_charge(flow->org, pool->now);
 	pool->stats.accepted++;
-	pool_org_count(flow->org, flow->spec.over_share);
-	pool_writer_dirty(pool, flow, true);
+	pool_org_count_accepted(flow->org, flow->spec.over_share);
+	pool_writer_mark_dirty(pool, flow, true);
 	pool_flow_wait(pool, flow, token, flow->change, GB_FLOW_QUEUED);
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "flow_accepted",
 	    "{s:s, s:s, s:s, s:b, s:I, s:I}", "flow", flow->spec.id, "queue",
@@ -322,7 +323,7 @@
 		pool_answer(pool, token, GB_FLOW_NOT_OWNER, 0);
 		return;
 	}
-	verdict = pool_org_judge(pool, &submit->caller);
+	verdict = pool_org_authorise(pool, &submit->caller);
 	flow = pool_flow_find(pool, submit->flow.id);
 	if (flow != NULL && !gb_flow_visible(flow->spec.org, submit->flow.org))
 		verdict = GB_FLOW_REFUSED;
@@ -332,7 +333,8 @@
 	}
 	if (flow != NULL) {
 		pool->stats.repeated++;
-		pool_flow_wait(pool, flow, token, 1, pool_flow_shown(flow));
+		pool_flow_wait(
+		    pool, flow, token, 1, pool_flow_visible_status(flow));
 		return;
 	}
 	if (!pool_partition_ready(pool, token, submit->flow.id))
@@ -344,7 +346,7 @@
 	}
 	if (!pool_admit(pool, &submit->flow, &retry_after, &why)) {
 		pool->stats.refused++;
-		pool_org_refused(pool, submit->flow.org);
+		pool_org_count_refused(pool, submit->flow.org);
 		gb_event(pool->cfg.events, GB_EVENT_NORMAL, "flow_refused",
 		    "{s:s, s:s, s:s, s:I, s:I}", "flow", submit->flow.id,
 		    "queue", submit->flow.queue, "why", why, "open_flows",
@@ -376,7 +378,7 @@
     struct gb_pool *pool, gb_time now, uint64_t token, const gb_flow_ask *ask)
 {
 	gb_flow_answer answer = {0};
-	gb_flow_verdict verdict = pool_org_judge(pool, &ask->caller);
+	gb_flow_verdict verdict = pool_org_authorise(pool, &ask->caller);
 	struct pool_flow *flow;
 
 	pool->now = now;
@@ -386,7 +388,7 @@
 	}
 	/* The caller's node has a newer configuration and has authorised the
 	 * caller by it. */
-	if (verdict != GB_FLOW_ACCEPTED && verdict != GB_FLOW_BEHIND) {
+	if (verdict != GB_FLOW_ACCEPTED && verdict != GB_FLOW_CONFIG_OLDER) {
 		pool_answer(pool, token, verdict, GB_SEC);
 		return;
 	}
@@ -409,7 +411,7 @@
 		pool_flow_wait(pool, flow, token, flow->change, flow->status);
 		return;
 	} else {
-		pool_flow_ask(pool, flow, token);
+		pool_flow_query(pool, flow, token);
 		return;
 	}
 	pool->ops.answer(pool->ops.data, token, &answer);
@@ -421,7 +423,7 @@
 gb_pool_start_done(struct gb_pool *pool, gb_time now, uint64_t id,
     const struct gb_pool_order_res *res)
 {
-	struct pool_call *call = pool_call_take(pool, id);
+	struct pool_call *call = pool_call_remove(pool, id);
 
 	pool->now = now;
 	if (call == NULL)
@@ -434,7 +436,7 @@
 gb_pool_stop_done(struct gb_pool *pool, gb_time now, uint64_t id,
     const struct gb_pool_order_res *res)
 {
-	struct pool_call *call = pool_call_take(pool, id);
+	struct pool_call *call = pool_call_remove(pool, id);
 
 	pool->now = now;
 	if (call == NULL)
@@ -447,7 +449,7 @@
 gb_pool_heartbeat_done(struct gb_pool *pool, gb_time now, uint64_t id,
     const struct gb_pool_report *report)
 {
-	struct pool_call *call = pool_call_take(pool, id);
+	struct pool_call *call = pool_call_remove(pool, id);
 
 	pool->now = now;
 	if (call == NULL)
@@ -473,7 +475,7 @@
 gb_pool_txn_done(struct gb_pool *pool, gb_time now, uint64_t id,
     const struct gb_pool_txn_res *res)
 {
-	struct pool_call *call = pool_call_take(pool, id);
+	struct pool_call *call = pool_call_remove(pool, id);
 
 	pool->now = now;
 	if (call == NULL)
@@ -489,7 +491,7 @@
 gb_pool_read_done(struct gb_pool *pool, gb_time now, uint64_t id,
     const struct gb_pool_read_res *res)
 {
-	struct pool_call *call = pool_call_take(pool, id);
+	struct pool_call *call = pool_call_remove(pool, id);
 
 	pool->now = now;
 	if (call == NULL)
--- a/libgooseberry/pool/preempt.c
+++ b/libgooseberry/pool/preempt.c
@@ -115,7 +115,7 @@
 	struct pool_run *victims[PREEMPT_WORKER_SLOTS_MAX];
 	uint32_t victim_count =
 	    worker_find_victims(pool, flow, worker, victims);
-	gb_res avail = pool_fit_free(worker);
+	gb_res avail = pool_fit_free_capacity(worker);
 	int64_t cost = 0;
 	uint32_t next = 0;
 	uint32_t count = 0;
@@ -249,9 +249,9 @@
 	enum pool_preempt_result result = POOL_PREEMPT_NONE;
 	struct preempt_slot *slots;
 
-	if (!POOL_USES(pool, GB_FEATURE_PREEMPTION) ||
+	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_PREEMPTION) ||
 	    pool->cfg.limits.stop_us > PREEMPT_STOP_TIME_MAX || spare < 0 ||
-	    step->preempt_at > pool->now || step->renews_in_flight > 0 ||
+	    step->preempt_at > pool->now || step->ticket_calls_in_flight > 0 ||
 	    (step->spec->flags & GB_STEP_SAME_RACK) != 0)
 		return POOL_PREEMPT_NONE;
 	if (step_find_slots(pool, flow, step, true, &slots) >= wanted) {
--- a/libgooseberry/pool/quota.c
+++ b/libgooseberry/pool/quota.c
@@ -40,7 +40,7 @@
 }
 
 void
-pool_quota_take(struct pool_org *org, const gb_res *res)
+pool_quota_add_run(struct pool_org *org, const gb_res *res)
 {
 	const struct gb_pool_amount amount = amount_of(res);
 
@@ -51,7 +51,7 @@
 }
 
 void
-pool_quota_give(struct pool_org *org, const gb_res *res)
+pool_quota_remove_run(struct pool_org *org, const gb_res *res)
 {
 	const struct gb_pool_amount amount = amount_of(res);
 
@@ -141,7 +141,7 @@
 }
 
 void
-pool_quota_doubt(struct gb_pool *pool)
+pool_quota_update_uncertain(struct gb_pool *pool)
 {
 	static const struct gb_pool_amount none;
 	bool reconciled = pool_owner_reconciled(pool);
--- a/libgooseberry/pool/rank.c
+++ b/libgooseberry/pool/rank.c
@@ -53,7 +53,7 @@
 enum rank_tier { RANK_ON_TIME, RANK_LATE, RANK_OVER_SHARE, RANK_TOO_LATE };
 
 struct pool_queue_stat *
-pool_rank_queue(struct gb_pool *pool, const char *name)
+pool_rank_queue_stat(struct gb_pool *pool, const char *name)
 {
 	struct pool_queue_stat *stat;
 
@@ -81,9 +81,10 @@
 }
 
 void
-pool_rank_learn(struct gb_pool *pool, const struct pool_flow *flow)
+pool_rank_update_flow_size(struct gb_pool *pool, const struct pool_flow *flow)
 {
-	struct pool_queue_stat *stat = pool_rank_queue(pool, flow->spec.queue);
+	struct pool_queue_stat *stat =
+	    pool_rank_queue_stat(pool, flow->spec.queue);
 	double cores = rank_flow_cores(flow);
 
 	if (stat->cores <= 0)
@@ -94,7 +95,8 @@
 
 /** Processors that the waiting gangs of a flow need, in thousandths. */
 double
-pool_rank_gangs_wait(const struct gb_pool *pool, const struct pool_flow *flow)
+pool_rank_waiting_gang_cores(
+    const struct gb_pool *pool, const struct pool_flow *flow)
 {
 	double cores = 0;
 	uint32_t i;
@@ -104,7 +106,7 @@
 
 		if ((step->spec->flags & GB_STEP_GANG) != 0)
 			cores += (double)step->spec->res.cpu *
-				 pool_flow_waiting(pool, flow, step);
+				 pool_flow_startable_count(pool, flow, step);
 	}
 	return cores;
 }
@@ -115,16 +117,16 @@
 rank_size_delay(
     const struct gb_pool *pool, const struct pool_flow *flow, gb_time spare)
 {
-	double own = pool_rank_gangs_wait(pool, flow);
-	double others = pool->gangs_wait - own;
+	double own = pool_rank_waiting_gang_cores(pool, flow);
+	double others = pool->waiting_gang_cores - own;
 	struct pool_queue_stat *stat;
 	double crowded;
 	double size;
 
 	HASH_FIND_STR(pool->queues, flow->spec.queue, stat);
-	if (!POOL_USES(pool, GB_FEATURE_SIZE_ORDER) || stat == NULL ||
-	    stat->cores <= 0 || pool->capacity <= 0 || others <= 0 ||
-	    own > RANK_FREE_SHARE_MAX * pool->capacity)
+	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_SIZE_ORDER) ||
+	    stat == NULL || stat->cores <= 0 || pool->capacity <= 0 ||
+	    others <= 0 || own > RANK_FREE_SHARE_MAX * pool->capacity)
 		return 0;
 	crowded = others / (RANK_CROWDED_SHARE * pool->capacity);
 	if (crowded > 1)
@@ -180,7 +182,7 @@
 		/* The objective grows by the time of runs that failed by their
 		 * own error. */
 		if (!unfinished_only)
-			chains[i] += step->failed_took;
+			chains[i] += step->failed_run_time;
 		if (chains[i] > longest)
 			longest = chains[i];
 	}
@@ -192,38 +194,41 @@
 {
 	const struct gb_pool_queue *queue = flow->queue;
 	gb_time chains[GB_STEPS_MAX] = {0};
-	double stretch = queue == NULL ? RANK_STRETCH_DEFAULT : queue->stretch;
-	gb_time target = queue == NULL ? GB_SEC : queue->target_us;
+	double objective_factor =
+	    queue == NULL ? RANK_STRETCH_DEFAULT : queue->objective_factor;
+	gb_time target = queue == NULL ? GB_SEC : queue->objective_base_us;
 	gb_time objective;
 
-	objective = target + (gb_time)(stretch * (double)rank_chain(pool, flow,
-						     chains, false));
+	objective =
+	    target + (gb_time)(objective_factor *
+			       (double)rank_chain(pool, flow, chains, false));
 	flow->chain = rank_chain(pool, flow, chains, true);
 	flow->due = flow->submitted + objective;
 	flow->late_due = flow->submitted + RANK_LATE_FACTOR * objective;
-	flow->yields = rank_size_delay(pool, flow, objective - flow->chain);
+	flow->size_delay = rank_size_delay(pool, flow, objective - flow->chain);
 	flow->ranked = flow->change;
 	flow->ranked_at = pool->now;
 }
 
 void
-pool_rank_flow(struct gb_pool *pool, struct pool_flow *flow)
+pool_rank_update_flow(struct gb_pool *pool, struct pool_flow *flow)
 {
 	if (flow->ranked != flow->change ||
 	    pool->now - flow->ranked_at > RANK_CHAIN_AGE_MAX)
 		rank_chains(pool, flow);
 	flow->remaining = flow->chain + flow->wait;
-	flow->start_by = flow->due - flow->remaining + flow->yields;
+	flow->start_by = flow->due - flow->remaining + flow->size_delay;
 	if (pool->now + flow->remaining <= flow->due)
 		flow->tier = RANK_ON_TIME;
 	else if (pool->now + flow->remaining <= flow->late_due)
 		flow->tier = RANK_LATE;
 	else
 		flow->tier = RANK_TOO_LATE;
-	if (flow->spec.over_share && POOL_USES(pool, GB_FEATURE_SHARE_ORDER) &&
+	if (flow->spec.over_share &&
+	    POOL_FEATURE_ENABLED(pool, GB_FEATURE_SHARE_ORDER) &&
 	    flow->tier < RANK_OVER_SHARE)
 		flow->tier = RANK_OVER_SHARE;
-	if (!POOL_USES(pool, GB_FEATURE_DEADLINE_ORDER)) {
+	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_DEADLINE_ORDER)) {
 		flow->tier = RANK_ON_TIME;
 		flow->start_by = flow->submitted;
 	}
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -117,7 +117,7 @@
 	    "worker", worker->entry.id, "how",
 	    outcome_name(run_report->outcome), "known", flow != NULL);
 	if (run_report_known(flow, run_report))
-		pool_flow_ended(pool, flow, run_report, worker);
+		pool_flow_run_ended(pool, flow, run_report, worker);
 	end_set_flow(end, flow);
 }
 
@@ -257,7 +257,7 @@
 }
 
 bool
-pool_report_names(
+pool_report_lists_run(
     const struct gb_pool_report *report, const struct pool_run *run)
 {
 	return list_names(report->running, report->running_count, run) ||
@@ -336,8 +336,8 @@
 }
 
 void
-pool_report_take(struct gb_pool *pool, struct pool_worker *worker, gb_time sent,
-    const struct gb_pool_report *report)
+pool_report_apply(struct gb_pool *pool, struct pool_worker *worker,
+    gb_time sent, const struct gb_pool_report *report)
 {
 	worker_apply_ends(pool, worker, report);
 	worker_apply_running(pool, worker, report);
--- a/libgooseberry/pool/reservation.c
+++ b/libgooseberry/pool/reservation.c
@@ -80,7 +80,7 @@
 	struct reserve_end ends[RESERVE_WORKER_RUNS_MAX];
 	uint32_t limit = step->spec->per_worker == 0 ? step->spec->count
 						     : step->spec->per_worker;
-	gb_res avail = pool_fit_free(worker);
+	gb_res avail = pool_fit_free_capacity(worker);
 	gb_time wait = 0;
 	size_t count = 0;
 	uint32_t end_count = 0;
--- a/libgooseberry/pool/rival.c
+++ b/libgooseberry/pool/rival.c
@@ -21,7 +21,7 @@
 void
 pool_rival_read(struct gb_pool *pool, const gb_owner_row *row)
 {
-	if (row->epoch > pool->claim_after)
+	if (row->epoch > pool->claim_previous_epoch)
 		pool_rival_seen(pool, row);
 }
 
--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -48,7 +48,7 @@
 	TAILQ_INSERT_TAIL(&worker->runs, run, of_worker);
 	worker->run_count++;
 	gb_res_add(&worker->used, &run->res);
-	pool_quota_take(flow->org, &run->res);
+	pool_quota_add_run(flow->org, &run->res);
 	if (number > s->run_number)
 		s->run_number = number;
 	flow->runs++;
@@ -62,8 +62,8 @@
 	struct pool_step *step = &run->flow->steps[run->step];
 	struct pool_task *task = &step->tasks[run->index];
 
-	pool_call_forget(pool, run->start_call);
-	pool_call_forget(pool, run->stop_call);
+	pool_call_clear_run(pool, run->start_call);
+	pool_call_clear_run(pool, run->stop_call);
 	if (task->plan != NULL) {
 		/* Otherwise a successor would take a later loss of the worker
 		 * for one with this run. */
@@ -80,7 +80,7 @@
 	run->worker->run_count--;
 	run->worker->suspect_runs -= run->suspect;
 	gb_res_sub(&run->worker->used, &run->res);
-	pool_quota_give(run->flow->org, &run->res);
+	pool_quota_remove_run(run->flow->org, &run->res);
 	run->flow->runs--;
 	pool->stats.running--;
 	pool->work_changed = true;
@@ -146,7 +146,7 @@
 	    "{s:s, s:I, s:I, s:I, s:s, s:I, s:I, s:i}", "flow", flow->spec.id,
 	    "step", (json_int_t)step, "index", (json_int_t)index, "run",
 	    (json_int_t)number, "worker", worker->entry.id, "free_cpu",
-	    (json_int_t)pool_fit_free(worker).cpu, "slack_ms",
+	    (json_int_t)pool_fit_free_capacity(worker).cpu, "slack_ms",
 	    (json_int_t)((flow->due - flow->remaining - pool->now) / GB_MSEC),
 	    "tier", flow->tier);
 	run_start_send(pool, run, ticket);
@@ -273,7 +273,7 @@
 	pool->stats.starts_lost++;
 	if (run->confirmed != 0)
 		return;
-	if (run->state == POOL_RUN_STARTING && !pool_pace_starts(pool))
+	if (run->state == POOL_RUN_STARTING && !pool_pace_may_send_starts(pool))
 		run->again = true;
 	else if (run->state == POOL_RUN_STARTING)
 		pool_run_start_retry(pool, run);
@@ -282,7 +282,7 @@
 }
 
 bool
-pool_run_start_open(const struct pool_run *run)
+pool_run_is_start_pending(const struct pool_run *run)
 {
 	return run->start_call != 0 && run->tries == 1 && run->confirmed == 0;
 }
@@ -329,7 +329,7 @@
 {
 	struct pool_run *run = call->run;
 	bool resolved =
-	    run != NULL && pool_run_start_open(run) &&
+	    run != NULL && pool_run_is_start_pending(run) &&
 	    (run->worker->over || res->status == GB_POOL_ORDER_WRONG_WORKER);
 
 	gb_histogram_add(&pool->stats.start_us, pool->now - call->sent);
--- a/libgooseberry/pool/share.c
+++ b/libgooseberry/pool/share.c
@@ -15,7 +15,7 @@
 #define SHARE_ACCUMULATE_MAX GB_SEC
 
 bool
-pool_share_take(struct pool_org *org, gb_time now)
+pool_share_charge(struct pool_org *org, gb_time now)
 {
 	double limit;
 
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -25,12 +25,12 @@
 
 /** Workers in one row of the stored worker set: 48 bytes each, within the 64 KB
  * that a row may have.  The rows are enough for 32,000 workers. */
-#define POOL_SET_WORKERS 500
+#define POOL_SET_ROW_WORKERS 500
 #define POOL_SET_ROWS 64
 
 /** Rate of the slowest worker clock that is allowed for, in thousandths of true
  * time. */
-#define POOL_CLOCK_SLOWEST 980
+#define POOL_CLOCK_RATE_MIN 980
 /** An owner numbers its runs from its epoch times this value, so that numbers
  * rise from owner to owner without being stored. */
 #define POOL_RUNS_PER_EPOCH 100000
@@ -45,10 +45,10 @@
 
 /** Interval at which the owner's row is written.  It shows members that the
  * owner works, and tells the owner when it has lost the row or the store. */
-#define POOL_OWNER_RENEW (500 * GB_MSEC)
+#define POOL_OWNER_RENEW_INTERVAL (500 * GB_MSEC)
 
 /** Maximum number of workers in one call of the advice service. */
-#define POOL_ADVICE_MOST 100
+#define POOL_ADVICE_WORKERS_MAX 100
 
 /* Runs: a task on a worker ------------------------------------------------ */
 
@@ -131,10 +131,10 @@
 struct pool_step {
 	const gb_step *spec;
 	struct pool_task *tasks;
-	uint32_t done;	     /**< tasks whose end was reported */
-	gb_time took;	     /**< total time of the runs that were done */
-	uint32_t took_runs;  /**< number of runs in took */
-	gb_time failed_took; /**< longest failed run of a task */
+	uint32_t done;		 /**< tasks whose end was reported */
+	gb_time took;		 /**< total time of the runs that were done */
+	uint32_t done_runs;	 /**< number of runs in took */
+	gb_time failed_run_time; /**< longest failed run of a task */
 	bool fresh; /**< was not ready when this owner loaded it, so no earlier
 		       owner has started it */
 	/** Change of the flow by which all tasks were done. */
@@ -147,9 +147,9 @@
 	gb_time preempt_at;  /**< no preemption for the step before then */
 	enum pool_advice_state advice;
 	/** Advice calls in flight about workers not asked about before. */
-	uint32_t asks_in_flight;
+	uint32_t approval_calls_in_flight;
 	/** Advice calls in flight to renew tickets. */
-	uint32_t renews_in_flight;
+	uint32_t ticket_calls_in_flight;
 	gb_time advice_retry_at;
 	struct pool_approval *approved;
 	uint32_t approved_count;
@@ -215,13 +215,14 @@
 			   started it */
 	/** Earlier owners may have started it on workers that were lost, so its
 	 * starts are stored before they are sent. */
-	bool watched;
-	bool quota_waited; /**< it had to wait for its organisation's quota */
-	uint64_t change;   /**< number of the last change that must be stored */
-	uint64_t stored;   /**< newest change that is stored */
-	uint64_t sending;  /**< newest change sent to the store, 0: none */
-	bool write_lost;   /**< a write of it got no answer and may have been
-			      carried out */
+	bool plan_starts;
+	bool waited_for_quota; /**< it had to wait for its organisation's quota
+				*/
+	uint64_t change;  /**< number of the last change that must be stored */
+	uint64_t stored;  /**< newest change that is stored */
+	uint64_t sending; /**< newest change sent to the store, 0: none */
+	bool write_lost;  /**< a write of it got no answer and may have been
+			     carried out */
 	uint32_t runs;
 	gb_time submitted;
 	gb_time first_start;
@@ -238,9 +239,9 @@
 			      computed */
 	uint64_t ranked;   /**< change for which chain was computed */
 	gb_time ranked_at;
-	gb_time chain;	/**< as remaining, without the wait */
-	gb_time yields; /**< added to start_by to order it behind smaller flows
-			   of its queue */
+	gb_time chain;	    /**< as remaining, without the wait */
+	gb_time size_delay; /**< added to start_by to order it behind smaller
+			   flows of its queue */
 	int tier;
 	/** Stored state, while the flow is being loaded. */
 	gb_flow_state *loading;
@@ -365,14 +366,15 @@
 	uint64_t row_epoch;
 	struct contention_row row_contention;
 	bool row_vacant;
-	bool row_own; /**< this process wrote the row for this claim */
+	bool row_written_by_claim; /**< this process wrote the row for this
+				      claim */
 	gb_time attached_at;
 	/** By then all runs of earlier owners have ended. */
 	gb_time reconcile_at;
 	bool reconciled; /**< every run of earlier owners is accounted for */
 	/** A worker was lost before the partition was reconciled; what it ran
 	 * is unknown. */
-	bool lost_unseen;
+	bool has_unknown_losses;
 	uint64_t set_changed; /**< rows of the worker set to write, as bits */
 	uint64_t set_sent;    /**< bit of the row being written, 0: none */
 	/** Key of the row being written. */
@@ -441,7 +443,7 @@
 	POOL_CALL_RUN_START,
 	POOL_CALL_RUN_STOP,
 	POOL_CALL_HEARTBEAT,
-	POOL_CALL_PARTITION,  /**< transaction of the writer */
+	POOL_CALL_WRITE_TXN,  /**< transaction of the writer */
 	POOL_CALL_PROBE,      /**< read that checks whether the store answers */
 	POOL_CALL_OWNER_READ, /**< read of an owner's row */
 	POOL_CALL_OWNER_TXN,
@@ -505,20 +507,20 @@
 	uint64_t epoch; /**< of this owner, or the newest known one */
 	/** Grows when a claim begins or the ownership is lost. */
 	uint64_t term;
-	gb_time taken_at;
+	gb_time claim_began_at;
 	gb_time confirmed; /**< when the last store call with a clear answer was
 			      sent */
 	uint64_t claim_epoch; /**< 0 until it is chosen */
 	enum takeover_cause claim_cause;
 	struct contention contention;
-	uint64_t claim_after; /**< epoch of the owner to succeed */
+	uint64_t claim_previous_epoch; /**< epoch of the owner to succeed */
 	/** Partition that decides between rival claims. */
-	uint32_t claim_first;
-	struct pool_rival rival; /**< seen last since the claim began */
-	gb_time claimed_at;	 /**< when most partitions were claimed */
-	gb_time release_by; /**< the ownership ends then, even with unwritten
-			       changes */
-	gb_time inbox_at;
+	uint32_t claim_deciding_partition;
+	struct pool_rival rival;    /**< seen last since the claim began */
+	gb_time claim_won_at;	    /**< when most partitions were claimed */
+	gb_time release_timeout_at; /**< the ownership ends then, even with
+			       unwritten changes */
+	gb_time inbox_read_at;
 	/* Flows */
 	struct pool_flow *flows;
 	struct pool_flows open; /**< flows that are not finished */
@@ -542,9 +544,11 @@
 	uint32_t worker_size;
 	/** When a worker last answered after missed heartbeats, so that an
 	 * answer may have been lost; 0: never. */
-	gb_time answer_lost;
-	uint32_t first_heartbeats; /**< first heartbeats to workers in flight */
-	uint32_t tick_from; /**< index of the first worker of the next tick */
+	gb_time answer_lost_at;
+	uint32_t first_heartbeats_in_flight; /**< first heartbeats to workers in
+						flight */
+	uint32_t tick_first_worker; /**< index of the first worker of the next
+				       tick */
 	bool listed; /**< the platform's whole list of workers was received */
 	/* Advice */
 	struct pool_channel *channels;
@@ -557,7 +561,7 @@
 	uint32_t reservations; /**< made in the last dispatch */
 	/** Processors that waiting gangs need, and processors of all workers,
 	 * in thousandths, at the last dispatch. */
-	double gangs_wait;
+	double waiting_gang_cores;
 	double capacity;
 	/** Of starts that wait, at the last dispatch. */
 	uint64_t waiting_bytes;
@@ -573,7 +577,7 @@
 #define POOL_ADVICE_NEEDED(flow) ((flow)->advice.needed)
 
 /** Whether a feature is enabled. */
-#define POOL_USES(pool, feature) \
+#define POOL_FEATURE_ENABLED(pool, feature) \
 	(((pool)->cfg.disabled_features & (UINT32_C(1) << (feature))) == 0)
 
 /* call.c */
@@ -581,29 +585,31 @@
 /** Removes the call of an answer from the table and returns it; null when it
  * belongs to an earlier term of ownership, so that the answer must be
  * ignored. */
-struct pool_call *pool_call_take(struct gb_pool *, uint64_t id);
+struct pool_call *pool_call_remove(struct gb_pool *, uint64_t id);
 /** Clears the run of a call because the run is being freed; the answer is then
  * ignored. */
-void pool_call_forget(struct gb_pool *, uint64_t id);
+void pool_call_clear_run(struct gb_pool *, uint64_t id);
 
 /* rank.c */
 /** Computes due times, remaining time and tier of a flow. */
-void pool_rank_flow(struct gb_pool *, struct pool_flow *);
+void pool_rank_update_flow(struct gb_pool *, struct pool_flow *);
 /** Compares the start order of two flows: negative when the first goes
  * first. */
 int pool_rank_compare(const struct pool_flow *, const struct pool_flow *);
-struct pool_queue_stat *pool_rank_queue(struct gb_pool *, const char *name);
+struct pool_queue_stat *pool_rank_queue_stat(
+    struct gb_pool *, const char *name);
 /** Processors that the waiting gangs of a flow need, in thousandths. */
-double pool_rank_gangs_wait(const struct gb_pool *, const struct pool_flow *);
+double pool_rank_waiting_gang_cores(
+    const struct gb_pool *, const struct pool_flow *);
 /** Updates the mean flow size of a queue with a new flow. */
-void pool_rank_learn(struct gb_pool *, const struct pool_flow *);
+void pool_rank_update_flow_size(struct gb_pool *, const struct pool_flow *);
 /** Expected run time of a task of a step. */
 gb_time pool_rank_estimate(
     const struct gb_pool *, const struct pool_flow *, const struct pool_step *);
 
 /* fit.c */
 /** Capacity of a worker that is neither used, claimed nor reserved. */
-gb_res pool_fit_free(const struct pool_worker *);
+gb_res pool_fit_free_capacity(const struct pool_worker *);
 /** Whether a worker may be given new work of a partition now. */
 bool pool_fit_usable(
     const struct gb_pool *, const struct pool_worker *, uint32_t partition);
@@ -651,8 +657,8 @@
 
 /* pace.c */
 /** Whether the link has capacity for starts, and for advice calls. */
-bool pool_pace_starts(const struct gb_pool *);
-bool pool_pace_advice(const struct gb_pool *);
+bool pool_pace_may_send_starts(const struct gb_pool *);
+bool pool_pace_may_ask_advice(const struct gb_pool *);
 /** Whether the link has capacity for a heartbeat. */
 bool pool_pace_may_send_heartbeat(const struct gb_pool *);
 /** Maximum number of first heartbeats in flight: they are all answered at
@@ -662,11 +668,11 @@
  * the link is busy. */
 gb_time pool_pace_heartbeat_delay(const struct gb_pool *, gb_time pause);
 /** Bandwidth of the link in bytes per second, 0: no limit. */
-uint64_t pool_pace_rate(const struct gb_pool *);
+uint64_t pool_pace_bandwidth(const struct gb_pool *);
 /** Bytes sent to start so many tasks of a flow. */
-uint64_t pool_pace_bytes(const struct pool_flow *, uint32_t tasks);
+uint64_t pool_pace_start_bytes(const struct pool_flow *, uint32_t tasks);
 /** Time for which the waiting starts will keep the link busy. */
-gb_time pool_pace_wait(const struct gb_pool *);
+gb_time pool_pace_starts_wait(const struct gb_pool *);
 
 /* admit.c */
 /** Whether to accept a flow; else fills in when to retry and the reason. */
@@ -675,11 +681,11 @@
 
 /* writer.c */
 /** Queues a flow to be written, soon if a caller waits for it. */
-void pool_writer_dirty(struct gb_pool *, struct pool_flow *, bool urgent);
+void pool_writer_mark_dirty(struct gb_pool *, struct pool_flow *, bool urgent);
 void pool_writer_tick(struct gb_pool *);
 void pool_writer_done(
     struct gb_pool *, const struct pool_call *, const struct gb_pool_txn_res *);
-void pool_writer_probed(struct gb_pool *, const struct pool_call *,
+void pool_writer_probe_done(struct gb_pool *, const struct pool_call *,
     const struct gb_pool_read_res *);
 void pool_writer_reset(struct gb_pool *);
 bool pool_writer_idle(const struct gb_pool *);
@@ -707,20 +713,20 @@
     uint64_t change, gb_flow_status);
 /** Answers a caller with the state; if its last change is being stored, once it
  * is stored. */
-void pool_flow_ask(struct gb_pool *, struct pool_flow *, uint64_t token);
+void pool_flow_query(struct gb_pool *, struct pool_flow *, uint64_t token);
 /** Answers callers that ask for the state with the stored one, since writes
  * don't get through. */
-void pool_flow_ask_ends(struct gb_pool *, struct pool_flow *);
+void pool_flow_answer_queries(struct gb_pool *, struct pool_flow *);
 bool pool_flow_step_ready(const struct pool_flow *, const struct pool_step *);
 /** Number of tasks of a step that may be started now. */
-uint32_t pool_flow_waiting(
+uint32_t pool_flow_startable_count(
     const struct gb_pool *, const struct pool_flow *, const struct pool_step *);
 void pool_flow_cancel(struct gb_pool *, struct pool_flow *);
 /** Ends a flow as failed. */
 void pool_flow_fail(struct gb_pool *, struct pool_flow *, const char *why);
 /** Applies the end of a run.  The change must be stored before the end is
  * acknowledged. */
-void pool_flow_ended(struct gb_pool *, struct pool_flow *,
+void pool_flow_run_ended(struct gb_pool *, struct pool_flow *,
     const struct gb_pool_run_report *, struct pool_worker *);
 /** Stops all runs of a step but one. */
 void pool_flow_stop_step(struct gb_pool *, struct pool_flow *, uint32_t step,
@@ -732,7 +738,7 @@
 /** Releases finished flows, and fails flows with tasks that crashed too many
  * workers. */
 void pool_flow_sweep(struct gb_pool *);
-gb_flow_status pool_flow_shown(const struct pool_flow *);
+gb_flow_status pool_flow_visible_status(const struct pool_flow *);
 
 /* flow_state.c */
 /** Fills in the state to store; free it with pool_flow_state_clear. */
@@ -745,11 +751,11 @@
 void pool_task_checkpoint(struct pool_task *, const char *checkpoint);
 /** Counts a failed run once, in whatever order ends come.  Returns false when
  * it was counted before. */
-bool pool_task_failed_once(struct pool_task *, uint64_t run);
+bool pool_task_count_failed_run(struct pool_task *, uint64_t run);
 
 /* report.c */
 /** Applies a worker's answer to a heartbeat that was sent at `sent`. */
-void pool_report_take(struct gb_pool *, struct pool_worker *, gb_time sent,
+void pool_report_apply(struct gb_pool *, struct pool_worker *, gb_time sent,
     const struct gb_pool_report *);
 /** Computes the number up to which all ends that a worker reported are
  * stored. */
@@ -761,16 +767,17 @@
 void pool_report_clear(struct pool_worker *);
 
 /** Whether a report names a run, as running or ended. */
-bool pool_report_names(const struct gb_pool_report *, const struct pool_run *);
+bool pool_report_lists_run(
+    const struct gb_pool_report *, const struct pool_run *);
 /** Handles the end of an incarnation: its ends can no longer be
  * acknowledged. */
 void pool_report_incarnation_ended(struct pool_worker *);
 
 /* listing.c */
 /** Applies an entry that is new or has changed. */
-void pool_worker_entry(struct gb_pool *, const struct gb_pool_entry *);
+void pool_worker_apply_entry(struct gb_pool *, const struct gb_pool_entry *);
 /** Updates which workers have a service that the configuration names. */
-void pool_workers_served(struct gb_pool *);
+void pool_workers_check_services(struct gb_pool *);
 /** Whether the platform offers a worker for new work: its newest entry is valid
  * and names a configured service. */
 bool pool_worker_offered(const struct pool_worker *);
@@ -819,7 +826,7 @@
 struct pool_worker *pool_worker_get(const struct gb_pool *, uint32_t handle);
 struct pool_worker *pool_worker_find(struct gb_pool *, const char *id);
 /** Longest lease that owners give. */
-gb_time pool_worker_lease_most(const struct gb_pool *);
+gb_time pool_worker_lease_max(const struct gb_pool *);
 /** Does what is due for all workers, beginning with the one at which the
  * previous tick stopped. */
 void pool_workers_tick(struct gb_pool *);
@@ -830,10 +837,10 @@
 /* worker_set.c */
 /** Marks the rows of the stored sets that have a worker to be written, since it
  * leaves them. */
-void pool_worker_set_mark(struct gb_pool *, const struct pool_worker *);
+void pool_worker_set_mark_dirty(struct gb_pool *, const struct pool_worker *);
 /** Marks rows to be written so that a listed worker is added to all stored
  * sets. */
-void pool_worker_set_want(struct gb_pool *, const struct pool_worker *);
+void pool_worker_set_mark_missing(struct gb_pool *, const struct pool_worker *);
 /** Whether an owner may have sent runs to a worker that may still have them. */
 bool pool_worker_in_use(const struct gb_pool *, const struct pool_worker *);
 /** Fills in the next row of a partition's worker set to write; its key is in
@@ -865,7 +872,7 @@
 void pool_run_start_retry(struct gb_pool *, struct pool_run *);
 void pool_run_stop(struct gb_pool *, struct pool_run *, const char *why);
 /** Whether the only start order of a run is still in flight. */
-bool pool_run_start_open(const struct pool_run *);
+bool pool_run_is_start_pending(const struct pool_run *);
 void pool_run_free(struct gb_pool *, struct pool_run *);
 void pool_run_start_done(struct gb_pool *, const struct pool_call *,
     const struct gb_pool_order_res *);
@@ -882,7 +889,8 @@
 void pool_health_check(struct gb_pool *, struct pool_worker *);
 
 /* advice.c */
-void pool_advice_channel(struct gb_pool *, const char *addr, bool usable);
+void pool_advice_channel_update(
+    struct gb_pool *, const char *addr, bool usable);
 bool pool_advice_channel_free(const struct gb_pool *);
 /** Asks the advice service about workers; with none named, about those that
  * could run the step and were not asked about yet, as many as one call
@@ -901,9 +909,9 @@
 void pool_dispatch_step(struct gb_pool *, struct pool_flow *, uint32_t step);
 
 /* owner.c */
-void pool_owner_take(struct gb_pool *, uint64_t after, enum takeover_cause);
+void pool_owner_acquire(struct gb_pool *, uint64_t after, enum takeover_cause);
 /** Handles that another process was found alive and not stopping. */
-void pool_owner_alive(struct gb_pool *, uint64_t incarnation);
+void pool_owner_process_alive(struct gb_pool *, uint64_t incarnation);
 void pool_owner_release(struct gb_pool *);
 void pool_owner_lose(struct gb_pool *, const char *why, uint64_t epoch);
 void pool_owner_tick(struct gb_pool *);
@@ -914,7 +922,7 @@
 /** Whether this owner works on the flows of a partition. */
 bool pool_partition_attached(const struct gb_pool *, uint32_t partition);
 /** Whether a partition is likely to be attached soon: no try has failed. */
-bool pool_partition_coming(const struct gb_pool *, uint32_t partition);
+bool pool_partition_attach_likely(const struct gb_pool *, uint32_t partition);
 /** Whether every run of earlier owners is accounted for, in all partitions. */
 bool pool_owner_reconciled(const struct gb_pool *);
 
@@ -936,10 +944,10 @@
 void pool_page_add(struct gb_pool *, enum pool_call_kind, uint32_t partition,
     enum gb_pool_table, const char *from, const char *to);
 /** Sends the queued reads that the link has capacity for. */
-void pool_pages_next(struct gb_pool *);
+void pool_pages_send(struct gb_pool *);
 /** Removes the page of an answer from those in flight and returns it, or
  * null. */
-struct pool_page *pool_page_answered(
+struct pool_page *pool_page_remove_sent(
     struct gb_pool *, const struct pool_call *);
 /** Retries a page without an answer, with fewer rows, if it may have been too
  * large; returns false if not. */
@@ -947,17 +955,17 @@
     struct gb_pool *, struct pool_page *, const struct gb_pool_read_res *);
 void pool_page_free(struct gb_pool *, struct pool_page *);
 /** Updates the mean row size of a table. */
-void pool_page_learn(
+void pool_page_update_row_size(
     struct gb_pool *, enum gb_pool_table, const struct gb_pool_read_res *);
 /** Drops all queued and sent reads. */
 void pool_pages_reset(struct gb_pool *);
 
 /* load.c */
-enum pool_load { POOL_LOAD_GOES_ON, POOL_LOAD_DONE, POOL_LOAD_FAILED };
+enum pool_load_result { POOL_LOAD_CONTINUES, POOL_LOAD_DONE, POOL_LOAD_FAILED };
 
 /** Begins to load a partition. */
 void pool_load_begin(struct gb_pool *, uint32_t partition);
-enum pool_load pool_load_done(struct gb_pool *, const struct pool_call *,
+enum pool_load_result pool_load_done(struct gb_pool *, const struct pool_call *,
     const struct gb_pool_read_res *);
 /** Drops the flows of a partition that was not loaded completely. */
 void pool_load_drop(struct gb_pool *, uint32_t partition);
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -75,7 +75,7 @@
 }
 
 gb_time
-pool_worker_lease_most(const struct gb_pool *pool)
+pool_worker_lease_max(const struct gb_pool *pool)
 {
 	return pool->cfg.limits.lease_us < LEASE_MAX ? pool->cfg.limits.lease_us
 						     : LEASE_MAX;
@@ -87,7 +87,7 @@
 pool_worker_lease(
     struct gb_pool *pool, struct pool_worker *worker, gb_time *lapse)
 {
-	gb_time lease = pool_worker_lease_most(pool);
+	gb_time lease = pool_worker_lease_max(pool);
 	gb_time since = pool->now - worker->clock_at;
 	int64_t end_ms = worker->clock_ms + (since + lease) / GB_MSEC;
 	gb_time expiry;
@@ -95,7 +95,7 @@
 	if (worker->clock_ms == 0)
 		return 0;
 	expiry = worker->clock_at +
-		 (since + lease) * 1000 / POOL_CLOCK_SLOWEST +
+		 (since + lease) * 1000 / POOL_CLOCK_RATE_MIN +
 		 POOL_LEASE_MARGIN;
 	if (expiry > worker->lapse_at)
 		worker->lapse_at = expiry;
@@ -162,7 +162,7 @@
 	pool_crash_classify(pool, worker);
 	for (run = TAILQ_FIRST(&worker->runs); run != NULL; run = next) {
 		next = TAILQ_NEXT(run, of_worker);
-		if (!worker->over || !pool_run_start_open(run))
+		if (!worker->over || !pool_run_is_start_pending(run))
 			pool_worker_run_lost(pool, run, worker->over);
 	}
 }
@@ -177,13 +177,13 @@
 	worker->ended_incarnation = worker->incarnation != 0
 					? worker->incarnation
 					: worker->entry.incarnation;
-	pool_crash_unseen(pool, worker);
+	pool_crash_mark_unknown_loss(pool, worker);
 	if (worker->silent == 0)
 		worker->missed = pool->now;
 	pool->stats.workers_ended++;
-	pool_worker_set_mark(pool, worker);
+	pool_worker_set_mark_dirty(pool, worker);
 	worker_lose_runs(pool, worker, why);
-	pool_crash_worker_known(pool, worker, true);
+	pool_crash_losses_resolve(pool, worker, true);
 }
 
 static void
@@ -236,7 +236,7 @@
 {
 	struct pool_worker *worker = pool_worker_get(pool, call->worker);
 
-	pool->first_heartbeats -= call->first;
+	pool->first_heartbeats_in_flight -= call->first;
 	if (worker == NULL || worker->heartbeat_call != call->id)
 		return;
 	worker->heartbeat_call = 0;
@@ -263,7 +263,7 @@
 		return;
 	}
 	if (worker->silent > 0) {
-		pool->answer_lost = pool->now;
+		pool->answer_lost_at = pool->now;
 		gb_event(pool->cfg.events, GB_EVENT_ALWAYS, "worker_back",
 		    "{s:s, s:I}", "worker", worker->entry.id, "silent",
 		    (json_int_t)worker->silent);
@@ -271,8 +271,8 @@
 	pool_incarnation_report(pool, worker, call, report);
 	worker->answered = pool->now;
 	worker->silent = 0;
-	pool_crash_worker_known(pool, worker, false);
-	pool_report_take(pool, worker, call->sent, report);
+	pool_crash_losses_resolve(pool, worker, false);
+	pool_report_apply(pool, worker, call->sent, report);
 	pool_health_check(pool, worker);
 	if (!worker->fenced)
 		pool->work_changed = true;
@@ -295,8 +295,8 @@
 
 	if (worker->run_count == 0)
 		return HEARTBEAT_WAIT_IDLE;
-	if (pool->answer_lost == 0 ||
-	    pool->now - pool->answer_lost > HEARTBEAT_LOSS_PERIOD)
+	if (pool->answer_lost_at == 0 ||
+	    pool->now - pool->answer_lost_at > HEARTBEAT_LOSS_PERIOD)
 		return wait;
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
@@ -316,7 +316,7 @@
 	pool_report_ack(pool, worker);
 	call->worker = worker->handle;
 	call->first = !worker->fenced;
-	pool->first_heartbeats += call->first;
+	pool->first_heartbeats_in_flight += call->first;
 	worker->heartbeat_call = call->id;
 	worker->heartbeat_sent = pool->now;
 	heartbeat.worker = worker->entry.id;
@@ -354,7 +354,7 @@
 		    run->stop_at <= pool->now)
 			pool_run_stop_send(pool, run);
 		if (run->again && run->state == POOL_RUN_STARTING &&
-		    pool_pace_starts(pool))
+		    pool_pace_may_send_starts(pool))
 			pool_run_start_retry(pool, run);
 	}
 }
@@ -379,7 +379,7 @@
 worker_tick(struct gb_pool *pool, struct pool_worker *worker)
 {
 	if (worker->recorded != 0 && !pool_worker_in_use(pool, worker))
-		pool_worker_set_mark(pool, worker);
+		pool_worker_set_mark_dirty(pool, worker);
 	if (worker->over)
 		return true;
 	worker_runs_tick(pool, worker);
@@ -390,8 +390,8 @@
 	    !worker_needs_heartbeat(pool, worker))
 		return true;
 	if (!pool_pace_may_send_heartbeat(pool) ||
-	    (!worker->fenced &&
-		pool->first_heartbeats >= pool_pace_first_heartbeats(pool)))
+	    (!worker->fenced && pool->first_heartbeats_in_flight >=
+				    pool_pace_first_heartbeats(pool)))
 		return false;
 	worker_heartbeat_send(pool, worker);
 	return true;
@@ -401,7 +401,7 @@
 pool_workers_tick(struct gb_pool *pool)
 {
 	uint32_t count = pool->worker_count;
-	uint32_t from = count == 0 ? 0 : pool->tick_from % count;
+	uint32_t from = count == 0 ? 0 : pool->tick_first_worker % count;
 	uint64_t term = pool->term;
 	bool deferred = false;
 	uint32_t i;
@@ -412,7 +412,7 @@
 		if (worker_tick(pool, pool->workers[handle]) || deferred)
 			continue;
 		deferred = true;
-		pool->tick_from = handle;
+		pool->tick_first_worker = handle;
 	}
 }
 
@@ -443,12 +443,12 @@
 {
 	uint32_t i;
 
-	pool->first_heartbeats = 0;
+	pool->first_heartbeats_in_flight = 0;
 	for (i = 0; i < pool->worker_count; i++) {
 		struct pool_worker *worker = pool->workers[i];
 
 		pool_report_clear(worker);
-		pool_crash_worker_forget(worker);
+		pool_crash_losses_drop(worker);
 		worker->fenced = false;
 		worker->incarnation = 0;
 		worker->recorded_incarnation = 0;
--- a/libgooseberry/pool/worker_set.c
+++ b/libgooseberry/pool/worker_set.c
@@ -14,12 +14,13 @@
 static uint64_t
 set_row(const struct pool_worker *worker)
 {
-	return UINT64_C(1) << (worker->handle / POOL_SET_WORKERS %
+	return UINT64_C(1) << (worker->handle / POOL_SET_ROW_WORKERS %
 			       POOL_SET_ROWS);
 }
 
 void
-pool_worker_set_mark(struct gb_pool *pool, const struct pool_worker *worker)
+pool_worker_set_mark_dirty(
+    struct gb_pool *pool, const struct pool_worker *worker)
 {
 	uint32_t i;
 
@@ -28,7 +29,8 @@
 }
 
 void
-pool_worker_set_want(struct gb_pool *pool, const struct pool_worker *worker)
+pool_worker_set_mark_missing(
+    struct gb_pool *pool, const struct pool_worker *worker)
 {
 	uint32_t i;
 
@@ -61,15 +63,16 @@
 	unsigned int row =
 	    (unsigned int)__builtin_ctzll(partition->set_changed);
 	uint32_t partition_bit = UINT32_C(1) << partition_number;
-	uint32_t first = row * POOL_SET_WORKERS;
-	uint32_t last = first + POOL_SET_WORKERS;
+	uint32_t first = row * POOL_SET_ROW_WORKERS;
+	uint32_t last = first + POOL_SET_ROW_WORKERS;
 	gb_worker_set set = {0};
 	bool encoded;
 	uint32_t i;
 
-	set.list.list_val = gb_calloc(POOL_SET_WORKERS, sizeof(gb_worker_ref));
+	set.list.list_val =
+	    gb_calloc(POOL_SET_ROW_WORKERS, sizeof(gb_worker_ref));
 	set.incarnations.incarnations_val =
-	    gb_calloc(POOL_SET_WORKERS, sizeof(int64_t));
+	    gb_calloc(POOL_SET_ROW_WORKERS, sizeof(int64_t));
 	for (i = first; i < last && i < pool->worker_count; i++) {
 		struct pool_worker *worker = pool->workers[i];
 		gb_worker_ref *ref = &set.list.list_val[set.list.list_len];
--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -70,7 +70,8 @@
 }
 
 void
-pool_writer_dirty(struct gb_pool *pool, struct pool_flow *flow, bool urgent)
+pool_writer_mark_dirty(
+    struct gb_pool *pool, struct pool_flow *flow, bool urgent)
 {
 	struct pool_partition *partition = &pool->partitions[flow->partition];
 
@@ -215,7 +216,7 @@
     enum pool_partition_phase phase)
 {
 	struct pool_partition *partition = &pool->partitions[number];
-	struct pool_call *call = pool_call_new(pool, POOL_CALL_PARTITION);
+	struct pool_call *call = pool_call_new(pool, POOL_CALL_WRITE_TXN);
 
 	call->partition = number;
 	partition->phase = phase;
@@ -394,10 +395,10 @@
 
 	TAILQ_FOREACH(flow, &partition->dirty, dirty_next)
 	{
-		pool_flow_ask_ends(pool, flow);
+		pool_flow_answer_queries(pool, flow);
 	}
 	for (i = 0; i < partition->sent_count; i++)
-		pool_flow_ask_ends(pool, partition->sent_flows[i]);
+		pool_flow_answer_queries(pool, partition->sent_flows[i]);
 }
 
 static void
@@ -422,7 +423,7 @@
 	    partition->retry_at <= pool->now)
 		partition->phase = POOL_PARTITION_IDLE;
 	if (partition->phase != POOL_PARTITION_IDLE ||
-	    (POOL_USES(pool, GB_FEATURE_WRITE_BATCHING) &&
+	    (POOL_FEATURE_ENABLED(pool, GB_FEATURE_WRITE_BATCHING) &&
 		pool->now - partition->sent <
 		    (urgent ? WRITER_PAUSE : WRITER_PAUSE_LONG)))
 		return;
@@ -458,7 +459,7 @@
 			flow->write_lost = true;
 		else if (flow->stored == 0 && !flow->write_lost)
 			flow->sending = 0;
-		pool_writer_dirty(pool, flow, true);
+		pool_writer_mark_dirty(pool, flow, true);
 	}
 	partition->sent_count = 0;
 }
@@ -552,7 +553,7 @@
 }
 
 void
-pool_writer_probed(struct gb_pool *pool, const struct pool_call *call,
+pool_writer_probe_done(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
 {
 	struct pool_partition *partition = &pool->partitions[call->partition];
--- a/libgooseberry/process/action.c
+++ b/libgooseberry/process/action.c
@@ -54,7 +54,7 @@
 }
 
 bool
-gb_core_next(struct gb_core *core, struct gb_action *out)
+gb_core_next_action(struct gb_core *core, struct gb_action *out)
 {
 	if (core->action_count == 0)
 		return false;
--- a/libgooseberry/process/core.c
+++ b/libgooseberry/process/core.c
@@ -102,7 +102,7 @@
 			gb_index_free(shard->index);
 		free(shard->workers);
 	}
-	while (gb_core_next(core, &action))
+	while (gb_core_next_action(core, &action))
 		gb_action_clear(&action);
 	free(core->actions);
 	workers_free(core);
@@ -115,7 +115,7 @@
 }
 
 void
-gb_core_set_wall(struct gb_core *core, gb_time wall_minus_now)
+gb_core_set_wall_offset(struct gb_core *core, gb_time wall_minus_now)
 {
 	core->wall_minus_now = wall_minus_now;
 }
@@ -133,7 +133,7 @@
 	for (n = 0; n < list->list.list_len; n++) {
 		const gb_instance *in = &list->list.list_val[n];
 
-		member_instance(core, in);
+		member_apply_instance(core, in);
 		worker_instance(core, in);
 	}
 	for (i = 0; i < core->shard_count; i++)
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -77,7 +77,7 @@
 	uint64_t wait_incarnation; /**< incarnation in that row */
 	gb_time last_heard;	   /**< time of its last message */
 	/** Time at which the last beat that it answered was sent. */
-	gb_time echoed;
+	gb_time acked_beat_sent;
 	gb_time sent;	  /**< time at which the last beat was sent to it */
 	gb_claim *claims; /**< shards that it owns, from its last beat */
 	u_int claim_count;
@@ -118,9 +118,9 @@
 	uint64_t answer; /**< id of the caller, 0: already answered */
 	gb_time deadline;
 	gb_change change;
-	uint64_t expected;   /**< version of the document to replace */
-	uint64_t after_vers; /**< version of the preceding change's row */
-	bool sent;	     /**< may have been written */
+	uint64_t expected;	 /**< version of the document to replace */
+	uint64_t preceding_vers; /**< version of the preceding change's row */
+	bool sent;		 /**< may have been written */
 	bool committed;
 	struct spread spread;
 };
@@ -270,12 +270,12 @@
 	uint64_t seq;	      /**< number of the last sync sent */
 	gb_time sent;	      /**< time of that sync, 0: send one at once */
 	gb_time anchor;	      /**< its own clock in its last report */
-	gb_time anchor_local; /**< time at which that report arrived */
-	gb_time lapse_at;     /**< its lease has expired by this time */
-	uint32_t reports;     /**< number of reports received */
-	uint32_t failures;    /**< consecutive failures of different jobs */
-	uint64_t failed_job;  /**< job of the last failure */
-	gb_time probe_at;     /**< end of the quarantine */
+	gb_time anchor_received_at; /**< time at which that report arrived */
+	gb_time lapse_at;	    /**< its lease has expired by this time */
+	uint32_t reports;	    /**< number of reports received */
+	uint32_t failures;   /**< consecutive failures of different jobs */
+	uint64_t failed_job; /**< job of the last failure */
+	gb_time probe_at;    /**< end of the quarantine */
 	struct task_ref *tasks;
 	uint32_t task_count;
 	uint32_t task_size;
@@ -288,9 +288,9 @@
 /* Requests */
 
 enum request_state {
-	REQUEST_KEYED,	 /**< its idempotency key is being written */
-	REQUEST_WAITING, /**< is in its shard's queue */
-	REQUEST_SENT	 /**< is in flight to a worker */
+	REQUEST_WRITING_KEY, /**< its idempotency key is being written */
+	REQUEST_WAITING,     /**< is in its shard's queue */
+	REQUEST_SENT	     /**< is in flight to a worker */
 };
 
 struct request {
@@ -304,7 +304,7 @@
 	gb_request spec; /**< without the body */
 	gb_res need;
 	bool idempotent;
-	bool maybe; /**< an earlier try may have run */
+	bool may_have_run; /**< an earlier try may have run */
 	unsigned int tries;
 	uint32_t worker; /**< handle of the worker of the last try */
 	uint32_t avoid;	 /**< handle of the worker whose try failed */
@@ -340,7 +340,7 @@
 	SHARD_ACQUIRING, /**< the write that claims it is in flight */
 	SHARD_LOADING,	 /**< its snapshot and log are being read */
 	SHARD_ACTIVE,	 /**< this member schedules on its workers */
-	SHARD_HANDING	 /**< is being handed over and starts no new work */
+	SHARD_HANDOVER	 /**< is being handed over and starts no new work */
 };
 
 /** A record to be written to a shard's log. */
@@ -422,7 +422,7 @@
 	uint32_t usable;     /**< workers that may get work, at that digest */
 	uint64_t drained;    /**< requests answered since drain_from */
 	gb_time drain_from;
-	uint32_t drain_rate; /**< requests answered per second, smoothed */
+	uint32_t answer_rate; /**< requests answered per second, smoothed */
 };
 
 /** A command that waits for a log write. */
@@ -548,12 +548,12 @@
 /** Whether a write is in force: all members know of it, or enough members have
  * known of it for so long that the others can no longer act on the state
  * before it. */
-bool member_spread_done(struct gb_core *, struct spread *);
+bool member_write_in_force(struct gb_core *, struct spread *);
 /** Whether enough members know of a write that no other member can act for
  * longer than fresh_us without learning of it. */
-bool member_spread_known(struct gb_core *, struct spread *);
+bool member_write_known(struct gb_core *, struct spread *);
 /** Apply what the platform's list says of a member's instance. */
-void member_instance(struct gb_core *, const gb_instance *);
+void member_apply_instance(struct gb_core *, const gb_instance *);
 void members_free(struct gb_core *);
 
 /* view.c */
@@ -580,13 +580,13 @@
 /** Whether operators drain a worker. */
 bool config_drained(struct gb_core *, const char *worker);
 /** Index of a team, which is added if it is new. */
-uint32_t config_team(struct gb_core *, const char *name);
+uint32_t config_team_index(struct gb_core *, const char *name);
 
 /* shard.c */
 /** Apply a shard's row that was read from the store. */
-void shard_row_seen(struct gb_core *, const gb_row *);
+void shard_row_apply(struct gb_core *, const gb_row *);
 /** Apply a claim of ownership from a peer's heartbeat. */
-void shard_claim_seen(struct gb_core *, const gb_claim *, const char *member);
+void shard_claim_apply(struct gb_core *, const gb_claim *, const char *member);
 void shard_tick(struct gb_core *, struct shard *);
 /** Drop a shard that another member owns or may own. */
 void shard_lose(struct gb_core *, struct shard *, const char *why);
@@ -677,7 +677,7 @@
 void job_task_ready(struct gb_core *, struct job *, uint32_t index);
 /** Apply a worker's report on a task. */
 void job_task_report(struct gb_core *, struct job *, uint32_t index,
-    struct worker *, const gb_held *);
+    struct worker *, const gb_worker_task *);
 /** The worker process restarted after a task had been sent to it. */
 void job_task_crashed(struct gb_core *, struct job *, uint32_t index);
 /** A task does not run on its worker any more; never_started: it certainly
@@ -693,7 +693,8 @@
 void job_recovered(struct gb_core *, struct shard *);
 /** Find the task that an entry of a worker's report is about; null when it is
  * not the current attempt of any.  Sets the job, null if there is none. */
-struct task *job_task_match(struct worker *, const gb_held *, struct job **);
+struct task *job_task_match(
+    struct worker *, const gb_worker_task *, struct job **);
 /** Start a new attempt of a task on a worker. */
 void job_task_place(
     struct gb_core *, struct job *, uint32_t index, struct worker *);
@@ -763,10 +764,11 @@
 void request_shard_lost(struct gb_core *, struct shard *);
 /** Number of this process's requests that a worker lists, but that were sent
  * before this process lost and acquired its shard again. */
-uint32_t request_unknown(
+uint32_t request_count_unknown(
     struct gb_core *, const struct worker *, const gb_sync_res *);
 /** Free the capacity of given up requests that a report no longer lists. */
-void request_reported(struct gb_core *, struct worker *, const gb_sync_res *);
+void request_apply_report(
+    struct gb_core *, struct worker *, const gb_sync_res *);
 /** Free the capacity of given up requests of a worker process that ended. */
 void request_worker_ended(struct gb_core *, struct worker *);
 void requests_free(struct gb_core *);
--- a/libgooseberry/process/entry.c
+++ b/libgooseberry/process/entry.c
@@ -154,7 +154,7 @@
 	gb_command *cmd = &relay->arg.command;
 
 	entry->commands++;
-	relay->any_shard = true;
+	relay->any_sched = true;
 	cmd->verb = verb;
 	cmd->team = gb_strdup(team);
 	cmd->name = gb_strdup(name);
@@ -212,14 +212,14 @@
 		verb = GB_VERB_CANCEL;
 	}
 	if (verb == GB_VERB_SUBMIT || verb == GB_VERB_CANCEL)
-		http_call_add(call, "gooseberry-job", name);
+		http_call_add_header(call, "gooseberry-job", name);
 	relay = command_new(entry, call, verb, team, name);
-	relay->any_shard = false;
+	relay->any_sched = false;
 	relay->gather = verb == GB_VERB_JOBS;
-	relay->shard =
-	    relay->gather
-		? 0
-		: gb_shard_of_job(gb_route_shards(entry->route), team, name);
+	relay->shard = relay->gather
+			   ? 0
+			   : gb_shard_of_job(gb_route_shard_count(entry->route),
+				 team, name);
 	relay_start(relay);
 }
 
@@ -308,7 +308,7 @@
 		relay = command_new(entry, call, GB_VERB_METRICS, "", "");
 	} else if (strcmp(what, "workers") == 0 && path->count == 2) {
 		relay = command_new(entry, call, GB_VERB_WORKERS, "", "");
-		relay->any_shard = false;
+		relay->any_sched = false;
 		relay->gather = true;
 	} else if (strcmp(what, "workers") == 0 && path->count == 4 &&
 		   strcmp(call->method, "POST") == 0) {
@@ -366,7 +366,7 @@
 		return;
 	}
 	entry->view_received = gb_clock_boot();
-	gb_route_view(entry->route, entry->view_received, res);
+	gb_route_apply_view(entry->route, entry->view_received, res);
 }
 
 /** Ask a scheduler for its view: one of the settings, or after each round of
@@ -383,7 +383,7 @@
 		return;
 	if (entry->view_next % (scheds->count + 1) < scheds->count)
 		addr = scheds->item[entry->view_next % (scheds->count + 1)];
-	else if (!gb_route_member(entry->route,
+	else if (!gb_route_member_addr(entry->route,
 		     entry->view_next / (scheds->count + 1), &addr))
 		addr = scheds->item[0];
 	entry->view_pending = true;
--- a/libgooseberry/process/entry.h
+++ b/libgooseberry/process/entry.h
@@ -46,12 +46,12 @@
 		gb_command command;
 	} arg;
 	uint32_t shard;	     /**< shard that it is sent to */
-	bool any_shard;	     /**< a command that every scheduler can serve */
+	bool any_sched;	     /**< a command that every scheduler can serve */
 	bool gather;	     /**< a list of which every shard has a part */
 	struct gb_text list; /**< parts of that list received so far */
 	unsigned int tries;
 	unsigned int refs; /**< tries in flight, timers, and its own */
-	bool maybe;	   /**< an earlier try may have run */
+	bool may_have_run; /**< an earlier try may have run */
 	bool ended;	   /**< the caller has been answered */
 	bool hedged;	   /**< not used */
 	gb_time started;
--- a/libgooseberry/process/error.c
+++ b/libgooseberry/process/error.c
@@ -17,7 +17,7 @@
     [GB_E_MISSING] = {"missing", 404},
     [GB_E_DENIED] = {"denied", 403},
     [GB_E_BUSY] = {"busy", 503},
-    [GB_E_LATE] = {"late", 504},
+    [GB_E_DEADLINE] = {"late", 504},
     [GB_E_IO] = {"io", 502},
     [GB_E_MEMORY] = {"memory", 500},
 };
--- a/libgooseberry/process/index.c
+++ b/libgooseberry/process/index.c
@@ -234,7 +234,7 @@
 	unsigned int i;
 
 	for (i = cpu_min; i < CPU_STEPS; i++) {
-		unsigned int cpu = s->scorer->roomiest_first
+		unsigned int cpu = s->scorer->most_free_first
 				       ? CPU_STEPS - 1 - (i - cpu_min)
 				       : i;
 
--- a/libgooseberry/process/job.c
+++ b/libgooseberry/process/job.c
@@ -122,7 +122,7 @@
 	    (xdrproc_t)xdr_gb_job_spec, spec, &job->spec, sizeof(job->spec));
 	job->id = spec->id;
 	job->shard = shard;
-	job->team = config_team(core, spec->team);
+	job->team = config_team_index(core, spec->team);
 	job->tasks = gb_calloc(spec->tasks, sizeof(struct task));
 	job->ready = gb_calloc(spec->tasks, sizeof(uint32_t));
 	job->accepted_at = core->now;
@@ -354,7 +354,7 @@
 /* Reports of workers */
 
 struct task *
-job_task_match(struct worker *w, const gb_held *held, struct job **out)
+job_task_match(struct worker *w, const gb_worker_task *held, struct job **out)
 {
 	struct job *job = job_find(w->shard, held->id.job);
 	struct task *task;
@@ -366,7 +366,8 @@
 	/* That an attempt has stopped on this worker does not show that no
 	 * later attempt runs on another. */
 	if (task->state == TASK_UNCERTAIN && task->worker == GB_NONE &&
-	    (held->state == GB_HELD_RUNNING || held->state == GB_HELD_OK))
+	    (held->state == GB_WORKER_TASK_RUNNING ||
+		held->state == GB_WORKER_TASK_OK))
 		return task;
 	if (task->worker != w->handle || task->attempt != held->id.attempt ||
 	    task->state == TASK_ENDED)
@@ -411,7 +412,7 @@
 /** Apply a worker's report that an attempt has ended. */
 static void
 task_reported_end(struct gb_core *core, struct job *job, uint32_t index,
-    struct worker *w, const gb_held *held)
+    struct worker *w, const gb_worker_task *held)
 {
 	struct task *task = &job->tasks[index];
 	bool stopping = task->state == TASK_STOPPING;
@@ -421,27 +422,28 @@
 	if (stopping && job->shard->preempting > 0)
 		job->shard->preempting--;
 	switch (held->state) {
-	case GB_HELD_OK:
+	case GB_WORKER_TASK_OK:
 		worker_outcome_record(core, w, job->id, false);
 		job_task_end(core, job, index, GB_OUTCOME_OK);
 		return;
-	case GB_HELD_FAILED:
+	case GB_WORKER_TASK_FAILED:
 		worker_outcome_record(core, w, job->id, true);
 		if (task_failed(core, job, index))
 			return;
 		break;
-	case GB_HELD_REFUSED:
-	case GB_HELD_STOPPED:
-	case GB_HELD_RUNNING:
+	case GB_WORKER_TASK_REFUSED:
+	case GB_WORKER_TASK_STOPPED:
+	case GB_WORKER_TASK_RUNNING:
 		break;
 	}
 	worker_ack(w, &held->id);
-	job_task_retry_or_end(core, job, index, held->state == GB_HELD_REFUSED);
+	job_task_retry_or_end(
+	    core, job, index, held->state == GB_WORKER_TASK_REFUSED);
 }
 
 void
 job_task_report(struct gb_core *core, struct job *job, uint32_t index,
-    struct worker *w, const gb_held *held)
+    struct worker *w, const gb_worker_task *held)
 {
 	struct task *task = &job->tasks[index];
 
@@ -455,7 +457,7 @@
 		task->state = TASK_RUNNING;
 		task->last_report = w->reports;
 	}
-	if (held->state != GB_HELD_RUNNING) {
+	if (held->state != GB_WORKER_TASK_RUNNING) {
 		task_reported_end(core, job, index, w, held);
 		return;
 	}
@@ -493,7 +495,7 @@
 	TAILQ_INSERT_TAIL(&shard->ended, job, queue);
 	job->ended_at = core->now;
 	memset(&record, 0, sizeof(record));
-	record.type = GB_REC_FORGET;
+	record.type = GB_REC_JOB_REMOVED;
 	record.gb_record_u.forget = job->id;
 	log_append(core, shard, &record, 0);
 }
--- a/libgooseberry/process/job_record.c
+++ b/libgooseberry/process/job_record.c
@@ -149,10 +149,10 @@
 	case GB_REC_LEND:
 		loan_commit(core, shard, &record->gb_record_u.lend);
 		break;
-	case GB_REC_UNLEND:
+	case GB_REC_LOAN_ENDED:
 		loan_return_commit(core, shard, &record->gb_record_u.unlend);
 		break;
-	case GB_REC_FORGET:
+	case GB_REC_JOB_REMOVED:
 		job = job_find(shard, record->gb_record_u.forget);
 		if (job != NULL)
 			job_free(core, job);
--- a/libgooseberry/process/link.c
+++ b/libgooseberry/process/link.c
@@ -59,7 +59,8 @@
 }
 
 void
-gb_link_out(struct gb_link *link, gb_time now, unsigned int kind, size_t bytes)
+gb_link_count_sent(
+    struct gb_link *link, gb_time now, unsigned int kind, size_t bytes)
 {
 	gb_time from;
 
@@ -78,7 +79,7 @@
 }
 
 void
-gb_link_in(struct gb_link *link, unsigned int kind, size_t bytes)
+gb_link_count_received(struct gb_link *link, unsigned int kind, size_t bytes)
 {
 	if (link == NULL)
 		return;
@@ -92,7 +93,7 @@
 }
 
 gb_time
-gb_link_queued(const struct gb_link *link, gb_time now)
+gb_link_backlog(const struct gb_link *link, gb_time now)
 {
 	if (link == NULL || link->free_at <= now)
 		return 0;
@@ -100,7 +101,7 @@
 }
 
 double
-gb_link_use(const struct gb_link *link)
+gb_link_utilisation(const struct gb_link *link)
 {
 	return link == NULL ? 0 : link->use;
 }
--- a/libgooseberry/process/loan.c
+++ b/libgooseberry/process/loan.c
@@ -331,7 +331,7 @@
 
 	if (loan == NULL) {
 		/* The result has been logged, or the job has been removed. */
-		lend_send(core, GB_LEND_SETTLED, shard->id, lend->from,
+		lend_send(core, GB_LEND_RESULT_STORED, shard->id, lend->from,
 		    lend->parent, lend->child);
 		return;
 	}
@@ -341,7 +341,7 @@
 	loan->accepted = true;
 	if (lend->outcomes.outcomes_val[0] == GB_OUTCOME_RETURNED) {
 		memset(&record, 0, sizeof(record));
-		record.type = GB_REC_UNLEND;
+		record.type = GB_REC_LOAN_ENDED;
 		record.gb_record_u.unlend.job = job->id;
 		record.gb_record_u.unlend.child = loan->child;
 		log_append(core, shard, &record, 0);
@@ -369,7 +369,7 @@
 	gb_record record;
 
 	if (job_find(shard, lend->child) != NULL) {
-		lend_send(core, GB_LEND_TAKEN, shard->id, lend->from,
+		lend_send(core, GB_LEND_ACCEPTED, shard->id, lend->from,
 		    lend->parent, lend->child);
 		return;
 	}
@@ -457,7 +457,7 @@
 	case GB_LEND_OFFER:
 		child_offered(core, shard, lend);
 		break;
-	case GB_LEND_TAKEN:
+	case GB_LEND_ACCEPTED:
 		job = job_find(shard, lend->parent);
 		loan = job == NULL ? NULL : loan_find(job, lend->child);
 		if (loan != NULL)
@@ -466,7 +466,7 @@
 	case GB_LEND_RESULT:
 		loan_result(core, shard, lend);
 		break;
-	case GB_LEND_SETTLED:
+	case GB_LEND_RESULT_STORED:
 		job = job_find(shard, lend->child);
 		if (job != NULL)
 			job->result_acked = true;
--- a/libgooseberry/process/sched.c
+++ b/libgooseberry/process/sched.c
@@ -254,7 +254,7 @@
 {
 	struct gb_action action;
 
-	while (gb_core_next(sched->core, &action)) {
+	while (gb_core_next_action(sched->core, &action)) {
 		sched_action(sched, &action);
 		gb_action_clear(&action);
 	}
@@ -523,7 +523,7 @@
 	gb_standin_platform(&sched->platform, sched->pool, settings->store);
 	sched_config(sched, &cfg);
 	sched->core = gb_core_new(&cfg, gb_clock_boot());
-	gb_core_set_wall(sched->core, gb_clock_wall() - gb_clock_boot());
+	gb_core_set_wall_offset(sched->core, gb_clock_wall() - gb_clock_boot());
 	uv_timer_init(loop, &sched->tick);
 	sched->tick.data = sched;
 	uv_timer_start(&sched->tick, sched_tick, 0, TICK_MS);
--- a/libgooseberry/process/shard.c
+++ b/libgooseberry/process/shard.c
@@ -128,7 +128,7 @@
 }
 
 void
-shard_row_seen(struct gb_core *core, const gb_row *row)
+shard_row_apply(struct gb_core *core, const gb_row *row)
 {
 	gb_body body = row->value;
 	struct shard *shard;
@@ -151,7 +151,7 @@
 		snprintf(shard->member, sizeof(shard->member), "%s", r.member);
 		if ((shard->state == SHARD_LOADING ||
 			shard->state == SHARD_ACTIVE ||
-			shard->state == SHARD_HANDING) &&
+			shard->state == SHARD_HANDOVER) &&
 		    (r.epoch != shard->epoch ||
 			r.owner != core->cfg.incarnation))
 			shard_lose(core, shard, "its row names another owner");
@@ -160,7 +160,7 @@
 }
 
 void
-shard_claim_seen(
+shard_claim_apply(
     struct gb_core *core, const gb_claim *claim, const char *member)
 {
 	struct shard *shard = shard_get(core, claim->shard);
@@ -238,7 +238,7 @@
 	bool other_in_dc = strcmp(m->dc, dc) == 0;
 
 	if (!m->listed || !m->informed || !member_live(core, m) ||
-	    core->now - m->echoed > core->cfg.suspect_us)
+	    core->now - m->acked_beat_sent > core->cfg.suspect_us)
 		return false;
 	if (other_in_dc && !in_dc)
 		return m->claim_count <= own;
@@ -259,7 +259,7 @@
 			continue;
 		core->rebalance_at = core->now + REBALANCE_INTERVAL;
 		shard->handover_since = core->now;
-		shard->state = SHARD_HANDING;
+		shard->state = SHARD_HANDOVER;
 		return;
 	}
 }
@@ -417,7 +417,7 @@
 	core->leaving = true;
 	for (i = 0; i < core->shard_count; i++) {
 		if (core->shards[i].state == SHARD_ACTIVE)
-			core->shards[i].state = SHARD_HANDING;
+			core->shards[i].state = SHARD_HANDOVER;
 		else if (core->shards[i].state != SHARD_NONE)
 			shard_drop(core, &core->shards[i]);
 	}
@@ -467,7 +467,7 @@
 {
 	gb_time lease = core->cfg.lease_us;
 
-	if (shard->leases_end != 0 || !member_spread_known(core, &shard->claim))
+	if (shard->leases_end != 0 || !member_write_known(core, &shard->claim))
 		return;
 	shard->leases_end = shard->claim.known_at + core->cfg.fresh_us + lease +
 			    lease / CLOCK_DRIFT_PART + core->cfg.margin_us;
@@ -477,7 +477,7 @@
 void
 shard_tick(struct gb_core *core, struct shard *shard)
 {
-	if (shard->state == SHARD_ACTIVE || shard->state == SHARD_HANDING)
+	if (shard->state == SHARD_ACTIVE || shard->state == SHARD_HANDOVER)
 		shard_prior_leases_update(core, shard);
 	switch (shard->state) {
 	case SHARD_NONE:
@@ -488,9 +488,9 @@
 	case SHARD_LOADING:
 		recover_tick(core, shard);
 		break;
-	case SHARD_HANDING:
+	case SHARD_HANDOVER:
 		log_tick(core, shard);
-		if (shard->state != SHARD_HANDING)
+		if (shard->state != SHARD_HANDOVER)
 			break;
 		if (!core->leaving && !shard->handover_pending &&
 		    core->now - shard->handover_since > REBALANCE_TIMEOUT)
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -62,7 +62,7 @@
 	gb_res free_res;
 
 	(void)core;
-	if (shard->state != SHARD_ACTIVE && shard->state != SHARD_HANDING)
+	if (shard->state != SHARD_ACTIVE && shard->state != SHARD_HANDOVER)
 		return;
 	if (!worker_usable(w)) {
 		if (w->indexed)
@@ -216,7 +216,8 @@
 		return;
 	w->evidence = evidence;
 	worker_index(core, w);
-	if (w->shard->state == SHARD_ACTIVE || w->shard->state == SHARD_HANDING)
+	if (w->shard->state == SHARD_ACTIVE ||
+	    w->shard->state == SHARD_HANDOVER)
 		job_reconcile(core, w->shard);
 }
 
@@ -330,7 +331,7 @@
 	w->platform = in->state;
 	if (in->state == GB_INSTANCE_GONE &&
 	    (w->shard->state == SHARD_ACTIVE ||
-		w->shard->state == SHARD_HANDING))
+		w->shard->state == SHARD_HANDOVER))
 		worker_removed(core, w);
 	else
 		worker_index(core, w);
@@ -488,7 +489,7 @@
 	gb_sync *sync;
 
 	if (reported) {
-		gb_time until = worker_lease_end(core, w->anchor_local);
+		gb_time until = worker_lease_end(core, w->anchor_received_at);
 
 		if (until > w->lapse_at)
 			w->lapse_at = until;
@@ -562,21 +563,21 @@
 	u_int n;
 
 	for (n = 0; n < res->held.held_len; n++) {
-		const gb_held *held = &res->held.held_val[n];
+		const gb_worker_task *held = &res->held.held_val[n];
 		struct job *job;
 		struct task *task = job_task_match(w, held, &job);
 
 		if (task != NULL) {
 			task->last_report = report;
 			job_task_report(core, job, held->id.index, w, held);
-		} else if (held->state == GB_HELD_RUNNING) {
+		} else if (held->state == GB_WORKER_TASK_RUNNING) {
 			gb_res_add(&foreign, &held->res);
 			worker_stop_id(w, &held->id);
 		} else {
 			worker_ack(w, &held->id);
 		}
 	}
-	requests = (int)(res->requests + request_unknown(core, w, res));
+	requests = (int)(res->requests + request_count_unknown(core, w, res));
 	foreign.slots += requests;
 	foreign.conns += requests;
 	w->foreign = foreign;
@@ -660,11 +661,11 @@
 		worker_restarted(core, w, w->seq + 1);
 	w->incarnation = res->incarnation;
 	w->anchor = res->clock;
-	w->anchor_local = now;
+	w->anchor_received_at = now;
 	if (w->evidence != EVIDENCE_FENCED)
 		w->lapse_at = worker_lease_end(core, now);
 	worker_report(core, w, res);
-	request_reported(core, w, res);
+	request_apply_report(core, w, res);
 	worker_evidence(core, w, EVIDENCE_FENCED);
 	if (!w->durable && !w->add_pending)
 		worker_addition_log(core, w);
@@ -688,7 +689,7 @@
 {
 	struct shard *shard = w->shard;
 
-	if (shard->state != SHARD_ACTIVE && shard->state != SHARD_HANDING)
+	if (shard->state != SHARD_ACTIVE && shard->state != SHARD_HANDOVER)
 		return;
 	if (w->evidence == EVIDENCE_TERMINATED)
 		return;
--- a/libgooseberry/request/relay.c
+++ b/libgooseberry/request/relay.c
@@ -41,10 +41,11 @@
 		gb_text_add(&body, ", \"retry_after_ms\": %u", retry_ms);
 		snprintf(
 		    seconds, sizeof(seconds), "%u", (retry_ms + 999) / 1000);
-		http_call_add(call, "retry-after", seconds);
+		http_call_add_header(call, "retry-after", seconds);
 	}
 	gb_text_add(&body, "}\n");
-	http_call_add(call, "gooseberry-verdict", gb_verdict_name(verdict));
+	http_call_add_header(
+	    call, "gooseberry-verdict", gb_verdict_name(verdict));
 	http_call_answer(
 	    call, status, "application/problem+json", body.data, body.len);
 	gb_text_free(&body);
@@ -74,23 +75,23 @@
 	char etag[32];
 
 	relay->ended = true;
-	if (verdict == GB_NOT_RUN && relay->maybe)
+	if (verdict == GB_NOT_RUN && relay->may_have_run)
 		verdict = GB_MAYBE_RUN;
 	gb_trace_span(&entry->env, relay->own, relay->parent, "entry",
 	    relay->started, now, gb_verdict_name(verdict));
 	if (relay->proc == GB_PROC_REQUEST)
 		gb_histogram_add(&entry->request_us, now - relay->started);
-	http_call_add(relay->call, "traceparent", relay->own);
+	http_call_add_header(relay->call, "traceparent", relay->own);
 	if (verdict != GB_RUN || answer->reason[0] != '\0') {
 		entry->refused++;
 		relay_problem(relay->call, answer->status, verdict,
 		    answer->retry_after_ms, answer->reason);
 	} else {
-		http_call_add(relay->call, "gooseberry-verdict", "ran");
+		http_call_add_header(relay->call, "gooseberry-verdict", "ran");
 		if (answer->vers > 0) {
 			snprintf(etag, sizeof(etag), "\"%" PRIu64 "\"",
 			    answer->vers);
-			http_call_add(relay->call, "etag", etag);
+			http_call_add_header(relay->call, "etag", etag);
 		}
 		http_call_answer(relay->call, answer->status,
 		    relay->proc == GB_PROC_REQUEST ? "application/octet-stream"
@@ -211,7 +212,7 @@
 	gather_add(relay, answer);
 	relay->shard++;
 	relay->tries = 0;
-	if (relay->shard < gb_route_shards(relay->entry->route)) {
+	if (relay->shard < gb_route_shard_count(relay->entry->route)) {
 		relay_send(relay);
 		return;
 	}
@@ -264,7 +265,7 @@
 		return;
 	}
 	if (answer == NULL && verdict == GB_MAYBE_RUN)
-		relay->maybe = true;
+		relay->may_have_run = true;
 	if (verdict != GB_RUN && relay_retry_allowed(relay, verdict, status))
 		relay_retry_later(relay);
 	else if (answer != NULL)
@@ -347,11 +348,11 @@
 		relay->arg.request.shard = relay->shard;
 		return gb_route_owner(entry->route, relay->shard);
 	}
-	if (!relay->any_shard) {
+	if (!relay->any_sched) {
 		relay->arg.command.shard = relay->shard;
 		return gb_route_owner(entry->route, relay->shard);
 	}
-	if (gb_route_member(entry->route, relay->tries, &addr))
+	if (gb_route_member_addr(entry->route, relay->tries, &addr))
 		return addr;
 	return entry->settings.scheds
 	    .item[relay->tries % entry->settings.scheds.count];
@@ -376,7 +377,7 @@
 	}
 	if (relay->proc == GB_PROC_REQUEST) {
 		relay->arg.request.remaining_us = remaining;
-		relay->arg.request.repeated = relay->maybe;
+		relay->arg.request.repeated = relay->may_have_run;
 	} else {
 		relay->arg.command.remaining_us = remaining;
 	}
--- a/libgooseberry/request/request.c
+++ b/libgooseberry/request/request.c
@@ -72,9 +72,9 @@
 {
 	uint64_t ms = RETRY_AFTER_MIN_MS;
 
-	if (shard->drain_rate > 0)
+	if (shard->answer_rate > 0)
 		ms = ((uint64_t)shard->waiting_count + 1) * 1000 /
-		     shard->drain_rate;
+		     shard->answer_rate;
 	if (ms < RETRY_AFTER_MIN_MS)
 		ms = RETRY_AFTER_MIN_MS;
 	return (
@@ -161,7 +161,7 @@
 request_fail(struct gb_core *core, struct request *r, gb_verdict verdict,
     unsigned status, unsigned retry_ms, const char *reason)
 {
-	if (verdict == GB_NOT_RUN && r->maybe)
+	if (verdict == GB_NOT_RUN && r->may_have_run)
 		verdict = GB_MAYBE_RUN;
 	if (verdict == GB_NOT_RUN)
 		key_remove(core, r);
@@ -389,14 +389,14 @@
 	r->started = now;
 	r->need = doc->res;
 	r->idempotent = doc->idempotent;
-	r->maybe = req->repeated;
+	r->may_have_run = req->repeated;
 	r->avoid = GB_NONE;
 	r->worker = GB_NONE;
 	snprintf(r->pool, sizeof(r->pool), "%s", doc->pool);
 	HASH_ADD(hh, core->requests, id, sizeof(r->id), r);
 	gb_retry_earn(&core->retry);
 	if (!r->idempotent && req->key[0] != '\0') {
-		r->state = REQUEST_KEYED;
+		r->state = REQUEST_WRITING_KEY;
 		r->key_nonce = gb_random_next(&core->seed);
 		r->fingerprint =
 		    gb_hash(req->body.gb_body_val, req->body.gb_body_len) ^
@@ -461,7 +461,7 @@
 	exec->epoch = r->shard->epoch;
 	exec->incarnation = w->incarnation;
 	exec->anchor = w->anchor;
-	exec->lease_us = core->now - w->anchor_local +
+	exec->lease_us = core->now - w->anchor_received_at +
 			 (r->deadline - core->now) + EXEC_MARGIN;
 	exec->rid = r->rid;
 	exec->owner = core->cfg.incarnation;
@@ -560,8 +560,8 @@
 	shard->drained++;
 	if (span < GB_SEC)
 		return;
-	shard->drain_rate =
-	    (uint32_t)((shard->drain_rate +
+	shard->answer_rate =
+	    (uint32_t)((shard->answer_rate +
 			   shard->drained * GB_SEC / (uint64_t)span) /
 			   2 +
 		       1);
@@ -575,7 +575,7 @@
 {
 	bool own = r->shard->state == SHARD_ACTIVE && !core->leaving;
 
-	r->maybe = r->maybe || verdict == GB_MAYBE_RUN;
+	r->may_have_run = r->may_have_run || verdict == GB_MAYBE_RUN;
 	if (own && gb_verdict_retryable(verdict, r->idempotent) &&
 	    r->tries < TRIES_MAX && core->now < r->deadline &&
 	    gb_core_fresh(core, core->now) && gb_retry_spend(&core->retry)) {
@@ -625,7 +625,7 @@
 }
 
 uint32_t
-request_unknown(
+request_count_unknown(
     struct gb_core *core, const struct worker *w, const gb_sync_res *res)
 {
 	uint32_t unknown = 0;
@@ -643,7 +643,8 @@
 }
 
 void
-request_reported(struct gb_core *core, struct worker *w, const gb_sync_res *res)
+request_apply_report(
+    struct gb_core *core, struct worker *w, const gb_sync_res *res)
 {
 	struct exec *e;
 	struct exec *next;
--- a/libgooseberry/version/config.c
+++ b/libgooseberry/version/config.c
@@ -29,7 +29,7 @@
 
 /** Index of a team; adds the team if it is new. */
 uint32_t
-config_team(struct gb_core *core, const char *name)
+config_team_index(struct gb_core *core, const char *name)
 {
 	struct team *team;
 	uint32_t i;
@@ -132,7 +132,7 @@
 	}
 	doc->now = parsed;
 	doc->now.vers = change->vers;
-	team = config_team(core, change->team);
+	team = config_team_index(core, change->team);
 	if (parsed.kind == GB_KIND_TEAM) {
 		core->teams[team].weight = parsed.weight;
 		core->teams[team].quota = parsed.quota;
@@ -519,7 +519,7 @@
 		}
 		wait->change.seq = core->config_seq + 1;
 		wait->change.vers = wait->expected + 1;
-		wait->after_vers = core->config_vers;
+		wait->preceding_vers = core->config_vers;
 	}
 	if (!gb_xdr_encode((xdrproc_t)xdr_gb_change, &wait->change, &body))
 		return;
@@ -531,7 +531,7 @@
 		/* A delayed write must fail if its number was used and removed
 		 * since then. */
 		change_key(key, sizeof(key), wait->change.seq - 1);
-		store_txn_cond(&txn, key, wait->after_vers);
+		store_txn_cond(&txn, key, wait->preceding_vers);
 	}
 	view_bind(core, &txn);
 	wait->sent = true;
@@ -566,7 +566,7 @@
 	if (wait->committed && wait->answer == 0) {
 		wait_free(core, wait);
 	} else if (wait->committed) {
-		bool in_force = member_spread_done(core, &wait->spread);
+		bool in_force = member_write_in_force(core, &wait->spread);
 
 		if (in_force || late)
 			wait_accepted(core, wait, in_force);
--- a/libgooseberry/version/member.c
+++ b/libgooseberry/version/member.c
@@ -79,7 +79,7 @@
 }
 
 void
-member_instance(struct gb_core *core, const gb_instance *instance)
+member_apply_instance(struct gb_core *core, const gb_instance *instance)
 {
 	struct member *m = member_find(core, instance->name);
 
@@ -101,7 +101,7 @@
 static bool
 member_confirms(const struct gb_core *core, const struct member *m, gb_time now)
 {
-	return m->informed && now - m->echoed <= core->cfg.fresh_us &&
+	return m->informed && now - m->acked_beat_sent <= core->cfg.fresh_us &&
 	       m->seen <= core->head_seen;
 }
 
@@ -163,7 +163,7 @@
 }
 
 bool
-member_spread_known(struct gb_core *core, struct spread *spread)
+member_write_known(struct gb_core *core, struct spread *spread)
 {
 	struct spread_count count;
 
@@ -178,14 +178,14 @@
 }
 
 bool
-member_spread_done(struct gb_core *core, struct spread *spread)
+member_write_in_force(struct gb_core *core, struct spread *spread)
 {
 	struct spread_count count;
 
 	spread_count(core, spread->vers, &count);
 	if (count.missing == 0)
 		return true;
-	return member_spread_known(core, spread) &&
+	return member_write_known(core, spread) &&
 	       core->now - spread->known_at >
 		   core->cfg.fresh_us + core->cfg.margin_us;
 }
@@ -203,7 +203,7 @@
 		const struct shard *s = &core->shards[i];
 
 		if (s->state != SHARD_LOADING && s->state != SHARD_ACTIVE &&
-		    s->state != SHARD_HANDING)
+		    s->state != SHARD_HANDOVER)
 			continue;
 		claims[n].shard = i;
 		claims[n].epoch = s->epoch;
@@ -256,7 +256,7 @@
 		memcpy(m->claims, beat->claims.claims_val,
 		    m->claim_count * sizeof(gb_claim));
 	for (i = 0; i < m->claim_count; i++)
-		shard_claim_seen(core, &m->claims[i], m->name);
+		shard_claim_apply(core, &m->claims[i], m->name);
 	if (m->seen > core->head_seen)
 		view_poll_now(core);
 	return m;
@@ -278,8 +278,8 @@
 
 	core->now = now;
 	m = member_apply_beat(core, beat);
-	if (m != NULL && sent > m->echoed)
-		m->echoed = sent;
+	if (m != NULL && sent > m->acked_beat_sent)
+		m->acked_beat_sent = sent;
 }
 
 void
--- a/libgooseberry/version/route.c
+++ b/libgooseberry/version/route.c
@@ -105,7 +105,7 @@
 }
 
 void
-gb_route_view(struct gb_route *route, gb_time now, const gb_view *view)
+gb_route_apply_view(struct gb_route *route, gb_time now, const gb_view *view)
 {
 	u_int i;
 	u_int n;
@@ -124,7 +124,7 @@
 }
 
 uint32_t
-gb_route_shards(const struct gb_route *route)
+gb_route_shard_count(const struct gb_route *route)
 {
 	return route->shard_count;
 }
@@ -216,7 +216,8 @@
 }
 
 bool
-gb_route_member(const struct gb_route *route, unsigned int n, const char **addr)
+gb_route_member_addr(
+    const struct gb_route *route, unsigned int n, const char **addr)
 {
 	if (n >= route->member_count)
 		return false;
--- a/libgooseberry/version/view.c
+++ b/libgooseberry/version/view.c
@@ -164,7 +164,7 @@
 			     sizeof(WAIT_PREFIX) - 1) == 0)
 			wait_row_apply(core, row);
 		else
-			shard_row_seen(core, row);
+			shard_row_apply(core, row);
 	}
 	for (n = 0; n < core->shard_count; n++) {
 		struct shard *shard = &core->shards[n];
@@ -576,7 +576,7 @@
 		return;
 	}
 	if (!view_is_writer(core) ||
-	    !member_spread_done(core, &core->view_spread))
+	    !member_write_in_force(core, &core->view_spread))
 		return;
 	core->view_due_since = core->now;
 	view_write(core, has_previous ? VIEW_DROP_PREVIOUS : VIEW_CHANGE);
--- a/standin/emulator.c
+++ b/standin/emulator.c
@@ -231,7 +231,7 @@
 	if (strcmp(what, "crash") == 0) {
 		world_worker_crash(emu->world, worker->number);
 	} else if (strcmp(what, "reborn") == 0) {
-		world_worker_reborn(emu->world, worker->number);
+		world_worker_replace(emu->world, worker->number);
 	} else if (strcmp(what, "restart") == 0) {
 		world_worker_restart(emu->world, worker->number);
 	} else if (strcmp(what, "drain") == 0) {
@@ -245,7 +245,7 @@
 	} else if (strcmp(what, "sound") == 0) {
 		worker->entry_error = 0;
 	} else {
-		world_worker_sick(emu->world, worker->number,
+		world_worker_impair(emu->world, worker->number,
 		    strcmp(what, "failing") == 0, strcmp(what, "still") == 0);
 	}
 }
@@ -295,7 +295,7 @@
 	flow.service = gb_strdup("");
 	emu_query(call, "org", org, sizeof(org));
 	flow.org = gb_strdup(org);
-	world_submitted(emu->world, &flow, query_number(call, "attempts"));
+	world_flow_add(emu->world, &flow, query_number(call, "attempts"));
 	xdr_free((xdrproc_t)xdr_gb_flow, (char *)&flow);
 	emu_answer(call, 200, json_object());
 }
@@ -303,7 +303,8 @@
 static void
 control_report(struct emulator *emu, struct http_call *call)
 {
-	const struct world_faults *violations = world_faults(emu->world);
+	const struct world_violations *violations =
+	    world_violations(emu->world);
 
 	emu_answer(call, 200,
 	    json_pack("{s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:i, s:s}", "twice",
@@ -386,7 +387,7 @@
 		world_worker_add(emu->world, emu->service, "dc-a",
 		    i / RACK_WORKERS, &capacity, 1.0);
 		snprintf(addr, sizeof(addr), "worker-%u", i);
-		world_worker_place(emu->world, i, addr);
+		world_worker_set_addr(emu->world, i, addr);
 		snprintf(addr, sizeof(addr), "127.0.0.1:%u",
 		    options.worker_port + i);
 		emu->workers[i].server = http_server_new(emu->loop, addr,
@@ -403,8 +404,8 @@
 	emu->loop = uv_default_loop();
 	emu->began = gb_clock_boot();
 	emu->world = world_new(emu->seed);
-	world_shrunk_known(emu->world, SHRINK_GRACE);
-	world_quota_known(emu->world, QUOTA_GRACE);
+	world_shrink_grace_set(emu->world, SHRINK_GRACE);
+	world_quota_grace_set(emu->world, QUOTA_GRACE);
 	if (!workers_listen(emu, err))
 		return false;
 	if (http_server_new(emu->loop, options.store, BODY_MAX_BYTES,
--- a/standin/worker_model.c
+++ b/standin/worker_model.c
@@ -10,7 +10,7 @@
 struct model_task {
 	gb_task_id id;
 	gb_res res;
-	gb_held_state state;
+	gb_worker_task_state state;
 	uint64_t vers;
 	gb_time end_at; /**< 0: runs until stopped */
 };
@@ -86,12 +86,13 @@
 
 static void
 task_finish(
-    struct worker_model *m, struct model_task *task, gb_held_state state)
+    struct worker_model *m, struct model_task *task, gb_worker_task_state state)
 {
-	if (task->state != GB_HELD_RUNNING)
+	if (task->state != GB_WORKER_TASK_RUNNING)
 		return;
 	task->state = state;
-	ledger_add(m, state == GB_HELD_STOPPED ? WORKER_STOP : WORKER_END,
+	ledger_add(m,
+	    state == GB_WORKER_TASK_STOPPED ? WORKER_STOP : WORKER_END,
 	    &task->id, NULL);
 }
 
@@ -104,11 +105,11 @@
 		struct model_task *task = &m->tasks[i];
 
 		if (now > m->lease_until)
-			task_finish(m, task, GB_HELD_STOPPED);
+			task_finish(m, task, GB_WORKER_TASK_STOPPED);
 		else if (m->fail_all)
-			task_finish(m, task, GB_HELD_FAILED);
+			task_finish(m, task, GB_WORKER_TASK_FAILED);
 		else if (task->end_at != 0 && now >= task->end_at)
-			task_finish(m, task, GB_HELD_OK);
+			task_finish(m, task, GB_WORKER_TASK_OK);
 	}
 }
 
@@ -119,7 +120,7 @@
 	u_int i;
 
 	for (i = 0; i < m->task_count; i++) {
-		if (m->tasks[i].state == GB_HELD_RUNNING)
+		if (m->tasks[i].state == GB_WORKER_TASK_RUNNING)
 			gb_res_add(&load, &m->tasks[i].res);
 	}
 	load.slots += (int)m->request_count;
@@ -128,7 +129,7 @@
 }
 
 bool
-worker_model_over(const struct worker_model *m)
+worker_model_overloaded(const struct worker_model *m)
 {
 	gb_res load = worker_model_load(m);
 
@@ -146,7 +147,7 @@
 	for (i = 0; i < m->task_count; i++) {
 		if (m->tasks[i].id.job == job &&
 		    m->tasks[i].id.index == index &&
-		    m->tasks[i].state == GB_HELD_RUNNING)
+		    m->tasks[i].state == GB_WORKER_TASK_RUNNING)
 			return true;
 	}
 	return false;
@@ -159,7 +160,7 @@
 	u_int i;
 
 	for (i = 0; i < m->task_count && n < max; i++) {
-		if (m->tasks[i].state == GB_HELD_RUNNING)
+		if (m->tasks[i].state == GB_WORKER_TASK_RUNNING)
 			out[n++] = m->tasks[i].id;
 	}
 	return n;
@@ -180,10 +181,10 @@
 	task->res = start->res;
 	task->vers = start->vers;
 	if (now > m->lease_until) {
-		task->state = GB_HELD_REFUSED;
+		task->state = GB_WORKER_TASK_REFUSED;
 		return;
 	}
-	task->state = GB_HELD_RUNNING;
+	task->state = GB_WORKER_TASK_RUNNING;
 	if (start->run_us > 0)
 		task->end_at = now + start->run_us;
 	ledger_add(m, WORKER_START, &task->id, NULL);
@@ -194,7 +195,7 @@
 {
 	struct model_task *task = task_find(m, id);
 
-	if (task == NULL || task->state == GB_HELD_RUNNING)
+	if (task == NULL || task->state == GB_WORKER_TASK_RUNNING)
 		return;
 	*task = m->tasks[--m->task_count];
 }
@@ -209,10 +210,10 @@
 	res->incarnation = m->incarnation;
 	res->seq = m->seq;
 	res->clock = now;
-	res->held.held_val = gb_calloc(m->task_count, sizeof(gb_held));
+	res->held.held_val = gb_calloc(m->task_count, sizeof(gb_worker_task));
 	res->held.held_len = m->task_count;
 	for (i = 0; i < m->task_count; i++) {
-		gb_held *held = &res->held.held_val[i];
+		gb_worker_task *held = &res->held.held_val[i];
 
 		held->id = m->tasks[i].id;
 		held->state = m->tasks[i].state;
@@ -257,7 +258,7 @@
 		    task_find(m, &sync->stops.stops_val[i]);
 
 		if (task != NULL)
-			task_finish(m, task, GB_HELD_STOPPED);
+			task_finish(m, task, GB_WORKER_TASK_STOPPED);
 	}
 	for (i = 0; i < sync->acks.acks_len; i++)
 		task_remove(m, &sync->acks.acks_val[i]);
--- a/standin/worker_model.h
+++ b/standin/worker_model.h
@@ -35,7 +35,7 @@
 /** Resources that running tasks and requests use. */
 gb_res worker_model_load(const struct worker_model *);
 /** Whether the load exceeds the worker's capacity. */
-bool worker_model_over(const struct worker_model *);
+bool worker_model_overloaded(const struct worker_model *);
 /** Whether a task runs now.  It doesn't once the lease has expired: a paused
  * worker's tasks are paused with it, and end before anything else when it
  * resumes after its lease. */
