--- a/standin/world.c
+++ b/standin/world.c
@@ -146,7 +146,8 @@
 }
 
 void
-world_worker_place(struct world *world, unsigned int number, const char *addr)
+world_worker_set_addr(
+    struct world *world, unsigned int number, const char *addr)
 {
 	struct world_worker *worker = world->workers[number];
 
@@ -160,7 +161,7 @@
 }
 
 void
-world_worker_dc(struct world *world, unsigned int number, const char *dc)
+world_worker_set_dc(struct world *world, unsigned int number, const char *dc)
 {
 	struct world_worker *worker = world->workers[number];
 
@@ -236,7 +237,7 @@
 }
 
 void
-world_worker_reborn(struct world *world, unsigned int number)
+world_worker_replace(struct world *world, unsigned int number)
 {
 	struct world_worker *worker = world->workers[number];
 
@@ -291,13 +292,13 @@
 }
 
 void
-world_shrunk_known(struct world *world, gb_time after)
+world_shrink_grace_set(struct world *world, gb_time after)
 {
 	world->shrink_grace = after;
 }
 
 void
-world_worker_sick(
+world_worker_impair(
     struct world *world, unsigned int number, bool failing, bool stalled)
 {
 	world->workers[number]->failing = failing;
@@ -526,7 +527,7 @@
 		struct world_worker *worker = world->workers[i];
 
 		if (worker->back_at != 0 && worker->back_at <= now)
-			world_worker_reborn(world, i);
+			world_worker_replace(world, i);
 		worker_lapse(world, worker);
 		for (run = TAILQ_FIRST(&worker->runs); run != NULL;
 		     run = next) {
--- a/standin/world.h
+++ b/standin/world.h
@@ -10,7 +10,7 @@
 #include "pool.h"
 
 /** Violations of the scheduler's guarantees, as observed by the workers. */
-struct world_faults {
+struct world_violations {
 	unsigned int
 	    twice; /**< a task ran twice at once, or again after success */
 	unsigned int limit;  /**< a worker ran more than its capacity */
@@ -34,7 +34,7 @@
 /** Advance the model to the time `now` in microseconds: runs make progress,
  * end, or lose their lease. */
 void world_tick(struct world *, gb_time now);
-const struct world_faults *world_faults(const struct world *);
+const struct world_violations *world_violations(const struct world *);
 
 /* Workers ----------------------------------------------------------------- */
 
@@ -44,7 +44,8 @@
     const char *dc, unsigned int rack, const gb_res *capacity, double speed);
 unsigned int world_worker_count(const struct world *);
 /** Set the address by which orders name a worker. */
-void world_worker_place(struct world *, unsigned int number, const char *addr);
+void world_worker_set_addr(
+    struct world *, unsigned int number, const char *addr);
 const char *world_worker_addr(const struct world *, unsigned int number);
 /** Get a worker's entry in the platform's list of workers. */
 void world_worker_entry(
@@ -54,9 +55,9 @@
 /** End the worker's process; its runs and its unacknowledged ends are lost. */
 void world_worker_crash(struct world *, unsigned int number);
 /** Set the data centre in the worker's entry. */
-void world_worker_dc(struct world *, unsigned int number, const char *dc);
+void world_worker_set_dc(struct world *, unsigned int number, const char *dc);
 /** Replace the worker's process by one at the same address with a new id. */
-void world_worker_reborn(struct world *, unsigned int number);
+void world_worker_replace(struct world *, unsigned int number);
 /** Restart the worker's process under the same id: its state is lost, and its
  * counters and its clock start over. */
 void world_worker_restart(struct world *, unsigned int number);
@@ -76,9 +77,9 @@
     struct world *, unsigned int number, const gb_res *capacity);
 /** Set for how many microseconds after a worker's capacity is reduced a start
  * beyond it is no violation yet. */
-void world_shrunk_known(struct world *, gb_time after);
+void world_shrink_grace_set(struct world *, gb_time after);
 /** Make all tasks on the worker fail, or stall without progress. */
-void world_worker_sick(
+void world_worker_impair(
     struct world *, unsigned int number, bool failing, bool stalled);
 void world_worker_drain(struct world *, unsigned int number);
 
@@ -93,14 +94,13 @@
 void world_report_free(struct gb_pool_report *);
 
 /** Register a submitted flow with the oracle, which checks runs against it. */
-void world_submitted(
-    struct world *, const gb_flow *, unsigned int max_attempts);
+void world_flow_add(struct world *, const gb_flow *, unsigned int max_attempts);
 /** Set an organisation's quota; an amount of 0 is no limit. */
 void world_org_quota(
     struct world *, const char *org, const struct gb_pool_amount *);
 /** Set for how many microseconds after a quota is lowered a start beyond it is
  * no violation yet. */
-void world_quota_known(struct world *, gb_time after);
+void world_quota_grace_set(struct world *, gb_time after);
 /** CPU in use by an organisation, in thousandths of a core. */
 int64_t world_org_cpu(const struct world *, const char *org);
 /** State of a flow as observed by the workers. */
--- a/standin/world_oracle.c
+++ b/standin/world_oracle.c
@@ -15,8 +15,8 @@
  */
 #define CRASH_STARTS 3
 
-const struct world_faults *
-world_faults(const struct world *world)
+const struct world_violations *
+world_violations(const struct world *world)
 {
 	return &world->violations;
 }
@@ -36,7 +36,7 @@
 }
 
 void
-world_submitted(
+world_flow_add(
     struct world *world, const gb_flow *spec, unsigned int max_attempts)
 {
 	struct world_flow *flow = gb_calloc(1, sizeof(*flow));
--- a/standin/world_org.c
+++ b/standin/world_org.c
@@ -44,7 +44,7 @@
 }
 
 void
-world_quota_known(struct world *world, gb_time after)
+world_quota_grace_set(struct world *world, gb_time after)
 {
 	world->quota_grace = after;
 }
--- a/standin/world_state.h
+++ b/standin/world_state.h
@@ -135,7 +135,7 @@
 	struct world_rows rows; /**< in the order of their keys */
 	struct world_row *by_name;
 	uint64_t vers;
-	struct world_faults violations;
+	struct world_violations violations;
 };
 
 void world_rows_free(struct world *);
--- a/tests/cells.c
+++ b/tests/cells.c
@@ -147,7 +147,7 @@
 
 /** Whether a worker reports a task in a state. */
 static bool
-sync_reports_state(const gb_sync_res *res, gb_held_state state)
+sync_reports_state(const gb_sync_res *res, gb_worker_task_state state)
 {
 	u_int i;
 
@@ -241,9 +241,9 @@
 		a = answer_new(c, m, MSG_SYNC_DONE);
 		worker_model_sync(
 		    w->model, worker_clock(w), &m->u.sync, &a->u.sync_res);
-		if (sync_reports_state(&a->u.sync_res, GB_HELD_RUNNING))
+		if (sync_reports_state(&a->u.sync_res, GB_WORKER_TASK_RUNNING))
 			point_reached(c, AT_RUN, m->from, w->index);
-		if (sync_reports_state(&a->u.sync_res, GB_HELD_OK))
+		if (sync_reports_state(&a->u.sync_res, GB_WORKER_TASK_OK))
 			point_reached(c, AT_END, m->from, w->index);
 		message_send(c, a, 0);
 		return;
@@ -525,7 +525,7 @@
 	struct gb_action action;
 
 	while (c->cores[i].core != NULL &&
-	       gb_core_next(c->cores[i].core, &action)) {
+	       gb_core_next_action(c->cores[i].core, &action)) {
 		/* A fault may kill the core here and drop the other actions. */
 		action_execute(c, i, &action);
 	}
@@ -815,7 +815,7 @@
 	uint32_t i;
 
 	for (i = 0; i < WORKERS; i++) {
-		if (worker_model_over(c->workers[i].model))
+		if (worker_model_overloaded(c->workers[i].model))
 			violation_record(
 			    c, "a worker holds too much", c->workers[i].name);
 	}
@@ -1150,7 +1150,7 @@
 		return;
 	}
 	gb_core_command(c->cores[owner].core, c->now, UINT64_MAX, &cmd);
-	while (gb_core_next(c->cores[owner].core, &action)) {
+	while (gb_core_next_action(c->cores[owner].core, &action)) {
 		if (action.type != GB_ACT_ANSWER || action.id != UINT64_MAX) {
 			action_execute(c, owner, &action);
 			continue;
--- a/tests/large_gang.c
+++ b/tests/large_gang.c
@@ -26,12 +26,12 @@
 
 	for (i = 0; i < 300; i++) {
 		if (i == 40) {
-			pool_cell_step(
+			pool_cell_step_add(
 			    cell, 60, 4000, 3 * GB_SEC, GB_STEP_GANG, -1);
 			large = pool_cell_submit(cell, "rebuild", "ms=3000");
 		}
 		if (i % tenths == 0) {
-			pool_cell_step(
+			pool_cell_step_add(
 			    cell, 8, 4000, 3 * GB_SEC, GB_STEP_GANG, -1);
 			pool_cell_submit(cell, "rebuild", "ms=3000");
 		}
@@ -40,6 +40,6 @@
 	assert_int_equal(cell->flows[large].status, GB_FLOW_SUCCEEDED);
 	assert_true(cell->flows[large].over - cell->flows[large].submitted <=
 		    3 * OBJECTIVE);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -100,8 +100,8 @@
 	struct pool_cell *cell = from->cell;
 	struct gb_link *link = cell->links[from->node];
 
-	gb_link_out(link, cell->now, kind, bytes);
-	return gb_link_queued(link, cell->now);
+	gb_link_count_sent(link, cell->now, kind, bytes);
+	return gb_link_backlog(link, cell->now);
 }
 
 static struct pool_event *
@@ -248,7 +248,7 @@
 		CELL_MESSAGE_BYTES +
 		    CELL_WORKER_NAME_BYTES * ask->workers.workers_len) +
 		from->cell->setup.decide_us +
-		from->cell->setup.per_item_us * ask->workers.workers_len);
+		from->cell->setup.per_worker_us * ask->workers.workers_len);
 
 	(void)member;
 	from->cell->advice_calls++;
@@ -326,12 +326,12 @@
 answer_wait(const struct cell_node *from, const struct gb_pool_read *read)
 {
 	struct pool_cell *cell = from->cell;
-	gb_time *free_at = &cell->link_in_free[from->node];
+	gb_time *free_at = &cell->inbound_free_at[from->node];
 	struct gb_pool_read_res res = {0};
 	size_t bytes = CELL_MESSAGE_BYTES;
 	size_t i;
 
-	if (!cell->link_in || cell->setup.link == 0)
+	if (!cell->inbound_limited || cell->setup.link == 0)
 		return 0;
 	world_read(cell->world, read, &res);
 	for (i = 0; i < res.row_count; i++)
@@ -354,7 +354,7 @@
 	    link_wait(from, GB_TRAFFIC_STORE_READ, CELL_MESSAGE_BYTES);
 	gb_time takes = CELL_TXN_TIME + from->cell->faults.store_delay +
 			answer_wait(from, read);
-	bool given_up = takes > CELL_READ_TIMEOUT && takes > read->patience;
+	bool given_up = takes > CELL_READ_TIMEOUT && takes > read->min_timeout;
 	struct pool_event *event;
 
 	if (fails)
@@ -401,9 +401,9 @@
 	const struct cell_node *from = data;
 	const struct gb_link *link = from->cell->links[from->node];
 
-	out->queued = gb_link_queued(link, from->cell->now);
+	out->queued = gb_link_backlog(link, from->cell->now);
 	out->bytes_per_s = gb_link_rate(link);
-	out->use = gb_link_use(link);
+	out->use = gb_link_utilisation(link);
 }
 
 /* Events ------------------------------------------------------------------ */
@@ -738,7 +738,7 @@
 
 	if (cell->org_count == 0)
 		return;
-	gb_pool_config_orgs(config, cell->org_count);
+	gb_pool_config_orgs_alloc(config, cell->org_count);
 	for (i = 0; i < cell->org_count; i++) {
 		gb_pool_config_org_add(config, &cell->orgs[i]);
 		gb_pool_config_key_add(config, cell->orgs[i].name);
@@ -762,12 +762,12 @@
 		snprintf(queue->name, sizeof(queue->name), "%s", names[i]);
 		snprintf(queue->service, sizeof(queue->service), "svc");
 		queue->max_attempts = 3;
-		queue->stretch = stretches[i];
-		queue->target_us = targets[i] * GB_MSEC;
+		queue->objective_factor = stretches[i];
+		queue->objective_base_us = targets[i] * GB_MSEC;
 		queue->advice.needed = cell->setup.approved_percent > 0;
 		queue->advice.decide_us = cell->setup.decide_us;
 		queue->advice.valid_us = cell->setup.valid_us;
-		queue->advice.per_item_us = cell->setup.per_item_us;
+		queue->advice.per_worker_us = cell->setup.per_worker_us;
 	}
 	gb_pool_config_seal(config);
 	gb_pool_config_unref(cell->config);
@@ -896,7 +896,8 @@
 static void
 cell_list_workers(struct pool_cell *cell)
 {
-	unsigned int count = world_worker_count(cell->world) + cell->strangers;
+	unsigned int count =
+	    world_worker_count(cell->world) + cell->unknown_workers;
 	struct gb_pool_entry *entries = gb_calloc(count, sizeof(*entries));
 	unsigned int i;
 
@@ -904,7 +905,7 @@
 		entry_make(cell, i, &entries[i]);
 	for (i = 0; i < CELL_NODES; i++) {
 		if (gb_pool_owns(cell->nodes[i]))
-			gb_pool_workers(
+			gb_pool_workers_update(
 			    cell->nodes[i], cell->now, entries, count, true);
 	}
 	free(entries);
@@ -920,7 +921,8 @@
 	for (i = 0; i < CELL_NODES; i++) {
 		for (j = 0; j < CELL_NODES; j++) {
 			snprintf(addr, sizeof(addr), "10.9.0.%u:70", j + 1);
-			gb_pool_member(cell->nodes[i], cell->now, addr, true);
+			gb_pool_member_update(
+			    cell->nodes[i], cell->now, addr, true);
 		}
 	}
 }
@@ -967,9 +969,9 @@
 }
 
 void
-pool_cell_take(struct pool_cell *cell, unsigned int node)
+pool_cell_take_over(struct pool_cell *cell, unsigned int node)
 {
-	gb_pool_take(
+	gb_pool_acquire(
 	    cell->nodes[node], cell->now, UINT64_MAX, TAKEOVER_SILENT_OWNER);
 }
 
@@ -984,7 +986,7 @@
 pool_cell_replace_owner(struct pool_cell *cell, unsigned int node)
 {
 	pool_cell_kill(cell, pool_cell_owner(cell) % CELL_NODES);
-	pool_cell_take(cell, node);
+	pool_cell_take_over(cell, node);
 }
 
 /* Flows ------------------------------------------------------------------- */
@@ -1004,8 +1006,8 @@
 }
 
 void
-pool_cell_step(struct pool_cell *cell, uint32_t count, int cpu, gb_time work,
-    uint32_t flags, int after)
+pool_cell_step_add(struct pool_cell *cell, uint32_t count, int cpu,
+    gb_time work, uint32_t flags, int after)
 {
 	gb_flow *spec = &flow_draft(cell)->spec;
 	u_int n = spec->steps.steps_len++;
@@ -1060,7 +1062,7 @@
 	flow->spec.max_attempts = 3;
 	flow->spec.submitted_us = cell->now;
 	flow->submitted = cell->now;
-	world_submitted(cell->world, &flow->spec, 3);
+	world_flow_add(cell->world, &flow->spec, 3);
 	cell->flow_count++;
 	flow_send(cell, flow);
 	return cell->flow_count - 1;
@@ -1138,16 +1140,16 @@
 {
 	struct pool_cell *cell = pool_cell_new(setup);
 
-	pool_cell_take(cell, 0);
+	pool_cell_take_over(cell, 0);
 	pool_cell_run(cell, GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 0);
 	return cell;
 }
 
 void
-pool_cell_assert_unharmed(const struct pool_cell *cell)
+pool_cell_assert_no_violation(const struct pool_cell *cell)
 {
-	const struct world_faults *faults = world_faults(cell->world);
+	const struct world_violations *faults = world_violations(cell->world);
 
 	if (faults->text[0] != '\0')
 		print_message("oracle: %s\n", faults->text);
@@ -1162,6 +1164,6 @@
 size_t
 pool_cell_submit_lookup(struct pool_cell *cell)
 {
-	pool_cell_step(cell, 2, 1400, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 2, 1400, GB_SEC, 0, -1);
 	return pool_cell_submit(cell, "lookup", "ms=1000");
 }
--- a/tests/pool_cell.h
+++ b/tests/pool_cell.h
@@ -50,9 +50,9 @@
 					  service, 0: no advice needed */
 	gb_time decide_us;	       /**< time of an advice call */
 	gb_time valid_us;	       /**< lifetime of a ticket */
-	gb_time per_item_us; /**< added to an advice call for each worker that
+	gb_time per_worker_us; /**< added to an advice call for each worker that
 				it names */
-	uint64_t link;	     /**< bytes per second of each node, 0: no limit */
+	uint64_t link; /**< bytes per second of each node, 0: no limit */
 	uint32_t disabled_features; /**< bitmask of disabled features */
 };
 
@@ -105,12 +105,12 @@
 				  entries are invalid */
 	/** Number of extra entries, of a service that does not exist, at
 	 * addresses where nothing answers. */
-	unsigned int strangers;
+	unsigned int unknown_workers;
 	bool moved; /**< each entry names the address of the next worker */
 	/** Answers to reads take up bandwidth too, on an inbound link as fast
 	 * as the outbound one. */
-	bool link_in;
-	gb_time link_in_free[CELL_NODES]; /**< when each inbound link is idle
+	bool inbound_limited;
+	gb_time inbound_free_at[CELL_NODES]; /**< when each inbound link is idle
 					     again */
 	bool restarts; /**< random faults restart workers under their ids */
 	struct gb_events *events_log; /**< to stderr if GB_POOL_LOG is set */
@@ -121,7 +121,7 @@
 void pool_cell_free(struct pool_cell *);
 void pool_cell_run(struct pool_cell *, gb_time how_long);
 /** Lets a node take over the pool from its owner. */
-void pool_cell_take(struct pool_cell *, unsigned int node);
+void pool_cell_take_over(struct pool_cell *, unsigned int node);
 /** Kills the process of a node and starts a new one without state. */
 void pool_cell_kill(struct pool_cell *, unsigned int node);
 /** Kills the owner of the pool and lets a node take over. */
@@ -133,7 +133,7 @@
 /** Creates a cell whose first node owns the pool. */
 struct pool_cell *pool_cell_begin(const struct pool_cell_setup *);
 /** Asserts that the oracle has seen no violation of a guarantee. */
-void pool_cell_assert_unharmed(const struct pool_cell *);
+void pool_cell_assert_no_violation(const struct pool_cell *);
 /** Sets the quota of an organisation in thousandths of a processor and MB of
  * memory, 0: none, and sends all nodes a new version of the configuration. The
  * key of the organisation is its name. */
@@ -144,14 +144,14 @@
 /** Submits a flow of two tasks of 1 s to the queue of lookups. */
 size_t pool_cell_submit_lookup(struct pool_cell *);
 
-/** Submits the flow drafted by the preceding calls of pool_cell_step to the
+/** Submits the flow drafted by the preceding calls of pool_cell_step_add to the
  * owner; returns its number. */
 size_t pool_cell_submit(
     struct pool_cell *, const char *queue, const char *spec);
 /** Adds a step of `count` tasks to the flow that is submitted next; `after` is
  * the step that it waits for, -1: none. */
-void pool_cell_step(struct pool_cell *, uint32_t count, int cpu, gb_time work,
-    uint32_t flags, int after);
+void pool_cell_step_add(struct pool_cell *, uint32_t count, int cpu,
+    gb_time work, uint32_t flags, int after);
 /** Submits a flow once more, as a caller that got no answer does. */
 void pool_cell_resubmit(struct pool_cell *, size_t flow);
 void pool_cell_cancel(struct pool_cell *, size_t flow);
--- a/tests/pool_random.c
+++ b/tests/pool_random.c
@@ -34,10 +34,10 @@
 		flags |= GB_STEP_GANG;
 	if (n % 5 == 0)
 		flags |= GB_STEP_CHECKPOINT;
-	pool_cell_step(cell, (uint32_t)(1 + n % 7), (int)(500 + n % 4000),
+	pool_cell_step_add(cell, (uint32_t)(1 + n % 7), (int)(500 + n % 4000),
 	    GB_SEC, flags, -1);
 	if (n % 4 == 0)
-		pool_cell_step(cell, 2, 1000, GB_SEC, 0, 0);
+		pool_cell_step_add(cell, 2, 1000, GB_SEC, 0, 0);
 	pool_cell_submit(cell, n % 3 == 0 ? "rebuild" : "lookup", spec);
 }
 
@@ -47,7 +47,7 @@
 worker_start_again(struct pool_cell *cell, unsigned int worker, uint64_t n)
 {
 	if (!cell->restarts) {
-		world_worker_reborn(cell->world, worker);
+		world_worker_replace(cell->world, worker);
 		return;
 	}
 	if (n / 512 % 3 == 0)
@@ -81,7 +81,7 @@
 		cell->faults.store_down = !cell->faults.store_down;
 		break;
 	case 5:
-		pool_cell_take(cell, (unsigned int)(n / 64 % CELL_NODES));
+		pool_cell_take_over(cell, (unsigned int)(n / 64 % CELL_NODES));
 		break;
 	case 6:
 		pool_cell_replace_owner(
@@ -94,7 +94,8 @@
 		worker_start_again(cell, worker, n);
 		break;
 	case 9:
-		world_worker_sick(cell->world, worker, n % 5 == 0, n % 7 == 0);
+		world_worker_impair(
+		    cell->world, worker, n % 5 == 0, n % 7 == 0);
 		break;
 	case 10:
 		cell->faults.heartbeat_lost = n % 5 * 5;
@@ -120,16 +121,16 @@
 
 	memset(&cell->faults, 0, sizeof(cell->faults));
 	for (i = 0; i < world_worker_count(cell->world); i++) {
-		world_worker_sick(cell->world, i, false, false);
+		world_worker_impair(cell->world, i, false, false);
 		if (cell->restarts && i % 4 != 0)
 			world_worker_restart(cell->world, i);
 		else
-			world_worker_reborn(cell->world, i);
+			world_worker_replace(cell->world, i);
 	}
 	for (i = 0; i < 10; i++) {
 		pool_cell_run(cell, GB_SEC);
 		if (pool_cell_owner(cell) == CELL_NODES)
-			pool_cell_take(cell, i % CELL_NODES);
+			pool_cell_take_over(cell, i % CELL_NODES);
 	}
 }
 
@@ -175,14 +176,15 @@
 			random_fault(cell);
 		pool_cell_run(cell, 150 * GB_MSEC);
 		if (pool_cell_owner(cell) == CELL_NODES && i % 6 == 0)
-			pool_cell_take(cell, (unsigned int)(seed % CELL_NODES));
+			pool_cell_take_over(
+			    cell, (unsigned int)(seed % CELL_NODES));
 	}
 	random_recover(cell);
 	pool_cell_run(cell, 60 * GB_SEC);
-	if (world_faults(cell->world)->text[0] != '\0')
+	if (world_violations(cell->world)->text[0] != '\0')
 		print_message("seed %llu: %s\n", (unsigned long long)seed,
-		    world_faults(cell->world)->text);
-	pool_cell_assert_unharmed(cell);
+		    world_violations(cell->world)->text);
+	pool_cell_assert_no_violation(cell);
 	assert_all_finished(cell);
 	pool_cell_free(cell);
 }
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -23,15 +23,16 @@
 static void
 submit_tenth(struct pool_cell *cell, unsigned int tenth)
 {
-	pool_cell_step(cell, 2, 1400, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 2, 1400, GB_SEC, 0, -1);
 	pool_cell_submit(cell, "lookup", "ms=800");
 	if (tenth % 4 == 1) {
-		pool_cell_step(cell, 8, 2000, 3 * GB_SEC,
+		pool_cell_step_add(cell, 8, 2000, 3 * GB_SEC,
 		    tenth % 8 == 1 ? GB_STEP_CHECKPOINT : 0, -1);
 		pool_cell_submit(cell, "import", "ms=3000");
 	}
 	if (tenth % 9 == 2) {
-		pool_cell_step(cell, 12, 4500, 3 * GB_SEC, GB_STEP_GANG, -1);
+		pool_cell_step_add(
+		    cell, 12, 4500, 3 * GB_SEC, GB_STEP_GANG, -1);
 		pool_cell_submit(cell, "rebuild", "ms=3000");
 	}
 }
@@ -81,7 +82,7 @@
 	cell->faults.order_dropped = 0;
 	resize_all(cell, &cell->setup.capacity);
 	pool_cell_run(cell, 90 * GB_SEC);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	for (i = 0; i < cell->flow_count; i++) {
 		if (cell->flows[i].accepted)
 			assert_int_equal(
@@ -136,14 +137,14 @@
 	(void)state;
 	resize_all(cell, &half);
 	pool_cell_run(cell, GB_SEC);
-	pool_cell_step(cell, 4, 12000, GB_SEC, GB_STEP_GANG, -1);
+	pool_cell_step_add(cell, 4, 12000, GB_SEC, GB_STEP_GANG, -1);
 	flow = pool_cell_submit(cell, "rebuild", "ms=1000");
 	pool_cell_run(cell, 5 * GB_SEC);
 	assert_true(cell->flows[flow].status < GB_FLOW_SUCCEEDED);
 	resize_all(cell, &plain.capacity);
 	pool_cell_run(cell, 5 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -206,7 +207,7 @@
 		pool_cell_run(cell, 50 * GB_MSEC);
 	}
 	pool_cell_run(cell, 60 * GB_SEC);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	assert_done_in_time(cell, "lookup", 2 * GB_SEC);
 	assert_done_in_time(cell, "import", 10 * GB_SEC);
 	assert_done_in_time(cell, "rebuild", 10 * GB_SEC);
--- a/tests/test_crash.c
+++ b/tests/test_crash.c
@@ -44,15 +44,15 @@
 
 	for (i = 0; i < tenths; i++) {
 		if (i % 2 == 0) {
-			pool_cell_step(cell, 2, 1400, GB_SEC, 0, -1);
+			pool_cell_step_add(cell, 2, 1400, GB_SEC, 0, -1);
 			pool_cell_submit(cell, "lookup", "ms=800");
 		}
 		if (i % 10 == 3) {
-			pool_cell_step(cell, 8, 2000, 3 * GB_SEC, 0, -1);
+			pool_cell_step_add(cell, 8, 2000, 3 * GB_SEC, 0, -1);
 			pool_cell_submit(cell, "import", "ms=3000");
 		}
 		if (i % 20 == 7) {
-			pool_cell_step(
+			pool_cell_step_add(
 			    cell, 6, 4000, 3 * GB_SEC, GB_STEP_GANG, -1);
 			pool_cell_submit(cell, "rebuild", "ms=3000");
 		}
@@ -74,7 +74,7 @@
 			    (cell->flows[i].status == GB_FLOW_FAILED &&
 				flow_view(cell, i).crashed));
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 }
 
 /** Asserts that flows with a task that crashes its workers have failed, and
@@ -98,13 +98,13 @@
 		    view.crashes ? GB_FLOW_FAILED : GB_FLOW_SUCCEEDED);
 		assert_true(!view.crashes || view.crashed);
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 }
 
 static size_t
 submit_crasher(struct pool_cell *cell, const char *spec)
 {
-	pool_cell_step(cell, 1, 4000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 1, 4000, GB_SEC, 0, -1);
 	return pool_cell_submit(cell, "import", spec);
 }
 
@@ -183,7 +183,7 @@
 
 	(void)state;
 	run_with_load(cell, 10);
-	pool_cell_step(cell, 12, 4000, 3 * GB_SEC, GB_STEP_GANG, -1);
+	pool_cell_step_add(cell, 12, 4000, 3 * GB_SEC, GB_STEP_GANG, -1);
 	flow = pool_cell_submit(cell, "rebuild", "ms=3000 crash=5");
 	run_with_load(cell, 200);
 	pool_cell_run(cell, 30 * GB_SEC);
@@ -202,7 +202,7 @@
 
 	(void)state;
 	run_with_load(cell, 10);
-	pool_cell_step(cell, 4, 2000, GB_SEC, GB_STEP_SPECULATIVE, -1);
+	pool_cell_step_add(cell, 4, 2000, GB_SEC, GB_STEP_SPECULATIVE, -1);
 	flow = pool_cell_submit(cell, "import", "ms=1000 crash=2");
 	run_with_load(cell, 200);
 	pool_cell_run(cell, 30 * GB_SEC);
@@ -233,7 +233,7 @@
 		run_with_load(cell, 200);
 		pool_cell_run(cell, 60 * GB_SEC);
 		assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
-		pool_cell_assert_unharmed(cell);
+		pool_cell_assert_no_violation(cell);
 		pool_cell_free(cell);
 	}
 }
@@ -307,7 +307,7 @@
 			world_worker_crash(cell->world, round % 3 * 8 + i);
 		run_with_load(cell, 15);
 		for (i = 0; i < 8; i++)
-			world_worker_reborn(cell->world, round % 3 * 8 + i);
+			world_worker_replace(cell->world, round % 3 * 8 + i);
 		run_with_load(cell, 15);
 	}
 	pool_cell_run(cell, 60 * GB_SEC);
@@ -331,9 +331,9 @@
 		size_t flow;
 
 		for (i = 0; i < 24; i++)
-			world_worker_dc(cell->world, i, dcs[i / 8]);
+			world_worker_set_dc(cell->world, i, dcs[i / 8]);
 		run_with_load(cell, 20);
-		pool_cell_step(cell, 1, 4000, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 1, 4000, GB_SEC, 0, -1);
 		flow = pool_cell_submit(cell, "import", "ms=4000");
 		for (round = 0; round < 3; round++) {
 			const char *id = cell->flows[flow].spec.id;
@@ -350,7 +350,7 @@
 				    cell->world, i / 2 * 8 + at + i % 2);
 			run_with_load(cell, 15);
 			for (i = 0; i < 6; i++)
-				world_worker_reborn(
+				world_worker_replace(
 				    cell->world, i / 2 * 8 + at + i % 2);
 		}
 		pool_cell_run(cell, 60 * GB_SEC);
@@ -383,7 +383,7 @@
 			pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 2500 * GB_MSEC);
 		for (i = first; i < first + 2; i++)
-			world_worker_reborn(cell->world, i);
+			world_worker_replace(cell->world, i);
 		pool_cell_run(cell, 500 * GB_MSEC);
 	}
 	pool_cell_run(cell, 60 * GB_SEC);
@@ -444,7 +444,7 @@
 			world_worker_crash(cell->world, i);
 		pool_cell_run(cell, 200 * GB_MSEC);
 		for (i = 0; i < setup.workers; i++)
-			world_worker_reborn(cell->world, i);
+			world_worker_replace(cell->world, i);
 		pool_cell_run(cell, 30 * GB_SEC);
 		assert_only_crashers_fail(cell);
 		pool_cell_free(cell);
--- a/tests/test_crash_racks.c
+++ b/tests/test_crash_racks.c
@@ -52,7 +52,7 @@
 		world_worker_crash(cell->world, i);
 	run_with_load(cell, 15);
 	for (i = first; i < first + RACK_WORKERS; i++)
-		world_worker_reborn(cell->world, i);
+		world_worker_replace(cell->world, i);
 }
 
 /** Loses four racks in a row under a task, then six; the task must succeed. */
@@ -68,13 +68,13 @@
 		struct pool_cell *cell = pool_cell_begin(&pool24);
 
 		run_with_load(cell, 20);
-		pool_cell_step(cell, 1, 4000, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 1, 4000, GB_SEC, 0, -1);
 		flow = pool_cell_submit(cell, "import", "ms=4000");
 		for (round = 0; round < racks[i]; round++)
 			lose_rack_of(cell, flow, tenths);
 		pool_cell_run(cell, 60 * GB_SEC);
 		assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-		pool_cell_assert_unharmed(cell);
+		pool_cell_assert_no_violation(cell);
 		pool_cell_free(cell);
 	}
 }
--- a/tests/test_crash_takeover.c
+++ b/tests/test_crash_takeover.c
@@ -30,7 +30,7 @@
 	size_t flow;
 
 	cell->faults.down_workers_silent = true;
-	pool_cell_step(cell, tasks, 4000, GB_SEC, flags, -1);
+	pool_cell_step_add(cell, tasks, 4000, GB_SEC, flags, -1);
 	flow = pool_cell_submit(cell, "import", "ms=2000 crash=0 back=1500");
 	for (tenth = 0; tenth < 900; tenth++) {
 		pool_cell_run(cell, 100 * GB_MSEC);
@@ -42,7 +42,7 @@
 		pool_cell_run(cell, 300 * GB_MSEC);
 		pool_cell_replace_owner(cell, starts % CELL_NODES);
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -69,7 +69,7 @@
 	world_worker_crash(cell->world, worker);
 	pool_cell_replace_owner(cell, 1);
 	pool_cell_run(cell, 300 * GB_MSEC);
-	world_worker_reborn(cell->world, worker);
+	world_worker_replace(cell->world, worker);
 }
 
 /** Load: an owner and a worker are lost together while a step waits that allows
@@ -81,13 +81,13 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 60, 1000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 60, 1000, GB_SEC, 0, -1);
 	cell->flows[cell->flow_count].spec.steps.steps_val[0].per_worker = 1;
 	flow = pool_cell_submit(cell, "import", "ms=1000");
 	lose_worker_and_owner(cell, 3);
 	pool_cell_run(cell, 12 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -103,12 +103,12 @@
 	(void)state;
 	setup.workers = 1;
 	cell = pool_cell_begin(&setup);
-	pool_cell_step(cell, 3, 16000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 3, 16000, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=1000");
 	lose_worker_and_owner(cell, 0);
 	pool_cell_run(cell, 20 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -121,14 +121,14 @@
 static void
 submit_with_crashers(struct pool_cell *cell, unsigned int tenth)
 {
-	pool_cell_step(cell, 2, 1400, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 2, 1400, GB_SEC, 0, -1);
 	pool_cell_submit(cell, "lookup", "ms=800");
 	if (tenth % 6 == 1) {
-		pool_cell_step(cell, 8, 2000, 3 * GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 8, 2000, 3 * GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", "ms=3000");
 	}
 	if (tenth % 9 == 4) {
-		pool_cell_step(cell, 6, 2000, 3 * GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 6, 2000, 3 * GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", "ms=3000 crash=0 back=3200");
 	}
 }
@@ -156,7 +156,7 @@
 			pool_cell_replace_owner(cell, tenth % CELL_NODES);
 	}
 	pool_cell_run(cell, 90 * GB_SEC);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	for (i = 0; i < cell->flow_count; i++) {
 		if (!cell->flows[i].accepted)
 			continue;
--- a/tests/test_entries.c
+++ b/tests/test_entries.c
@@ -29,7 +29,7 @@
 	size_t waiting;
 
 	(void)state;
-	pool_cell_step(cell, 1, 1000, 6 * GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 1, 1000, 6 * GB_SEC, 0, -1);
 	running = pool_cell_submit(cell, "import", "ms=6000");
 	pool_cell_run(cell, GB_SEC);
 	cell->spoiled = 1;
@@ -41,7 +41,7 @@
 	cell->spoiled = 0;
 	pool_cell_run(cell, 3 * GB_SEC);
 	assert_int_equal(cell->flows[waiting].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -53,13 +53,13 @@
 
 	(void)state;
 	cell->spoiled = 15;
-	pool_cell_take(cell, 0);
+	pool_cell_take_over(cell, 0);
 	pool_cell_run(cell, GB_SEC);
-	pool_cell_step(cell, 32, 1000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 32, 1000, GB_SEC, 0, -1);
 	pool_cell_submit(cell, "import", "ms=1000");
 	pool_cell_run(cell, 500 * GB_MSEC);
 	assert_int_equal(cell->starts, 16);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -74,18 +74,18 @@
 	size_t waiting;
 
 	(void)state;
-	cell->strangers = 20;
-	pool_cell_step(cell, 1, 16000, GB_SEC, 0, -1);
+	cell->unknown_workers = 20;
+	pool_cell_step_add(cell, 1, 16000, GB_SEC, 0, -1);
 	pool_cell_submit(cell, "import", "ms=1000");
 	pool_cell_run(cell, 500 * GB_MSEC);
-	pool_cell_step(cell, 1, 16000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 1, 16000, GB_SEC, 0, -1);
 	waiting = pool_cell_submit(cell, "import", "ms=1000");
 	pool_cell_run(cell, 300 * GB_MSEC);
 	pool_cell_kill(cell, 0);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, 2500 * GB_MSEC);
 	assert_int_equal(cell->flows[waiting].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -99,14 +99,14 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 16, 8000, 6 * GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 16, 8000, 6 * GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=6000");
 	pool_cell_run(cell, GB_SEC);
 	cell->moved = true;
 	pool_cell_run(cell, 8 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
 	assert_int_equal(cell->starts, 16);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -261,8 +261,8 @@
 	*res->mark = MARK;
 }
 
-/** plat_http_prefer() finds the connection that has a mark, so that the next
- * call goes over it; the mark ends with the connection. */
+/** plat_http_select_marked() finds the connection that has a mark, so that the
+ * next call goes over it; the mark ends with the connection. */
 static void
 test_mark_ends_with_its_connection(void **state)
 {
@@ -274,16 +274,16 @@
 	(void)state;
 	server.answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
 	server_start(loop, &server);
-	assert_false(plat_http_prefer(http, server.addr, MARK));
+	assert_false(plat_http_select_marked(http, server.addr, MARK));
 	plat_http_call(http, GB_TRAFFIC_HEARTBEAT, server.addr, "GET", "/", "",
 	    NULL, 0, CALL_TIMEOUT, on_marked, &outcome);
 	while (!outcome.done)
 		uv_run(loop, UV_RUN_ONCE);
 	assert_int_equal(outcome.status, 200);
-	assert_true(plat_http_prefer(http, server.addr, MARK));
-	assert_false(plat_http_prefer(http, server.addr, MARK + 1));
+	assert_true(plat_http_select_marked(http, server.addr, MARK));
+	assert_false(plat_http_select_marked(http, server.addr, MARK + 1));
 	uv_close((uv_handle_t *)&server.conn, NULL);
-	while (plat_http_prefer(http, server.addr, MARK))
+	while (plat_http_select_marked(http, server.addr, MARK))
 		uv_run(loop, UV_RUN_ONCE);
 }
 
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -26,14 +26,14 @@
 	int i;
 
 	(void)state;
-	assert_int_equal(gb_link_queued(link, now), 0);
+	assert_int_equal(gb_link_backlog(link, now), 0);
 	for (i = 0; i < 100; i++)
-		gb_link_out(link, now, GB_TRAFFIC_START, MESSAGE_BYTES);
+		gb_link_count_sent(link, now, GB_TRAFFIC_START, MESSAGE_BYTES);
 	assert_in_range(
-	    gb_link_queued(link, now), 400 * GB_MSEC, 420 * GB_MSEC);
-	assert_in_range(gb_link_queued(link, now + 300 * GB_MSEC),
+	    gb_link_backlog(link, now), 400 * GB_MSEC, 420 * GB_MSEC);
+	assert_in_range(gb_link_backlog(link, now + 300 * GB_MSEC),
 	    100 * GB_MSEC, 120 * GB_MSEC);
-	assert_int_equal(gb_link_queued(link, now + GB_SEC), 0);
+	assert_int_equal(gb_link_backlog(link, now + GB_SEC), 0);
 	assert_int_equal(gb_link_traffic(link, GB_TRAFFIC_START)->sent, 100);
 	assert_int_equal(
 	    gb_link_traffic(link, GB_TRAFFIC_START)->out, 100 * MESSAGE_BYTES);
@@ -46,8 +46,8 @@
 	struct gb_link *link = gb_link_new(0);
 
 	(void)state;
-	gb_link_out(link, GB_SEC, GB_TRAFFIC_START, 1u << 30);
-	assert_int_equal(gb_link_queued(link, GB_SEC), 0);
+	gb_link_count_sent(link, GB_SEC, GB_TRAFFIC_START, 1u << 30);
+	assert_int_equal(gb_link_backlog(link, GB_SEC), 0);
 	free(link);
 }
 
@@ -77,15 +77,16 @@
 	unsigned int i;
 
 	for (i = 0; i < 1 + tenth % 2; i++) {
-		pool_cell_step(cell, 3, 3900, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 3, 3900, GB_SEC, 0, -1);
 		pool_cell_submit(cell, "lookup", spec_of("ms=1000", 600));
 	}
 	if (tenth % 10 == 3) {
-		pool_cell_step(cell, 20, 4500, 6 * GB_SEC, GB_STEP_GANG, -1);
+		pool_cell_step_add(
+		    cell, 20, 4500, 6 * GB_SEC, GB_STEP_GANG, -1);
 		pool_cell_submit(cell, "rebuild", spec_of("ms=6000", 1200));
 	}
 	if (tenth % 5 == 1) {
-		pool_cell_step(cell, 22, 2800, 3400 * GB_MSEC, 0, -1);
+		pool_cell_step_add(cell, 22, 2800, 3400 * GB_MSEC, 0, -1);
 		pool_cell_submit(cell, "import", spec_of("ms=3400", 600));
 	}
 }
@@ -130,7 +131,7 @@
 	*refused = (unsigned int)(*refused * 100 / cell->flow_count);
 	assert_int_equal(gb_pool_stats(cell->nodes[0])->lapsed, 0);
 	assert_int_equal(gb_pool_stats(cell->nodes[0])->crashed, 0);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -178,21 +179,21 @@
 	setup.approved_percent = 0;
 	cell = pool_cell_begin(&setup);
 	for (i = 0; i < 150; i++) {
-		pool_cell_step(cell, 3, 3900, 20 * GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 3, 3900, 20 * GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", spec_of("ms=20000", 600));
 	}
 	pool_cell_run(cell, 3 * GB_SEC);
 	cell->setup.link = THIN_LINK_BYTES_PER_SEC / 4;
-	cell->link_in = true;
+	cell->inbound_limited = true;
 	pool_cell_kill(cell, 1);
 	pool_cell_kill(cell, 0);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, 6 * GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 1);
 	pool_cell_run(cell, 60 * GB_SEC);
 	for (i = 0; i < 150; i++)
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
--- a/tests/test_lost_holds.c
+++ b/tests/test_lost_holds.c
@@ -40,7 +40,7 @@
 		late += cell->flows[i].over - cell->flows[i].submitted >
 			1750 * GB_MSEC;
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 	return late;
 }
--- a/tests/test_lost_holds_seed.c
+++ b/tests/test_lost_holds_seed.c
@@ -40,7 +40,7 @@
 	}
 	print_message("late: %u of 100\n", late);
 	assert_true(late <= 20);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -161,12 +161,12 @@
 	 * organisations. */
 	config->version = strtoull(text, NULL, 10);
 	if (memchr(text, ' ', len) != NULL)
-		gb_pool_config_orgs(config, 0);
+		gb_pool_config_orgs_alloc(config, 0);
 	snprintf(config->queues[0].name, GB_NAME_MAX, "lookup");
 	snprintf(config->queues[0].service, GB_NAME_MAX, "svc");
 	config->queues[0].max_attempts = 3;
-	config->queues[0].stretch = 2;
-	config->queues[0].target_us = GB_SEC;
+	config->queues[0].objective_factor = 2;
+	config->queues[0].objective_base_us = GB_SEC;
 	gb_pool_config_seal(config);
 	return config;
 }
@@ -220,7 +220,7 @@
 	    &err);
 	if (node == NULL)
 		fail_msg("node %u: %s", number, err.text);
-	gb_node_config_seen(node, "1", 1);
+	gb_node_config_received(node, "1", 1);
 	return node;
 }
 
@@ -404,12 +404,12 @@
 	struct gb_node *node = cell->nodes[1];
 
 	(void)state;
-	gb_node_config_seen(node, "3 orgs", 6);
+	gb_node_config_received(node, "3 orgs", 6);
 	assert_int_equal(gb_node_config(node)->version, 3);
 	assert_true(gb_node_config(node)->keyed);
-	gb_node_config_seen(node, "2", 1);
+	gb_node_config_received(node, "2", 1);
 	assert_int_equal(gb_node_config(node)->version, 3);
-	gb_node_config_seen(node, "4", 1);
+	gb_node_config_received(node, "4", 1);
 	assert_int_equal(gb_node_config(node)->version, 4);
 	assert_true(gb_node_config(node)->keyed);
 }
@@ -430,7 +430,7 @@
 	member = cell->nodes[(cell_owner(cell) + 1) % NODES];
 	assert_false(gb_node_config_behind(member));
 	until = gb_clock_boot() + 400 * GB_MSEC;
-	gb_node_config_seen(cell->nodes[cell_owner(cell)], "5", 1);
+	gb_node_config_received(cell->nodes[cell_owner(cell)], "5", 1);
 	while (gb_clock_boot() < until && !gb_node_config_behind(member))
 		uv_run(&cell->loop, UV_RUN_ONCE);
 	assert_int_equal(gb_node_config(member)->version, 1);
@@ -450,7 +450,7 @@
 
 	for (i = 0; i < NODES; i++) {
 		if (cell->nodes[i] != owner)
-			gb_node_config_seen(cell->nodes[i], "5 orgs", 6);
+			gb_node_config_received(cell->nodes[i], "5 orgs", 6);
 	}
 }
 
@@ -554,7 +554,7 @@
 	node->watch.owner_confirmed_at = now - time_without_owner;
 	node->watch.acquiring_since = now - GB_SEC;
 	node->watch.store_read_at = now;
-	node->watch.store_took = GB_MSEC;
+	node->watch.store_read_time = GB_MSEC;
 }
 
 /** A node that has known for a while that the new owner is loading the tables
@@ -646,11 +646,11 @@
 	other = (owner + 1) % NODES;
 	/* The percentage that the owner reports; without a bandwidth in its
 	 * settings it reports 0 itself. */
-	cell->nodes[other]->shed_told = 100;
+	cell->nodes[other]->owner_shed_percent = 100;
 	cell_submit(cell, other, "00000000000000c0");
 	assert_int_equal(cell->answer.verdict, GB_FLOW_REFUSED);
 	assert_true(cell->answer.retry_after_us > 0);
-	assert_int_equal(cell->nodes[other]->sheds, 1);
+	assert_int_equal(cell->nodes[other]->flows_shed, 1);
 	/* The answer to the next hello reports that there is capacity. */
 	cell_run(cell, GB_SEC);
 	for (i = 1; i < 5; i++) {
@@ -719,7 +719,7 @@
 	cell_wait_ready(cell);
 	owner = cell_owner(cell);
 	gb_node_leave(cell->nodes[owner]);
-	assert_true(cell->nodes[owner]->handover.under_way);
+	assert_true(cell->nodes[owner]->handover.in_progress);
 	for (i = 0; i < ITERATIONS_MAX && !gb_node_left(cell->nodes[owner]);
 	     i++) {
 		assert_true(gb_pool_owns(cell->nodes[owner]->pool));
@@ -751,7 +751,7 @@
 	next = cell->nodes[(cell_owner(cell) + 2) % NODES];
 	for (i = 0; i < ITERATIONS_MAX && !node->watch.hello_in_flight; i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
-	watch_handed(&node->watch, node_now(), next->settings.addr,
+	watch_pool_handed_over(&node->watch, node_now(), next->settings.addr,
 	    node->watch.epoch + 1);
 	assert_int_equal(watch_next(&node->watch, node_now()), WATCH_HELLO);
 	gb_rpc_pool_free(node->peers);
@@ -802,7 +802,8 @@
 	/* Otherwise it learns of the real owner from the row. */
 	cell->store_refuses[(cell_owner(cell) + 1) % NODES] = true;
 	hanging_address(addr);
-	watch_handed(&node->watch, node_now(), addr, node->watch.epoch + 1);
+	watch_pool_handed_over(
+	    &node->watch, node_now(), addr, node->watch.epoch + 1);
 	for (i = 0; i < ITERATIONS_MAX && node->watch.missed == 0; i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
 	assert_int_equal(node->watch.missed, 1);
@@ -821,10 +822,10 @@
 	(void)state;
 	cell_wait_ready(cell);
 	owner = cell->nodes[cell_owner(cell)];
-	gb_pool_epoch_seen(
+	gb_pool_epoch_found(
 	    owner->pool, node_now(), gb_pool_epoch(owner->pool) + 1);
 	assert_false(gb_pool_owns(owner->pool));
-	assert_int_equal(owner->known_count, NODES - 1);
+	assert_int_equal(owner->known_members_count, NODES - 1);
 	assert_int_equal(owner->watch.place.members, NODES - 1);
 	for (i = 0; i < ITERATIONS_MAX && cell_owner(cell) == NODES; i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
@@ -849,19 +850,20 @@
 	cell_wait_ready(cell);
 	owner = cell->nodes[cell_owner(cell)];
 	other = cell->nodes[(cell_owner(cell) + 1) % NODES];
-	for (i = 0;
-	     i < ITERATIONS_MAX && other->known_vers != owner->members_vers;
+	for (i = 0; i < ITERATIONS_MAX &&
+		    other->known_members_vers != owner->members_vers;
 	     i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
-	assert_int_equal(other->known_vers, owner->members_vers);
-	assert_int_equal(other->known_count, NODES - 2);
-	node_members_fill(owner, owner->members, other->known_vers, &res);
+	assert_int_equal(other->known_members_vers, owner->members_vers);
+	assert_int_equal(other->known_members_count, NODES - 2);
+	node_members_fill(
+	    owner, owner->members, other->known_members_vers, &res);
 	assert_int_equal(res.members.members_len, 0);
 	assert_in_range(res.rank, 0, NODES - 2);
 	assert_int_equal(res.ranked, NODES - 1);
 	late.name = late.addr = late.dc = (char *)"127.0.0.1:1";
 	member = node_member_hello_received(owner, &late);
-	node_members_fill(owner, member, other->known_vers, &res);
+	node_members_fill(owner, member, other->known_members_vers, &res);
 	assert_int_equal(res.members.members_len, NODES);
 	assert_int_equal(res.rank, SUCCESSION_UNRANKED);
 	free(res.members.members_val);
@@ -1010,7 +1012,7 @@
 	(void)state;
 	cell_wait_ready(cell);
 	node = cell->nodes[(cell_owner(cell) + 1) % NODES];
-	watch_handed(
+	watch_pool_handed_over(
 	    &node->watch, node_now(), "127.0.0.1:1", node->watch.epoch);
 	cell_run(cell, GB_SEC);
 	assert_int_equal(cell_event_lines(cell, "owner_unheard", line), 1);
@@ -1070,7 +1072,7 @@
 	epoch_field(epoch, "winner_epoch", gb_pool_epoch(owner->pool));
 	failed = gb_pool_stats(other->pool)->takeovers_failed;
 	before = cell_event_lines(cell, "takeover_failed", line);
-	gb_pool_take(other->pool, node_now(), 0, TAKEOVER_SILENT_OWNER);
+	gb_pool_acquire(other->pool, node_now(), 0, TAKEOVER_SILENT_OWNER);
 	for (i = 0; i < ITERATIONS_MAX && gb_pool_acquiring(other->pool); i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
 	assert_int_equal(
@@ -1098,7 +1100,7 @@
 	owner = cell->nodes[cell_owner(cell)];
 	other = cell->nodes[(cell_owner(cell) + 1) % NODES];
 	epoch_field(epoch, "winner_epoch", gb_pool_epoch(owner->pool) + 1);
-	gb_pool_take(other->pool, node_now(), gb_pool_epoch(owner->pool),
+	gb_pool_acquire(other->pool, node_now(), gb_pool_epoch(owner->pool),
 	    TAKEOVER_SILENT_OWNER);
 	for (i = 0; i < ITERATIONS_MAX && gb_pool_owns(owner->pool); i++)
 		uv_run(&cell->loop, UV_RUN_ONCE);
--- a/tests/test_org.c
+++ b/tests/test_org.c
@@ -100,9 +100,9 @@
 	bool current;
 
 	(void)state;
-	assert_true(gb_caller_current(3600 * GB_SEC, 0));
-	assert_true(gb_caller_current(strict, strict));
-	current = gb_caller_current(strict + 1, strict);
+	assert_true(gb_caller_config_usable(3600 * GB_SEC, 0));
+	assert_true(gb_caller_config_usable(strict, strict));
+	current = gb_caller_config_usable(strict + 1, strict);
 	assert_false(current);
 	assert_int_equal(
 	    gb_caller_identify(config, keyed, "k2", current, &caller),
@@ -167,7 +167,7 @@
 	    {"{\"ApiKeys\":[\"b\"]}", GB_POOL_ORG_UNNAMED},
 	    {"{\"Name\":7,\"ApiKeys\":[\"b\"]}", GB_POOL_ORG_UNNAMED},
 	    {"17", GB_POOL_ORG_UNNAMED},
-	    {"{\"Name\":\"good\",\"ApiKeys\":[\"b\"]}", GB_POOL_ORG_TWICE},
+	    {"{\"Name\":\"good\",\"ApiKeys\":[\"b\"]}", GB_POOL_ORG_DUPLICATE},
 	    {"{\"Name\":\"x\",\"ApiKeys\":[\"b\"],\"MaxCount\":{\"Cpu\":-1}}",
 		GB_POOL_ORG_RANGE},
 	    {"{\"Name\":\"x\",\"ApiKeys\":[\"b\"],\"MaxCount\":{\"Cpu\":\"9\"}"
@@ -175,8 +175,8 @@
 		GB_POOL_ORG_RANGE},
 	    {"{\"Name\":\"x\",\"ApiKeys\":[\"b\"],\"MaxCount\":[]}",
 		GB_POOL_ORG_RANGE},
-	    {"{\"Name\":\"x\",\"ApiKeys\":[7]}", GB_POOL_ORG_KEY},
-	    {"{\"Name\":\"x\",\"ApiKeys\":[\"\"]}", GB_POOL_ORG_KEY},
+	    {"{\"Name\":\"x\",\"ApiKeys\":[7]}", GB_POOL_ORG_KEY_INVALID},
+	    {"{\"Name\":\"x\",\"ApiKeys\":[\"\"]}", GB_POOL_ORG_KEY_INVALID},
 	    {"{\"Name\":\"x\",\"ApiKeys\":[\"g\"]}", GB_POOL_ORG_KEY_SHARED},
 	};
 	struct gb_pool_config *config;
@@ -230,7 +230,7 @@
 	struct gb_pool_config *config;
 	struct gb_caller caller;
 	size_t len;
-	char *concealed = plat_config_conceal(text, strlen(text), &len);
+	char *concealed = plat_config_digest_keys(text, strlen(text), &len);
 	int i;
 
 	(void)state;
@@ -251,7 +251,7 @@
 	assert_int_equal(identify(config, "keyed", "nobodyskey12", &caller),
 	    GB_CALLER_UNKNOWN);
 	assert_int_equal(
-	    gb_pool_config_keys(config), gb_pool_config_keys(plain));
+	    gb_pool_config_key_count(config), gb_pool_config_key_count(plain));
 	for (i = 0; i < GB_POOL_ORG_ERRORS; i++)
 		assert_int_equal(config->org_errors[i], plain->org_errors[i]);
 	free(concealed);
@@ -270,7 +270,7 @@
 	int i;
 
 	(void)state;
-	gb_pool_config_orgs(config, 140);
+	gb_pool_config_orgs_alloc(config, 140);
 	for (i = 0; i < KEY_COUNT; i++) {
 		if (i % (KEY_COUNT / 140 + 1) == 0) {
 			snprintf(org.name, sizeof(org.name), "org%d", i);
@@ -281,7 +281,7 @@
 		assert_int_equal(
 		    gb_pool_config_key_add(config, text), GB_POOL_ORG_VALID);
 	}
-	assert_int_equal(gb_pool_config_keys(config), KEY_COUNT);
+	assert_int_equal(gb_pool_config_key_count(config), KEY_COUNT);
 	for (i = 0; i < KEY_COUNT; i++) {
 		snprintf(text, sizeof(text), "key%d", i);
 		gb_pool_key_digest(text, &digest);
@@ -299,7 +299,7 @@
 {
 	struct gb_pool_config *config;
 	size_t len;
-	char *concealed = plat_config_conceal(text, strlen(text), &len);
+	char *concealed = plat_config_digest_keys(text, strlen(text), &len);
 
 	if (concealed == NULL) {
 		assert_null(plain);
@@ -311,7 +311,7 @@
 	if (config == NULL || plain == NULL)
 		return;
 	assert_int_equal(
-	    gb_pool_config_keys(config), gb_pool_config_keys(plain));
+	    gb_pool_config_key_count(config), gb_pool_config_key_count(plain));
 	assert_int_equal(config->org_count, plain->org_count);
 	gb_pool_config_unref(config);
 }
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -32,7 +32,7 @@
 	pool_cell_run(cell, 3 * GB_SEC);
 	assert_int_equal(cell->flows[flow].answer.verdict, GB_FLOW_ACCEPTED);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -43,12 +43,12 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 4, 1000, GB_SEC, 0, -1);
-	pool_cell_step(cell, 4, 1000, GB_SEC, GB_STEP_GANG, 0);
+	pool_cell_step_add(cell, 4, 1000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 4, 1000, GB_SEC, GB_STEP_GANG, 0);
 	flow = pool_cell_submit(cell, "import", "ms=1000");
 	pool_cell_run(cell, 5 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -65,7 +65,7 @@
 	pool_cell_resubmit(cell, flow);
 	pool_cell_run(cell, 3 * GB_SEC);
 	assert_int_equal(cell->starts, 2);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -76,12 +76,12 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 1, 1000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 1, 1000, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=400 fails=9");
 	pool_cell_run(cell, 5 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
 	assert_int_equal(cell->starts, 3);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -92,7 +92,7 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 8, 1000, 20 * GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 8, 1000, 20 * GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=20000");
 	pool_cell_run(cell, GB_SEC);
 	pool_cell_cancel(cell, flow);
@@ -100,7 +100,7 @@
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_CANCELLED);
 	assert_true(cell->flows[flow].answered);
 	assert_int_equal(cell->flows[flow].answer.status, GB_FLOW_CANCELLED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -111,12 +111,12 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 12, 4500, 2 * GB_SEC, GB_STEP_GANG, -1);
+	pool_cell_step_add(cell, 12, 4500, 2 * GB_SEC, GB_STEP_GANG, -1);
 	flow = pool_cell_submit(cell, "rebuild", "ms=2000");
 	pool_cell_run(cell, 8 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	assert_int_equal(world_faults(cell->world)->ticket, 0);
-	pool_cell_assert_unharmed(cell);
+	assert_int_equal(world_violations(cell->world)->ticket, 0);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -136,19 +136,19 @@
 	setup.workers = 4;
 	cell = pool_cell_begin(&setup);
 	for (i = 0; i < 30; i++) {
-		pool_cell_step(cell, 2, 2000, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 2, 2000, GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", "ms=1500");
 	}
-	pool_cell_step(cell, 4, 15000, GB_SEC, GB_STEP_GANG, -1);
+	pool_cell_step_add(cell, 4, 15000, GB_SEC, GB_STEP_GANG, -1);
 	gang = pool_cell_submit(cell, "rebuild", "ms=1000");
 	for (i = 0; i < 60; i++) {
-		pool_cell_step(cell, 2, 2000, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 2, 2000, GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", "ms=1500");
 		pool_cell_run(cell, 100 * GB_MSEC);
 	}
 	pool_cell_run(cell, 4 * GB_SEC);
 	assert_int_equal(cell->flows[gang].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -161,7 +161,7 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 1, 1000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 1, 1000, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=400 fails=9");
 	pool_cell_run(cell, 100 * GB_MSEC);
 	/* Failures from now on are not stored. */
@@ -169,10 +169,10 @@
 	pool_cell_run(cell, 3 * GB_SEC);
 	cell->faults.store_down = false;
 	pool_cell_kill(cell, 0);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, 5 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -186,14 +186,14 @@
 	unsigned int i;
 
 	(void)state;
-	pool_cell_step(cell, 16, 4000, 3 * GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 16, 4000, 3 * GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=3000");
 	pool_cell_run(cell, GB_SEC);
 	for (i = 0; i < 4; i++)
 		world_worker_crash(cell->world, i);
 	pool_cell_run(cell, 14 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -210,11 +210,11 @@
 	setup.workers = 300;
 	setup.approved_percent = 12;
 	cell = pool_cell_begin(&setup);
-	pool_cell_step(cell, 40, 7000, GB_SEC, GB_STEP_GANG, -1);
+	pool_cell_step_add(cell, 40, 7000, GB_SEC, GB_STEP_GANG, -1);
 	flow = pool_cell_submit(cell, "rebuild", "ms=1000");
 	pool_cell_run(cell, 8 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -228,7 +228,7 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 32, 6000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 32, 6000, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=1500");
 	pool_cell_run(cell, 200 * GB_MSEC);
 	cell->faults.store_down = true;
@@ -236,12 +236,12 @@
 	cell->faults.store_down = false;
 	cell->unlisted = 8;
 	pool_cell_kill(cell, 0);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, GB_SEC);
 	cell->unlisted = 0;
 	pool_cell_run(cell, 8 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -255,10 +255,10 @@
 	size_t i;
 
 	(void)state;
-	world_worker_sick(cell->world, 0, true, false);
-	world_worker_sick(cell->world, 1, true, false);
+	world_worker_impair(cell->world, 0, true, false);
+	world_worker_impair(cell->world, 1, true, false);
 	for (i = 0; i < 60; i++) {
-		pool_cell_step(cell, 8, 3000, GB_SEC, GB_STEP_GANG, -1);
+		pool_cell_step_add(cell, 8, 3000, GB_SEC, GB_STEP_GANG, -1);
 		pool_cell_submit(cell, "rebuild", "ms=1000");
 		pool_cell_run(cell, 300 * GB_MSEC);
 	}
@@ -266,7 +266,7 @@
 	for (i = 0; i < cell->flow_count; i++)
 		failed += cell->flows[i].status == GB_FLOW_FAILED;
 	assert_int_equal(failed, 0);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -283,13 +283,13 @@
 	cell->faults.order_lost = 15;
 	cell->faults.order_late = 5;
 	for (i = 0; i < 10; i++) {
-		pool_cell_step(cell, 16, 1000, GB_SEC, GB_STEP_GANG, -1);
+		pool_cell_step_add(cell, 16, 1000, GB_SEC, GB_STEP_GANG, -1);
 		flow = pool_cell_submit(cell, "rebuild", "ms=1000");
 		pool_cell_run(cell, 4 * GB_SEC);
 		assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
 	}
-	assert_int_equal(world_faults(cell->world)->alone, 0);
-	pool_cell_assert_unharmed(cell);
+	assert_int_equal(world_violations(cell->world)->alone, 0);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -305,16 +305,16 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 32, 6000, 3 * GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 32, 6000, 3 * GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=3000");
 	pool_cell_run(cell, 500 * GB_MSEC);
 	world_worker_entry(cell->world, 0, &stale);
 	snprintf(stale.id, sizeof(stale.id), "w-0-before");
-	gb_pool_workers(cell->nodes[0], cell->now, &stale, 1, false);
+	gb_pool_workers_update(cell->nodes[0], cell->now, &stale, 1, false);
 	pool_cell_run(cell, 8 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
 	assert_int_equal(cell->starts, 32);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -330,15 +330,15 @@
 	pool_cell_submit_lookup(cell);
 	world_worker_crash(cell->world, 3);
 	pool_cell_run(cell, 8 * GB_SEC);
-	pool_cell_step(cell, 4, 1000, GB_SEC, 0, -1);
-	pool_cell_step(cell, 1, 1000, GB_SEC, 0, 0);
+	pool_cell_step_add(cell, 4, 1000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 1, 1000, GB_SEC, 0, 0);
 	flow = pool_cell_submit(cell, "import", "ms=1000");
 	pool_cell_run(cell, 700 * GB_MSEC);
 	pool_cell_kill(cell, 0);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, 3 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -370,13 +370,13 @@
 
 	cell->config = config_with_queue(cell, "added");
 	gb_pool_configure(cell->nodes[0], cell->now, cell->config);
-	pool_cell_step(cell, 2, 1400, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 2, 1400, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "added", "ms=1000");
 	pool_cell_run(cell, 100 * GB_MSEC);
 	assert_true(cell->flows[flow].accepted);
 	assert_int_equal(cell->starts, 0);
 	pool_cell_kill(cell, 0);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	gb_pool_config_unref(older);
 	return flow;
 }
@@ -401,7 +401,7 @@
 	gb_pool_configure(cell->nodes[1], cell->now, cell->config);
 	pool_cell_run(cell, 4 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -422,8 +422,8 @@
 
 		pool_cell_submit_lookup(cell);
 		gb_pool_configure(cell->nodes[0], cell->now, with);
-		pool_cell_step(cell, 2, 1400, GB_SEC, 0, -1);
-		pool_cell_step(cell, 2, 1400, GB_SEC, 0, 0);
+		pool_cell_step_add(cell, 2, 1400, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 2, 1400, GB_SEC, 0, 0);
 		flow = pool_cell_submit(cell, "added", "ms=1000");
 		pool_cell_run(cell, 500 * GB_MSEC);
 		assert_true(cell->flows[flow].accepted);
@@ -434,7 +434,7 @@
 		pool_cell_run(cell, 12 * GB_SEC);
 		assert_int_equal(pool_cell_owner(cell), successor);
 		assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-		pool_cell_assert_unharmed(cell);
+		pool_cell_assert_no_violation(cell);
 		gb_pool_config_unref(with);
 		pool_cell_free(cell);
 	}
@@ -447,16 +447,16 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 8, 2000, 4 * GB_SEC, GB_STEP_GANG, -1);
+	pool_cell_step_add(cell, 8, 2000, 4 * GB_SEC, GB_STEP_GANG, -1);
 	flow = pool_cell_submit(cell, "rebuild", "ms=4000");
 	pool_cell_run(cell, GB_SEC);
 	pool_cell_kill(cell, 0);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, 6 * GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 1);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
 	assert_int_equal(cell->starts, 8);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -471,12 +471,12 @@
 	for (i = 0; i < 20; i++)
 		pool_cell_submit_lookup(cell);
 	pool_cell_run(cell, 200 * GB_MSEC);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, 5 * GB_SEC);
 	assert_false(gb_pool_owns(cell->nodes[0]));
 	for (i = 0; i < 20; i++)
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -492,10 +492,10 @@
 	assert_int_equal(cell->flows[flow].answer.verdict, GB_FLOW_ACCEPTED);
 	for (i = 0; i < CELL_NODES; i++)
 		pool_cell_kill(cell, i);
-	pool_cell_take(cell, 2);
+	pool_cell_take_over(cell, 2);
 	pool_cell_run(cell, 12 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -533,7 +533,7 @@
 	pool_cell_run(cell, 10 * GB_SEC);
 	for (i = 1; i < 31; i++)
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -550,13 +550,13 @@
 
 	(void)state;
 	for (i = 0; i < 30; i++) {
-		pool_cell_step(cell, 2, 700, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 2, 700, GB_SEC, 0, -1);
 		flow[i] = pool_cell_submit(cell, "lookup", "ms=1500");
 	}
 	pool_cell_run(cell, 500 * GB_MSEC);
 	cell->faults.partitions_down = 3;
 	pool_cell_kill(cell, 0);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 1);
 	later = pool_cell_submit_lookup(cell);
@@ -581,7 +581,7 @@
 		    pool_cell_state(cell, flow[i]), GB_FLOW_SUCCEEDED);
 	/* No task ran a second time. */
 	assert_true(cell->starts <= 60 + 2 * (cell->flow_count - 30));
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -597,15 +597,15 @@
 	pool_cell_run(cell, 200 * GB_MSEC);
 	cell->faults.partitions_down = 7;
 	pool_cell_kill(cell, 0);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), CELL_NODES);
 	cell->faults.partitions_down = 0;
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, 8 * GB_SEC);
 	assert_int_equal(pool_cell_owner(cell), 1);
 	assert_int_equal(pool_cell_state(cell, flow), GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -620,15 +620,15 @@
 	(void)state;
 	for (i = 0; i < 20; i++) {
 		pool_cell_kill(cell, pool_cell_owner(cell));
-		pool_cell_take(cell, 0);
+		pool_cell_take_over(cell, 0);
 		if (i % 2 == 0)
 			pool_cell_run(cell, 5 * GB_MSEC);
-		pool_cell_take(cell, 1);
-		pool_cell_take(cell, 2);
+		pool_cell_take_over(cell, 1);
+		pool_cell_take_over(cell, 2);
 		pool_cell_run(cell, GB_SEC);
 		assert_true(pool_cell_owner(cell) < CELL_NODES);
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -645,9 +645,9 @@
 	(void)state;
 	pool_cell_kill(cell, 0);
 	cell->faults.partitions_down = 3;
-	pool_cell_take(cell, 2);
+	pool_cell_take_over(cell, 2);
 	pool_cell_run(cell, 5 * GB_MSEC);
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	/* The reads of the first claim fail for two partitions. */
 	pool_cell_run(cell, 5 * GB_MSEC);
 	cell->faults.partitions_down = 0;
@@ -681,13 +681,13 @@
 	gb_pool_release(cell->nodes[0], cell->now);
 	pool_cell_run(cell, 200 * GB_MSEC);
 	assert_false(gb_pool_acquiring(cell->nodes[0]));
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	cell->faults.partitions_down = 0;
 	pool_cell_run(cell, 10 * GB_SEC);
 	for (i = 0; i < 20; i++)
 		assert_int_equal(
 		    pool_cell_state(cell, (size_t)i), GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -704,13 +704,13 @@
 
 	(void)state;
 	for (i = 0; i < 16; i++) {
-		pool_cell_step(
+		pool_cell_step_add(
 		    cell, 8, 2000, 6 * GB_SEC, GB_STEP_CHECKPOINT, -1);
 		pool_cell_submit(cell, "import", "ms=6000");
 	}
 	pool_cell_run(cell, GB_SEC);
 	assert_int_equal(cell->starts, 128);
-	pool_cell_step(cell, 8, 6000, 2 * GB_SEC, GB_STEP_GANG, -1);
+	pool_cell_step_add(cell, 8, 6000, 2 * GB_SEC, GB_STEP_GANG, -1);
 	gang = pool_cell_submit(cell, "rebuild", "ms=2000");
 	pool_cell_run(cell, 4 * GB_SEC);
 	assert_int_equal(cell->flows[gang].status, GB_FLOW_SUCCEEDED);
@@ -722,7 +722,7 @@
 	}
 	/* No task was stopped twice, and few were stopped at all. */
 	assert_in_range(cell->starts, 128 + 8 + 8, 128 + 8 + 64);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -742,10 +742,10 @@
 	(void)state;
 	for (i = 0; i < 16; i++) {
 		snprintf(addr, sizeof(addr), "10.9.1.%d:70", i + 1);
-		gb_pool_member(cell->nodes[0], cell->now, addr, true);
+		gb_pool_member_update(cell->nodes[0], cell->now, addr, true);
 	}
 	before = cell->advice_calls;
-	pool_cell_step(cell, 24, 8000, 2 * GB_SEC, GB_STEP_GANG, -1);
+	pool_cell_step_add(cell, 24, 8000, 2 * GB_SEC, GB_STEP_GANG, -1);
 	flow = pool_cell_submit(cell, "rebuild", "ms=2000");
 	pool_cell_run(cell, 200 * GB_MSEC);
 	assert_true(cell->advice_calls - before >= 3);
@@ -754,7 +754,7 @@
 	assert_int_equal(cell->starts, 24);
 	pool_cell_run(cell, 4 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -769,24 +769,24 @@
 
 	(void)state;
 	for (i = 0; i < 32; i++) {
-		pool_cell_step(cell, 1, 8000, 9 * GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 1, 8000, 9 * GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", "ms=9000");
 	}
 	pool_cell_run(cell, GB_SEC);
 	assert_int_equal(cell->starts, 32);
 	pool_cell_kill(cell, 0);
 	cell->faults.set_reads_fail = 1;
-	pool_cell_take(cell, 1);
+	pool_cell_take_over(cell, 1);
 	pool_cell_run(cell, 350 * GB_MSEC);
 	assert_int_equal(pool_cell_owner(cell), 1);
 	for (i = 0; i < 20; i++) {
-		pool_cell_step(cell, 1, 8000, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 1, 8000, GB_SEC, 0, -1);
 		pool_cell_submit(cell, "lookup", "ms=1000");
 	}
 	pool_cell_run(cell, 2 * GB_SEC);
 	cell->faults.set_reads_fail = 0;
 	pool_cell_run(cell, 20 * GB_SEC);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -808,7 +808,7 @@
 	for (i = 0; i < 30; i++)
 		assert_int_equal(
 		    cell->flows[i].answer.verdict, GB_FLOW_ACCEPTED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -868,7 +868,7 @@
 		    cell->flows[i].answer.verdict, GB_FLOW_ACCEPTED);
 		assert_true(waits[i] > 0 && waits[i] < most);
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -924,7 +924,7 @@
 		    cell->flows[i].answer.verdict == GB_FLOW_ACCEPTED ||
 		    cell->flows[i].answer.verdict == GB_FLOW_CANT_STORE);
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -947,7 +947,7 @@
 		assert_int_equal(
 		    cell->flows[i].answer.verdict, GB_FLOW_CANT_STORE);
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -988,14 +988,14 @@
 			gb_pool_release(cell->nodes[0], cell->now);
 			pool_cell_run(cell, 250 * GB_MSEC);
 		}
-		pool_cell_take(cell, 1);
+		pool_cell_take_over(cell, 1);
 		without[first] = time_without_owner(cell, 4 * GB_SEC);
 		assert_int_equal(pool_cell_owner(cell), 1);
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 4 * GB_SEC);
 		assert_int_equal(pool_cell_state(cell, 0), GB_FLOW_SUCCEEDED);
 		assert_int_equal(pool_cell_state(cell, 1), GB_FLOW_SUCCEEDED);
-		pool_cell_assert_unharmed(cell);
+		pool_cell_assert_no_violation(cell);
 		pool_cell_free(cell);
 	}
 	print_message("without an owner: %d ms released, %d ms handed over\n",
@@ -1055,7 +1055,7 @@
 	step.estimate_us = GB_SEC;
 	step.label = label;
 	step.rack = label;
-	world_submitted(cell->world, &spec, 3);
+	world_flow_add(cell->world, &spec, 3);
 	store_without_owner(cell, &spec, version);
 }
 
@@ -1074,7 +1074,7 @@
 	gb_pool_configure(cell->nodes[0], cell->now, newer);
 	pool_cell_run(cell, 2 * GB_SEC);
 	assert_int_equal(cell->starts, 2);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	gb_pool_config_unref(newer);
 	pool_cell_free(cell);
 }
@@ -1097,13 +1097,13 @@
 		submit_without_owner(cell, "lookup", cell->config->version);
 		pool_cell_run(cell, after);
 		cell->faults.heartbeat_lost = 60;
-		pool_cell_take(cell, 1);
+		pool_cell_take_over(cell, 1);
 		pool_cell_run(cell, 800 * GB_MSEC);
 		/* If this lasted longer, leases would lapse before ends are
 		 * received. */
 		cell->faults.heartbeat_lost = 0;
 		pool_cell_run(cell, 6 * GB_SEC);
-		pool_cell_assert_unharmed(cell);
+		pool_cell_assert_no_violation(cell);
 		pool_cell_free(cell);
 	}
 }
@@ -1145,7 +1145,7 @@
 	cell->faults.store_down = true;
 	assert_int_equal(
 	    ask_at_the_end(cell, flow, 400 * GB_MSEC), GB_FLOW_RUNNING);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -33,7 +33,7 @@
 	int i;
 
 	for (i = 0; i < 10; i++) {
-		pool_cell_step(cell, 16, 2000, GB_SEC, flags, -1);
+		pool_cell_step_add(cell, 16, 2000, GB_SEC, flags, -1);
 		pool_cell_submit(cell, "import", "ms=1000");
 	}
 }
@@ -57,7 +57,7 @@
 
 	for (i = 0; i < cell->flow_count; i++)
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 }
 
 /** The quota is used up and never exceeded, and another organisation is not
@@ -111,7 +111,7 @@
 	pool_cell_quota(cell, "large", 0, 20000);
 	org_select(cell, "large");
 	for (i = 0; i < 10; i++) {
-		pool_cell_step(cell, 4, 500, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 4, 500, GB_SEC, 0, -1);
 		cell->flows[cell->flow_count].spec.steps.steps_val[0].res.mem =
 		    4000;
 		pool_cell_submit(cell, "import", "ms=1000");
@@ -159,17 +159,17 @@
 	(void)state;
 	pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
 	org_select(cell, "large");
-	pool_cell_step(cell, 21, 2000, GB_SEC, GB_STEP_GANG, -1);
+	pool_cell_step_add(cell, 21, 2000, GB_SEC, GB_STEP_GANG, -1);
 	flow = pool_cell_submit(cell, "import", "ms=1000");
 	assert_true(cell->flows[flow].answered);
 	assert_int_equal(cell->flows[flow].answer.verdict, GB_FLOW_REFUSED);
 	assert_true(cell->flows[flow].answer.retry_after_us > 0);
 	/* The same tasks without a gang run in turns. */
-	pool_cell_step(cell, 21, 2000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 21, 2000, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=1000");
 	pool_cell_run(cell, 5 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -217,7 +217,7 @@
 	for (i = 0; i < 5; i++)
 		run_random_round(cell, i);
 	pool_cell_run(cell, 2 * GB_SEC);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -255,7 +255,7 @@
 		cell = pool_cell_begin(&setup);
 		pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
 		org_select(cell, "large");
-		pool_cell_step(cell, 20, 2000, 3 * GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 20, 2000, 3 * GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", "ms=3000");
 		pool_cell_run(cell, 500 * GB_MSEC);
 		cell->faults.heartbeat_lost = 60;
@@ -282,7 +282,7 @@
 	(void)state;
 	pool_cell_quota(cell, "large", QUOTA_LARGE_CPU_MILLI, 0);
 	org_select(cell, "large");
-	pool_cell_step(cell, 20, 2000, 3 * GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 20, 2000, 3 * GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=3000");
 	pool_cell_run(cell, 500 * GB_MSEC);
 	cell->faults.order_late = 100;
@@ -292,7 +292,7 @@
 	submit_imports(cell, 0);
 	pool_cell_run(cell, 15 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_CANCELLED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -332,7 +332,7 @@
 	pool_cell_quota(cell, "small", 0, 0);
 	version = cell->config->version;
 	org_select(cell, "large");
-	pool_cell_step(cell, 2, 1000, 3 * GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 2, 1000, 3 * GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=3000");
 	pool_cell_run(cell, 300 * GB_MSEC);
 	for (i = 0; i < 3; i++) {
@@ -357,7 +357,7 @@
 	assert_int_equal(
 	    ask_as(cell, flow, GB_FLOW_OP_STATE, "large", version).status,
 	    GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -393,7 +393,7 @@
 	gb_pool_config_unref(older);
 	pool_cell_run(cell, 2 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -41,8 +41,8 @@
 	size_t i;
 
 	for (i = 0; i < ROUNDS * WIDTH_COUNT; i++) {
-		pool_cell_step(cell, widths[i % WIDTH_COUNT], 4000, 3 * GB_SEC,
-		    GB_STEP_GANG, -1);
+		pool_cell_step_add(cell, widths[i % WIDTH_COUNT], 4000,
+		    3 * GB_SEC, GB_STEP_GANG, -1);
 		pool_cell_submit(cell, "rebuild", "ms=3000");
 		pool_cell_run(cell, 50 * GB_MSEC);
 	}
@@ -51,7 +51,7 @@
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
 		count += in_time(&cell->flows[i]);
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 	return count;
 }
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -23,7 +23,7 @@
 	unsigned int i;
 
 	for (i = 0; i < count; i++) {
-		pool_cell_step(cell, 2, 1400, GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 2, 1400, GB_SEC, 0, -1);
 		pool_cell_submit(cell, "lookup", "ms=300");
 		pool_cell_run(cell, 40 * GB_MSEC);
 	}
@@ -43,7 +43,7 @@
 		    cell->world, cell->flows[i].spec.id, &view));
 		assert_true(view.done);
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 }
 
 /** A restarted worker numbers its ends from 1 again. They must not be taken for
@@ -81,8 +81,8 @@
 	for (i = 0; i < plain.workers; i++)
 		world_worker_restart(cell->world, i);
 	pool_cell_run(cell, GB_SEC);
-	pool_cell_step(cell, 4, 1400, GB_SEC, 0, -1);
-	pool_cell_step(cell, 4, 1400, GB_SEC, GB_STEP_GANG, 0);
+	pool_cell_step_add(cell, 4, 1400, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 4, 1400, GB_SEC, GB_STEP_GANG, 0);
 	flow = pool_cell_submit(cell, "import", "ms=300");
 	pool_cell_run(cell, 4 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
@@ -117,7 +117,7 @@
 	size_t flow;
 
 	(void)state;
-	pool_cell_step(cell, 1, 1400, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 1, 1400, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "lookup", "ms=1000");
 	pool_cell_run(cell, 500 * GB_MSEC);
 	worker = world_flow_worker(cell->world, cell->flows[flow].spec.id);
@@ -149,7 +149,7 @@
 	/* For 1 s the list still names the incarnation before. */
 	cell->listed_at = cell->now + GB_SEC;
 	world_worker_resize(cell->world, 0, &small);
-	world_shrunk_known(cell->world, 0);
+	world_shrink_grace_set(cell->world, 0);
 	world_worker_restart(cell->world, 0);
 	pool_cell_run(cell, 100 * GB_MSEC);
 	submit_lookups(cell, 10);
@@ -209,7 +209,7 @@
 
 	(void)state;
 	cell = pool_cell_begin(&plain);
-	pool_cell_step(cell, 1, 4000, GB_SEC, 0, -1);
+	pool_cell_step_add(cell, 1, 4000, GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=2000 crash=0 back=600000");
 	for (round = 0; round < 12; round++) {
 		pool_cell_run(cell, 400 * GB_MSEC);
@@ -226,7 +226,7 @@
 	print_message("starts: %u\n", view.starts);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_FAILED);
 	assert_true(view.starts <= 5);
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
@@ -243,7 +243,7 @@
 	cell = pool_cell_begin(&one);
 	submit_lookups(cell, 10);
 	pool_cell_run(cell, 2 * GB_SEC);
-	world_worker_reborn(cell->world, 0);
+	world_worker_replace(cell->world, 0);
 	pool_cell_run(cell, GB_SEC);
 	submit_lookups(cell, 10);
 	pool_cell_run(cell, 2 * GB_SEC);
@@ -268,7 +268,7 @@
 	world_incarnations_unknown(cell->world, true, true);
 	for (i = 0; i < 4; i++) {
 		submit_lookups(cell, 30);
-		world_worker_reborn(cell->world, i);
+		world_worker_replace(cell->world, i);
 	}
 	pool_cell_run(cell, 6 * GB_SEC);
 	assert_succeeded_once(cell);
@@ -285,7 +285,7 @@
 
 	(void)state;
 	world_incarnations_unknown(cell->world, true, false);
-	pool_cell_take(cell, 0);
+	pool_cell_take_over(cell, 0);
 	pool_cell_run(cell, GB_SEC);
 	submit_lookups(cell, 60);
 	pool_cell_run(cell, 2 * GB_SEC);
@@ -308,10 +308,10 @@
 
 	(void)state;
 	cell->connection_per_call = true;
-	pool_cell_take(cell, 0);
+	pool_cell_take_over(cell, 0);
 	pool_cell_run(cell, GB_SEC);
 	for (i = 0; i < 10; i++) {
-		pool_cell_step(cell, 4, 1400, 8 * GB_SEC, 0, -1);
+		pool_cell_step_add(cell, 4, 1400, 8 * GB_SEC, 0, -1);
 		pool_cell_submit(cell, "import", "ms=8000");
 	}
 	pool_cell_run(cell, 14 * GB_SEC);
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -39,12 +39,12 @@
 	for (n = 0; n < ROUNDS; n++) {
 		for (i = 0; i < 5; i++) {
 			snprintf(cell->org, sizeof(cell->org), "hot");
-			pool_cell_step(cell, 8, 2000, GB_SEC, 0, -1);
+			pool_cell_step_add(cell, 8, 2000, GB_SEC, 0, -1);
 			pool_cell_submit(cell, "import", "ms=1000");
 		}
 		if (n % 2 == 0) {
 			snprintf(cell->org, sizeof(cell->org), "other");
-			pool_cell_step(cell, 8, 2000, GB_SEC, 0, -1);
+			pool_cell_step_add(cell, 8, 2000, GB_SEC, 0, -1);
 			pool_cell_submit(cell, "import", "ms=1000");
 		}
 		pool_cell_run(cell, 100 * GB_MSEC);
@@ -61,7 +61,7 @@
 			count += flow->over != 0 &&
 				 flow->over - flow->submitted <= OBJECTIVE;
 	}
-	pool_cell_assert_unharmed(cell);
+	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 	return count;
 }
--- a/tests/test_shed.c
+++ b/tests/test_shed.c
@@ -94,10 +94,10 @@
 	    LINK_BYTES_PER_SEC, 30 * GB_SEC);
 	for (i = 0; i < 1000; i++) {
 		snprintf(id, sizeof(id), "%016x", i);
-		accepted += !shed_refuses(shed.percent, id);
-		if (!shed_refuses(shed.percent, id))
-			assert_false(shed_refuses(shed.percent / 2, id));
-		assert_false(shed_refuses(0, id));
+		accepted += !shed_rejects(shed.percent, id);
+		if (!shed_rejects(shed.percent, id))
+			assert_false(shed_rejects(shed.percent / 2, id));
+		assert_false(shed_rejects(0, id));
 	}
 	assert_in_range(accepted, 20, 100);
 }
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -25,11 +25,11 @@
  * begins one after that.
  * @param ranked nodes that have a rank in the order of succession
  * @param dead number of first successors that were lost with the owner
- * @param store_took duration of a read
+ * @param store_read_time duration of a read
  */
 static struct vacancy
 vacancy_simulate(unsigned int nodes, unsigned int ranked, unsigned int dead,
-    gb_time store_took, uint64_t seed)
+    gb_time store_read_time, uint64_t seed)
 {
 	gb_time begin[NODES_MAX];
 	gb_time visible = INT64_MAX;
@@ -41,9 +41,9 @@
 		    i < ranked ? i : SUCCESSION_UNRANKED, ranked, nodes - 1};
 
 		begin[i] = (gb_time)(gb_random_next(&seed) % (200 * GB_MSEC)) +
-			   succession_delay(&place, store_took, &seed);
-		if (begin[i] + 3 * store_took < visible)
-			visible = begin[i] + 3 * store_took;
+			   succession_delay(&place, store_read_time, &seed);
+		if (begin[i] + 3 * store_read_time < visible)
+			visible = begin[i] + 3 * store_read_time;
 	}
 	for (i = dead; i < nodes; i++)
 		v.claims += begin[i] < visible;
@@ -54,22 +54,25 @@
 /** Checks, with and without dead successors, that few nodes claim the pool and
  * that the first claim is visible soon. */
 static void
-assert_bounded(unsigned int nodes, gb_time store_took)
+assert_bounded(unsigned int nodes, gb_time store_read_time)
 {
 	uint64_t seed;
 
 	for (seed = 1; seed <= 50; seed++) {
-		unsigned int ranked =
-		    nodes < SUCCESSION_MOST ? nodes : SUCCESSION_MOST;
+		unsigned int ranked = nodes < SUCCESSION_RANKED_MAX
+					  ? nodes
+					  : SUCCESSION_RANKED_MAX;
 		struct vacancy all =
-		    vacancy_simulate(nodes, ranked, 0, store_took, seed);
+		    vacancy_simulate(nodes, ranked, 0, store_read_time, seed);
 		struct vacancy some =
-		    vacancy_simulate(nodes, ranked, 4, store_took, seed);
+		    vacancy_simulate(nodes, ranked, 4, store_read_time, seed);
 
 		assert_true(all.claims <= 8);
 		assert_true(some.claims <= 8);
-		assert_true(all.duration <= 200 * GB_MSEC + 4 * store_took);
-		assert_true(some.duration <= 400 * GB_MSEC + 16 * store_took);
+		assert_true(
+		    all.duration <= 200 * GB_MSEC + 4 * store_read_time);
+		assert_true(
+		    some.duration <= 400 * GB_MSEC + 16 * store_read_time);
 	}
 }
 
--- a/tests/test_takeovers.c
+++ b/tests/test_takeovers.c
@@ -137,7 +137,7 @@
 node_lose(struct node *node)
 {
 	node->role = MEMBER;
-	watch_lost(&node->watch, cell.now, 0);
+	watch_pool_lost(&node->watch, cell.now, 0);
 }
 
 /* Hellos ------------------------------------------------------------------ */
@@ -180,7 +180,7 @@
 		return;
 	}
 	if (to->role != OWNER) {
-		watch_denied(
+		watch_owner_denied(
 		    &node->watch, cell.now, to->watch.owner, to->watch.epoch);
 		return;
 	}
@@ -269,7 +269,7 @@
 			continue;
 		if (call_answered(node, call)) {
 			call->in_flight = false;
-			watch_polled(&node->watch,
+			watch_add_vote(&node->watch,
 			    to->role == OWNER || to->role == LOADING ||
 				    cell.now - to->watch.last_heard <
 					CALL_TIMEOUT
@@ -277,7 +277,7 @@
 				: WATCH_VOTE_UNREACHABLE);
 		} else if (cell.now - call->sent_at >= CALL_TIMEOUT) {
 			call->in_flight = false;
-			watch_polled(&node->watch, WATCH_VOTE_NONE);
+			watch_add_vote(&node->watch, WATCH_VOTE_NONE);
 		}
 	}
 }
@@ -304,7 +304,7 @@
 	uint64_t known_epoch = node->watch.epoch;
 
 	node->cause = watch_takeover_cause(&node->watch, cell.now);
-	watch_lost(&node->watch, cell.now, 0);
+	watch_pool_lost(&node->watch, cell.now, 0);
 	if (cell.row_owner != NO_OWNER && cell.row_epoch > known_epoch)
 		return;
 	node->role = CLAIMING;
@@ -351,7 +351,7 @@
 				contention_owner_deposed(
 				    &node->contention, cell.now);
 			node_lose(node);
-			watch_members(&node->watch, member_count(node));
+			watch_set_members(&node->watch, member_count(node));
 		}
 		return;
 	}
@@ -378,9 +378,9 @@
 	if (node->read_at != 0 && node->read_at <= cell.now)
 		row_read(node);
 	switch (watch_next(&node->watch, cell.now)) {
-	case WATCH_READ:
+	case WATCH_READ_ROW:
 		cell.reads++;
-		watch_reading(&node->watch, cell.now);
+		watch_read_sent(&node->watch, cell.now);
 		node->read_at = cell.now + cell.read_duration;
 		break;
 	case WATCH_HELLO:
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -83,7 +83,7 @@
 static void
 read_row(struct watch *w)
 {
-	watch_reading(w, now);
+	watch_read_sent(w, now);
 	now += read_duration;
 	deliver_row(w, row_addr, row_epoch);
 }
@@ -101,7 +101,7 @@
 		action = watch_next(w, now);
 		if (action == WATCH_HELLO)
 			watch_hello_failed(w, now, false);
-		else if (action == WATCH_READ)
+		else if (action == WATCH_READ_ROW)
 			read_row(w);
 		else if (action != WATCH_NOTHING)
 			return action;
@@ -136,8 +136,8 @@
 	setup(&w);
 	assert_int_equal(next_action(&w, 2 * GB_SEC), WATCH_POLL);
 	watch_poll_begun(&w, now, 2);
-	watch_polled(&w, WATCH_VOTE_UNREACHABLE);
-	watch_polled(&w, WATCH_VOTE_UNREACHABLE);
+	watch_add_vote(&w, WATCH_VOTE_UNREACHABLE);
+	watch_add_vote(&w, WATCH_VOTE_UNREACHABLE);
 	assert_int_equal(next_action(&w, GB_SEC), WATCH_TAKE_OVER);
 	assert_true(now - w.last_heard < 2 * GB_SEC);
 }
@@ -155,8 +155,8 @@
 	last_heard = w.last_heard;
 	assert_int_equal(next_action(&w, 2 * GB_SEC), WATCH_POLL);
 	watch_poll_begun(&w, now, 2);
-	watch_polled(&w, WATCH_VOTE_REACHABLE);
-	watch_polled(&w, WATCH_VOTE_UNREACHABLE);
+	watch_add_vote(&w, WATCH_VOTE_REACHABLE);
+	watch_add_vote(&w, WATCH_VOTE_UNREACHABLE);
 	assert_int_equal(next_action(&w, 300 * GB_MSEC), WATCH_NOTHING);
 	assert_int_equal(w.last_heard, last_heard);
 	assert_int_equal(next_action(&w, 2 * GB_SEC), WATCH_POLL);
@@ -175,8 +175,8 @@
 	began = now;
 	while (next_action(&w, 10 * GB_SEC) == WATCH_POLL) {
 		watch_poll_begun(&w, now, 2);
-		watch_polled(&w, WATCH_VOTE_NONE);
-		watch_polled(&w, WATCH_VOTE_NONE);
+		watch_add_vote(&w, WATCH_VOTE_NONE);
+		watch_add_vote(&w, WATCH_VOTE_NONE);
 	}
 	assert_true(now - began > 3 * GB_SEC);
 	assert_true(now - began < 6 * GB_SEC);
@@ -233,9 +233,9 @@
 	(void)state;
 	setup(&w);
 	answer_hello(&w, false, 3 * GB_SEC);
-	assert_int_equal(watch_next(&w, now + GB_SEC), WATCH_READ);
+	assert_int_equal(watch_next(&w, now + GB_SEC), WATCH_READ_ROW);
 	now += GB_SEC;
-	watch_reading(&w, now);
+	watch_read_sent(&w, now);
 	deliver_row(&w, "10.0.0.3:70", 2);
 	assert_int_equal(watch_next(&w, now), WATCH_HELLO);
 	answer_hello(&w, false, 0);
@@ -274,7 +274,7 @@
 		action = watch_next(&w, now);
 		if (action == WATCH_HELLO)
 			answer_store_unavailable(&w, 0);
-		else if (action == WATCH_READ)
+		else if (action == WATCH_READ_ROW)
 			read_row(&w);
 		now += STEP;
 	}
@@ -316,7 +316,7 @@
 		assert_int_not_equal(action, WATCH_TAKE_OVER);
 		if (action == WATCH_HELLO)
 			answer(w);
-		else if (action == WATCH_READ)
+		else if (action == WATCH_READ_ROW)
 			read_row(w);
 	}
 }
@@ -362,7 +362,7 @@
 		enum watch_action action = watch_next(&w, now);
 
 		assert_int_not_equal(action, WATCH_TAKE_OVER);
-		assert_int_not_equal(action, WATCH_READ);
+		assert_int_not_equal(action, WATCH_READ_ROW);
 		if (action == WATCH_HELLO)
 			answer_store_unavailable(&w, 12);
 	}
@@ -383,8 +383,8 @@
 	status.place = (struct succession){15, 16, 34};
 	watch_hello_answered(&w, now, &status);
 	now += 200 * GB_MSEC;
-	assert_int_equal(watch_next(&w, now), WATCH_READ);
-	watch_reading(&w, now);
+	assert_int_equal(watch_next(&w, now), WATCH_READ_ROW);
+	watch_read_sent(&w, now);
 	deliver_row(&w, "10.0.0.3:70", 2);
 	assert_int_equal(watch_next(&w, now), WATCH_HELLO);
 }
@@ -400,15 +400,15 @@
 	(void)state;
 	setup(&w);
 	now += GB_SEC;
-	assert_false(watch_store_quick(&w, now));
+	assert_false(watch_store_is_fast(&w, now));
 	assert_true(w.next_read <= now);
 	read_row(&w);
-	assert_true(watch_store_quick(&w, now));
+	assert_true(watch_store_is_fast(&w, now));
 	now += 500 * GB_MSEC;
-	assert_false(watch_store_quick(&w, now));
+	assert_false(watch_store_is_fast(&w, now));
 	read_duration = 140 * GB_MSEC;
 	read_row(&w);
-	assert_false(watch_store_quick(&w, now));
+	assert_false(watch_store_is_fast(&w, now));
 }
 
 /** A restarted node that the row still names takes the pool at once. */
@@ -472,8 +472,8 @@
 	setup(&w);
 	assert_int_equal(next_action(&w, 2 * GB_SEC), WATCH_POLL);
 	watch_poll_begun(&w, now, 2);
-	watch_polled(&w, WATCH_VOTE_UNREACHABLE);
-	watch_polled(&w, WATCH_VOTE_NONE);
+	watch_add_vote(&w, WATCH_VOTE_UNREACHABLE);
+	watch_add_vote(&w, WATCH_VOTE_NONE);
 	assert_int_equal(next_action(&w, GB_SEC), WATCH_TAKE_OVER);
 	assert_int_equal(w.cause, WATCH_CAUSE_SILENT);
 	assert_int_equal(w.asked, 2);
--- a/tests/test_world.c
+++ b/tests/test_world.c
@@ -52,7 +52,7 @@
 	gang->flow.spec = "ms=500";
 	gang->flow.steps.steps_len = 1;
 	gang->flow.steps.steps_val = &gang->step;
-	world_submitted(gang->world, &gang->flow, ATTEMPTS_MAX);
+	world_flow_add(gang->world, &gang->flow, ATTEMPTS_MAX);
 	world_tick(gang->world, gang->now);
 }
 
@@ -95,13 +95,13 @@
 {
 	gb_time end = gang->now + RUN_TIME;
 
-	world_worker_sick(gang->world, member, true, false);
+	world_worker_impair(gang->world, member, true, false);
 	gang_start(gang, run);
 	while (gang->now < end) {
 		gang->now += 10 * GB_MSEC;
 		world_tick(gang->world, gang->now);
 	}
-	world_worker_sick(gang->world, member, false, false);
+	world_worker_impair(gang->world, member, false, false);
 	assert_int_equal(gang_view(gang).running, 0);
 }
 
@@ -132,7 +132,7 @@
 		gang_fail(&gang, run, (unsigned int)run % MEMBERS);
 	}
 	assert_true(gang_view(&gang).failed);
-	assert_int_equal(world_faults(gang.world)->budget, 0);
+	assert_int_equal(world_violations(gang.world)->budget, 0);
 	world_free(gang.world);
 }
 
@@ -146,7 +146,7 @@
 	(void)state;
 	gang_fixture_init(&gang);
 	gang_start(&gang, gang_attempts_use_up(&gang));
-	assert_int_equal(world_faults(gang.world)->budget, MEMBERS);
+	assert_int_equal(world_violations(gang.world)->budget, MEMBERS);
 	world_free(gang.world);
 }
 
@@ -163,10 +163,10 @@
 	gang_fixture_init(&gang);
 	run = gang_attempts_use_up(&gang);
 	world_worker_crash(gang.world, 1);
-	world_worker_reborn(gang.world, 1);
+	world_worker_replace(gang.world, 1);
 	assert_true(gang_view(&gang).failed);
 	gang_start(&gang, run);
-	assert_int_equal(world_faults(gang.world)->budget, 0);
+	assert_int_equal(world_violations(gang.world)->budget, 0);
 	world_free(gang.world);
 }
 
