--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -168,7 +168,7 @@
 	 * time of day of its start, which may jump, so it doesn't tell which of
 	 * two incarnations is newer. */
 	int64_t incarnation;
-	enum gb_pool_entry_error fault;
+	enum gb_pool_entry_error error;
 	char addr[GB_NAME_MAX + 1];
 	char dc[GB_NAME_MAX + 1];
 	char service[GB_NAME_MAX + 1];
@@ -269,7 +269,7 @@
 	/** Of the worker that answered, 0: not reported. */
 	int64_t incarnation;
 	/** The worker was only asked, without lease and cursor. */
-	bool question;
+	bool report_only;
 	struct gb_pool_run_report *running;
 	size_t running_count;
 	struct gb_pool_run_report *ended;
--- a/libgooseberry/pool/advice.c
+++ b/libgooseberry/pool/advice.c
@@ -128,7 +128,7 @@
 ask_is_candidate(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, const struct pool_worker *worker)
 {
-	return pool_worker_offered(worker) && !worker->over &&
+	return pool_worker_offered(worker) && !worker->ended &&
 	       !worker->entry.draining &&
 	       !step_is_asked(step, worker->handle) &&
 	       pool_fit_allows(pool, flow, step, worker);
--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -336,7 +336,7 @@
 
 	TAILQ_FOREACH(flow, &pool->open, open_next)
 	{
-		if (flow->partition == partition && !flow->fresh)
+		if (flow->partition == partition && !flow->not_started_before)
 			flow->plan_starts = true;
 	}
 }
@@ -476,8 +476,9 @@
 		const struct pool_worker *other = pool->workers[i];
 
 		lost_together +=
-		    other->missed != 0 &&
-		    llabs(other->missed - worker->missed) <= CRASH_GROUP_TIME;
+		    other->first_missed_at != 0 &&
+		    llabs(other->first_missed_at - worker->first_missed_at) <=
+			CRASH_GROUP_TIME;
 	}
 	return lost_together >= CRASH_GROUP_WORKERS_MIN;
 }
@@ -771,7 +772,7 @@
 			     : pool_worker_find(pool, unreachable->worker);
 		if (worker == NULL)
 			continue;
-		if (!worker->over) {
+		if (!worker->ended) {
 			unreachable_link(
 			    flow, step, index, unreachable, worker);
 			continue;
--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -571,7 +571,7 @@
 		    pool_rank_waiting_gang_cores(pool, flows[i]);
 	for (i = 0; i < pool->worker_count; i++) {
 		if (pool_worker_offered(pool->workers[i]) &&
-		    !pool->workers[i]->over)
+		    !pool->workers[i]->ended)
 			pool->capacity += pool->workers[i]->entry.capacity.cpu;
 	}
 }
--- a/libgooseberry/pool/fit.c
+++ b/libgooseberry/pool/fit.c
@@ -48,10 +48,11 @@
     uint32_t partition)
 {
 	return pool_worker_offered(worker) && worker->fenced &&
-	       (worker->recorded & (UINT32_C(1) << partition)) != 0 &&
-	       !worker->over && !worker->foreign && !worker->entry.draining &&
-	       pool_incarnation_listed(worker) && !worker->maybe_restarted &&
-	       worker->silent == 0 && worker->quarantined_until <= pool->now &&
+	       (worker->in_stored_sets & (UINT32_C(1) << partition)) != 0 &&
+	       !worker->ended && !worker->has_unknown_runs &&
+	       !worker->entry.draining && pool_incarnation_listed(worker) &&
+	       !worker->maybe_restarted && worker->silent == 0 &&
+	       worker->quarantined_until <= pool->now &&
 	       !pool_crash_has_new_suspect(worker);
 }
 
@@ -371,7 +372,7 @@
 		const struct pool_worker *worker =
 		    pool_worker_get(pool, step->approved[i].worker);
 
-		if (!pool_worker_offered(worker) || worker->over ||
+		if (!pool_worker_offered(worker) || worker->ended ||
 		    worker->entry.draining)
 			continue;
 		fitting =
--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -354,8 +354,8 @@
 
 	if (remaining == 0 || !pool_flow_step_ready(flow, step))
 		return 0;
-	if (!pool->partitions[flow->partition].reconciled && !flow->fresh &&
-	    !step->fresh)
+	if (!pool->partitions[flow->partition].reconciled &&
+	    !flow->not_started_before && !step->not_started_before)
 		return 0;
 	if ((step->spec->flags & GB_STEP_GANG) != 0)
 		return step->active > 0 ||
@@ -570,11 +570,11 @@
 		    STAILQ_EMPTY(&flow->waiters))
 			flow_close(pool, flow);
 		else if (flow->closed && !flow->dirty &&
-			 pool->now - flow->ended > keep && flow->forgotten)
+			 pool->now - flow->ended > keep && flow->remove_pending)
 			pool_flow_free(pool, flow);
 		else if (flow->closed && !flow->dirty &&
 			 pool->now - flow->ended > keep) {
-			flow->forgotten = true;
+			flow->remove_pending = true;
 			pool_flow_changed(pool, flow, false);
 		}
 	}
--- a/libgooseberry/pool/flow_state.c
+++ b/libgooseberry/pool/flow_state.c
@@ -193,7 +193,7 @@
 			    &flow->steps[spec->after.after_val[j]];
 
 			if (before->done < before->spec->count)
-				flow->steps[i].fresh = true;
+				flow->steps[i].not_started_before = true;
 		}
 	}
 }
@@ -236,7 +236,7 @@
 	flow->status = state->status;
 	flow->stored = flow->change;
 	/* Stored by a node without an owner: nobody has started any of it. */
-	flow->fresh = !state->owned;
+	flow->not_started_before = !state->owned;
 	flow->owned = state->owned;
 	if (state->status >= GB_FLOW_SUCCEEDED)
 		return true;
--- a/libgooseberry/pool/health.c
+++ b/libgooseberry/pool/health.c
@@ -64,12 +64,12 @@
 	double expected;
 
 	if (step->done_runs > 0) {
-		expected = (double)step->took / step->done_runs;
+		expected = (double)step->done_run_time / step->done_runs;
 		worker->slowness +=
 		    HEALTH_SLOWNESS_WEIGHT *
 		    ((double)took / expected - worker->slowness);
 	}
-	step->took += took;
+	step->done_run_time += took;
 	step->done_runs++;
 }
 
@@ -138,7 +138,7 @@
 {
 	return run->state == POOL_RUN_RUNNING && run->confirmed != 0 &&
 	       run->percent < HEALTH_PERCENT_AT_END &&
-	       pool->now - run->moved >= HEALTH_STALL_TIME;
+	       pool->now - run->progress_at >= HEALTH_STALL_TIME;
 }
 
 /** Whether a gang is stalled. Its members work together, so all must be without
--- a/libgooseberry/pool/incarnation.c
+++ b/libgooseberry/pool/incarnation.c
@@ -117,7 +117,7 @@
 	struct pool_worker *worker = pool_worker_get(pool, call->worker);
 
 	/* The previous incarnation may have answered. */
-	if (worker == NULL || worker->over ||
+	if (worker == NULL || worker->ended ||
 	    call->sent <= worker->incarnation_since)
 		return;
 	if ((res->incarnation == 0 ||
@@ -144,7 +144,7 @@
 	    (json_int_t)worker->incarnation, "runs",
 	    (json_int_t)worker->run_count, "running",
 	    (json_int_t)(report == NULL ? 0 : report->running_count), "seen",
-	    (json_int_t)worker->seen, "acked", (json_int_t)worker->acked,
+	    (json_int_t)worker->last_end, "acked", (json_int_t)worker->acked,
 	    "clock_ms", (json_int_t)(report == NULL ? 0 : report->clock_ms),
 	    "clock_before_ms", (json_int_t)worker->clock_ms);
 }
@@ -171,7 +171,7 @@
 	struct pool_run *next;
 
 	if (worker->silent == 0)
-		worker->missed = pool->now;
+		worker->first_missed_at = pool->now;
 	pool_crash_classify(pool, worker);
 	for (run = TAILQ_FIRST(&worker->runs); run != NULL; run = next) {
 		next = TAILQ_NEXT(run, of_worker);
@@ -190,7 +190,7 @@
     const struct pool_call *call, const struct gb_pool_report *report)
 {
 	bool maybe_leased =
-	    (call->lease && !report->question) || worker->lease_uncertain ||
+	    (call->lease && !report->report_only) || worker->lease_uncertain ||
 	    report->running_count > 0 || report->ended_count > 0;
 	int64_t left = worker->lease_end_ms - report->clock_ms;
 
@@ -208,7 +208,7 @@
 incarnation_clear(struct pool_worker *worker)
 {
 	pool_report_incarnation_ended(worker);
-	worker->seen = 0;
+	worker->last_end = 0;
 	worker->acked = 0;
 	worker->clock_ms = 0;
 	worker->maybe_restarted = false;
@@ -260,7 +260,7 @@
 	    worker->entry.draining && pool_incarnation_listed(worker);
 	if (incarnation != 0 && worker->recorded_incarnation != 0 &&
 	    incarnation != worker->recorded_incarnation) {
-		worker->missed = pool->now;
+		worker->first_missed_at = pool->now;
 		pool_crash_mark_unknown_loss(pool, worker);
 	}
 	if (incarnation != worker->recorded_incarnation)
@@ -310,13 +310,13 @@
     const struct gb_pool_entry *entry)
 {
 	incarnation_clear(worker);
-	worker->over = false;
+	worker->ended = false;
 	worker->fenced = false;
 	worker->incarnation = 0;
 	worker->recorded_incarnation = 0;
 	worker->incarnation_since = pool->now;
 	worker->silent = 0;
-	worker->missed = 0;
+	worker->first_missed_at = 0;
 	worker->heartbeat_at = pool->now;
 	pool_incarnation_fence(worker);
 	snprintf(
@@ -329,7 +329,7 @@
 {
 	if (entry->incarnation == 0)
 		return;
-	if (worker->over) {
+	if (worker->ended) {
 		if (entry->incarnation != worker->ended_incarnation)
 			entry_revive_worker(pool, worker, entry);
 		return;
--- a/libgooseberry/pool/listing.c
+++ b/libgooseberry/pool/listing.c
@@ -39,8 +39,8 @@
 bool
 pool_worker_offered(const struct pool_worker *worker)
 {
-	return worker->listed && worker->served &&
-	       worker->entry.fault == GB_POOL_ENTRY_VALID;
+	return worker->listed && worker->service_configured &&
+	       worker->entry.error == GB_POOL_ENTRY_VALID;
 }
 
 static bool
@@ -57,7 +57,7 @@
 	uint32_t i;
 
 	for (i = 0; i < pool->worker_count; i++)
-		pool->workers[i]->served =
+		pool->workers[i]->service_configured =
 		    worker_service_known(pool, pool->workers[i]);
 }
 
@@ -67,18 +67,18 @@
 entry_invalid(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_entry *entry)
 {
-	bool changed = worker == NULL || worker->entry.fault != entry->fault;
+	bool changed = worker == NULL || worker->entry.error != entry->error;
 
-	pool->stats.entry_errors[entry->fault]++;
+	pool->stats.entry_errors[entry->error]++;
 	if (changed)
 		gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_entry_bad",
 		    "{s:s, s:s, s:b, s:I}", "worker", entry->id, "why",
-		    gb_pool_entry_error_name(entry->fault), "known",
+		    gb_pool_entry_error_name(entry->error), "known",
 		    worker != NULL, "runs",
 		    (json_int_t)(worker == NULL ? 0 : worker->run_count));
 	if (worker == NULL)
 		return;
-	worker->entry.fault = entry->fault;
+	worker->entry.error = entry->error;
 	worker->listed = true;
 }
 
@@ -104,7 +104,7 @@
 		return;
 	}
 	/* What was learned at the old address was about another process. */
-	worker->over = false;
+	worker->ended = false;
 	worker->silent = 0;
 	worker->heartbeat_at = pool->now;
 }
@@ -153,7 +153,7 @@
 	struct gb_pool_entry copy = *listed;
 	struct gb_pool_entry *entry = &copy;
 
-	if (entry->fault != GB_POOL_ENTRY_VALID) {
+	if (entry->error != GB_POOL_ENTRY_VALID) {
 		entry_invalid(pool, worker, entry);
 		return;
 	}
@@ -177,7 +177,7 @@
 	if (pool_incarnation_listed(worker))
 		worker->leaving = entry->draining;
 	worker->listed = true;
-	worker->served = worker_service_known(pool, worker);
+	worker->service_configured = worker_service_known(pool, worker);
 	pool_worker_set_mark_missing(pool, worker);
 	worker_rack(worker);
 	pool->work_changed = true;
--- a/libgooseberry/pool/load.c
+++ b/libgooseberry/pool/load.c
@@ -286,7 +286,7 @@
 	flow = pool_flow_new(pool, &stored.flow);
 	flow->config = stored.config;
 	flow->created = true;
-	flow->fresh = true;
+	flow->not_started_before = true;
 	flow->stored = flow->change;
 	flow->in_inbox = true;
 	pool_writer_mark_dirty(pool, flow, true);
--- a/libgooseberry/pool/owner.c
+++ b/libgooseberry/pool/owner.c
@@ -582,11 +582,11 @@
 		const struct pool_worker *worker = pool->workers[i];
 
 		if (!pool_worker_offered(worker) && !worker->fenced &&
-		    (worker->recorded & (UINT32_C(1) << number)) == 0)
+		    (worker->in_stored_sets & (UINT32_C(1) << number)) == 0)
 			continue;
-		if (!worker->over &&
+		if (!worker->ended &&
 		    (!worker->fenced ||
-			worker->reported < partition->attached_at))
+			worker->report_sent_at < partition->attached_at))
 			return false;
 	}
 	return true;
--- a/libgooseberry/pool/quota.c
+++ b/libgooseberry/pool/quota.c
@@ -112,9 +112,9 @@
 worker_use_uncertain(const struct gb_pool *pool,
     const struct pool_worker *worker, bool reconciled)
 {
-	if (worker->over)
+	if (worker->ended)
 		return false;
-	if (worker->foreign)
+	if (worker->has_unknown_runs)
 		return worker->silent == 0 || worker->lapse_at >= pool->now;
 	return !worker->fenced && !reconciled;
 }
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -42,7 +42,7 @@
 static void
 end_free(struct pool_end *end)
 {
-	free(end->held);
+	free(end->kept_report);
 	free(end);
 }
 
@@ -56,7 +56,7 @@
 
 	while ((end = STAILQ_FIRST(&worker->ends)) != NULL) {
 		flow = pool_flow_find(pool, end->flow);
-		if (end->held != NULL ||
+		if (end->kept_report != NULL ||
 		    (flow != NULL && flow->stored < end->change))
 			break;
 		worker->acked = end->number;
@@ -104,8 +104,8 @@
 
 	if (!pool_partition_attached(
 		pool, gb_pool_partition(run_report->flow))) {
-		end->held = gb_calloc(1, sizeof(*end->held));
-		*end->held = *run_report;
+		end->kept_report = gb_calloc(1, sizeof(*end->kept_report));
+		*end->kept_report = *run_report;
 		return;
 	}
 	flow = pool_flow_find(pool, run_report->flow);
@@ -131,9 +131,9 @@
 	for (i = 0; i < report->ended_count; i++) {
 		const struct gb_pool_run_report *run_report = &report->ended[i];
 
-		if (run_report->number <= worker->seen)
+		if (run_report->number <= worker->last_end)
 			continue;
-		worker->seen = run_report->number;
+		worker->last_end = run_report->number;
 		end_apply(pool, worker, end_add(worker, run_report->number),
 		    run_report);
 	}
@@ -149,11 +149,11 @@
 	for (i = 0; i < pool->worker_count; i++) {
 		STAILQ_FOREACH(end, &pool->workers[i]->ends, next)
 		{
-			run_report = end->held;
+			run_report = end->kept_report;
 			if (run_report == NULL ||
 			    gb_pool_partition(run_report->flow) != partition)
 				continue;
-			end->held = NULL;
+			end->kept_report = NULL;
 			end_apply(pool, pool->workers[i], end, run_report);
 			free(run_report);
 		}
@@ -235,7 +235,7 @@
 		run->state = POOL_RUN_RUNNING;
 	if (run_report->percent != run->percent) {
 		run->percent = run_report->percent;
-		run->moved = pool->now;
+		run->progress_at = pool->now;
 	}
 	snprintf(run->checkpoint, sizeof(run->checkpoint), "%s",
 	    run_report->checkpoint);
@@ -308,7 +308,7 @@
 	struct pool_run *run;
 	size_t i;
 
-	worker->foreign = false;
+	worker->has_unknown_runs = false;
 	for (i = 0; i < report->running_count; i++) {
 		const struct gb_pool_run_report *run_report =
 		    &report->running[i];
@@ -329,7 +329,7 @@
 			run_update(pool, run, run_report);
 			continue;
 		}
-		worker->foreign = true;
+		worker->has_unknown_runs = true;
 		if (attached)
 			stray_run_stop(pool, worker, run_report);
 	}
@@ -355,7 +355,7 @@
 	 * yet. */
 	while ((end = STAILQ_FIRST(&worker->ends)) != NULL) {
 		STAILQ_REMOVE_HEAD(&worker->ends, next);
-		if (end->held == NULL) {
+		if (end->kept_report == NULL) {
 			end_free(end);
 			continue;
 		}
--- a/libgooseberry/pool/reservation.c
+++ b/libgooseberry/pool/reservation.c
@@ -33,8 +33,9 @@
 	if (run->state == POOL_RUN_STOPPING)
 		return pool->cfg.limits.stop_us;
 	if (run->percent >= RESERVE_PROGRESS_MIN_PERCENT &&
-	    run->moved > run->started)
-		run_time = (run->moved - run->started) * 100 / run->percent;
+	    run->progress_at > run->started)
+		run_time =
+		    (run->progress_at - run->started) * 100 / run->percent;
 	left = run->started + run_time - pool->now;
 	return left > RESERVE_TIME_LEFT_MIN ? left : RESERVE_TIME_LEFT_MIN;
 }
--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -37,7 +37,7 @@
 	run->worker = worker;
 	run->res = s->spec->res;
 	run->started = pool->now;
-	run->moved = pool->now;
+	run->progress_at = pool->now;
 	run->suspect = s->tasks[index].suspect != NULL;
 	worker->suspect_runs += run->suspect;
 	if (TAILQ_EMPTY(&s->tasks[index].runs)) {
@@ -252,8 +252,8 @@
 
 	/* Another incarnation might accept it: waits until the worker has
 	 * answered. */
-	run->again = !pool_incarnation_confirmed(run->worker);
-	if (run->again)
+	run->retry_pending = !pool_incarnation_confirmed(run->worker);
+	if (run->retry_pending)
 		return;
 	if (run->confirmed != 0)
 		return;
@@ -274,7 +274,7 @@
 	if (run->confirmed != 0)
 		return;
 	if (run->state == POOL_RUN_STARTING && !pool_pace_may_send_starts(pool))
-		run->again = true;
+		run->retry_pending = true;
 	else if (run->state == POOL_RUN_STARTING)
 		pool_run_start_retry(pool, run);
 	else
@@ -299,7 +299,7 @@
 		run->confirmed = pool->now;
 	if (res->status == GB_POOL_ORDER_DONE ||
 	    res->status == GB_POOL_ORDER_LOST)
-		pool_worker_run_lost(pool, run, run->worker->over);
+		pool_worker_run_lost(pool, run, run->worker->ended);
 	else
 		run_refused(pool, run, res);
 }
@@ -330,7 +330,7 @@
 	struct pool_run *run = call->run;
 	bool resolved =
 	    run != NULL && pool_run_is_start_pending(run) &&
-	    (run->worker->over || res->status == GB_POOL_ORDER_WRONG_WORKER);
+	    (run->worker->ended || res->status == GB_POOL_ORDER_WRONG_WORKER);
 
 	gb_histogram_add(&pool->stats.start_us, pool->now - call->sent);
 	/* Done before the worker is ended, which would lose the run. */
@@ -342,7 +342,7 @@
 	run->start_call = 0;
 	if (res->status == GB_POOL_ORDER_DONE) {
 		run->confirmed = pool->now;
-		run->moved = pool->now;
+		run->progress_at = pool->now;
 		if (run->state == POOL_RUN_STARTING)
 			run->state = POOL_RUN_RUNNING;
 	} else if (res->status == GB_POOL_ORDER_LOST) {
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -72,8 +72,8 @@
 	gb_res res;
 	uint64_t start_call; /**< start order in flight, 0: none */
 	unsigned int tries;  /**< start orders sent */
-	bool again; /**< resend the start order once the link has capacity and
-		       the incarnation is known */
+	bool retry_pending;  /**< resend the start order once the link has
+			capacity and  the incarnation is known */
 	uint64_t stop_call;
 	gb_time started;
 	gb_time confirmed; /**< when the worker first reported the run, 0: not
@@ -83,9 +83,9 @@
 	gb_time lapse_at; /**< after this, a start order without answer can no
 			     longer take effect */
 	uint32_t percent;
-	gb_time moved; /**< when the percent last changed */
-	bool adopted;  /**< started by an earlier owner */
-	bool suspect;  /**< its task is a crash suspect */
+	gb_time progress_at; /**< when the percent last changed */
+	bool adopted;	     /**< started by an earlier owner */
+	bool suspect;	     /**< its task is a crash suspect */
 	/* For runs whose worker is lost: */
 	bool lost_early; /**< lost soon after the worker had started it */
 	bool lost_sole_suspect; /**< and no other flow had a start as recent
@@ -132,11 +132,11 @@
 	const gb_step *spec;
 	struct pool_task *tasks;
 	uint32_t done;		 /**< tasks whose end was reported */
-	gb_time took;		 /**< total time of the runs that were done */
+	gb_time done_run_time;	 /**< total time of the runs that were done */
 	uint32_t done_runs;	 /**< number of runs in took */
 	gb_time failed_run_time; /**< longest failed run of a task */
-	bool fresh; /**< was not ready when this owner loaded it, so no earlier
-		       owner has started it */
+	bool not_started_before; /**< was not ready when this owner loaded it,
+		       so no earlier owner has started it */
 	/** Change of the flow by which all tasks were done. */
 	uint64_t done_change;
 	uint32_t active;      /**< tasks with a run */
@@ -210,9 +210,9 @@
 	bool dirty;
 	bool closed; /**< finished, stored and without runs: only the state is
 			kept */
-	bool forgotten; /**< the next write removes its rows */
-	bool fresh;	/**< first accepted by this owner: no earlier owner has
-			   started it */
+	bool remove_pending;	 /**< the next write removes its rows */
+	bool not_started_before; /**< first accepted by this owner: no earlier
+		    owner has started it */
 	/** Earlier owners may have started it on workers that were lost, so its
 	 * starts are stored before they are sent. */
 	bool plan_starts;
@@ -260,7 +260,7 @@
 	uint64_t change;
 	/** The report, while the flow's partition is not attached; else
 	 * null. */
-	struct gb_pool_run_report *held;
+	struct gb_pool_run_report *kept_report;
 };
 
 STAILQ_HEAD(pool_ends, pool_end);
@@ -282,7 +282,7 @@
 	bool was_reserved;   /**< had reservations in the previous dispatch */
 	int64_t incarnation; /**< that answered last, 0: not reported */
 	gb_time incarnation_since; /**< when that incarnation first answered */
-	int64_t ended_incarnation; /**< the ended one, when over is set */
+	int64_t ended_incarnation; /**< the ended one, when ended is set */
 	/** As read from the stored worker sets. */
 	int64_t recorded_incarnation;
 	bool maybe_restarted; /**< may have restarted since it answered */
@@ -290,33 +290,34 @@
 	uint64_t fence; /**< added to the fencing token; grows when orders in
 			   flight must not be carried out */
 	bool listed;	/**< is in the platform's list */
-	bool served;	/**< the configuration names its service */
-	bool fenced;	/**< has answered this owner, and so knows its fencing
-			   token */
-	bool over; /**< its incarnation has ended or its lease has expired */
+	bool service_configured; /**< the configuration names its service */
+	bool fenced; /**< has answered this owner, and so knows its fencing
+			token */
+	bool ended;  /**< its incarnation has ended or its lease has expired */
 	/** Bits of the partitions whose stored set names it. */
-	uint32_t recorded;
-	uint32_t recording; /**< the same for the sets being written */
-	bool foreign;	    /**< runs tasks that this owner doesn't know */
-	gb_time reported;   /**< when the newest answered heartbeat was sent */
+	uint32_t in_stored_sets;
+	uint32_t in_sent_sets; /**< the same for the sets being written */
+	bool has_unknown_runs; /**< runs tasks that this owner doesn't know */
+	gb_time
+	    report_sent_at; /**< when the newest answered heartbeat was sent */
 	uint64_t heartbeat_call;
 	gb_time heartbeat_sent;
-	gb_time heartbeat_at;	/**< when to send the next heartbeat */
-	gb_time answered;	/**< when the last answer to a heartbeat came */
-	unsigned int silent;	/**< consecutive heartbeats without answer */
-	unsigned int questions; /**< consecutive answers to heartbeats that
-				   renewed no lease */
-	gb_time missed; /**< when the first of the heartbeats counted by silent
-			   was missed */
-	int64_t clock_ms;     /**< its clock in the last answer */
-	gb_time clock_at;     /**< when that answer came */
-	int64_t lease_end_ms; /**< latest lease end that was sent, on the
-				 worker's clock */
-	bool lease_uncertain; /**< that lease may have reached another
-				 incarnation */
-	gb_time lapse_at;     /**< by then every lease has certainly expired */
-	uint64_t seen;	      /**< number of the last end applied */
-	uint64_t acked;	      /**< ends up to this number are stored */
+	gb_time heartbeat_at; /**< when to send the next heartbeat */
+	gb_time answered;     /**< when the last answer to a heartbeat came */
+	unsigned int silent;  /**< consecutive heartbeats without answer */
+	unsigned int reports_without_lease; /**< consecutive answers to
+				   heartbeats that renewed no lease */
+	gb_time first_missed_at; /**< when the first of the heartbeats counted
+			   by silent was missed */
+	int64_t clock_ms;	 /**< its clock in the last answer */
+	gb_time clock_at;	 /**< when that answer came */
+	int64_t lease_end_ms;	 /**< latest lease end that was sent, on the
+				    worker's clock */
+	bool lease_uncertain;	 /**< that lease may have reached another
+				    incarnation */
+	gb_time lapse_at;  /**< by then every lease has certainly expired */
+	uint64_t last_end; /**< number of the last end applied */
+	uint64_t acked;	   /**< ends up to this number are stored */
 	struct pool_ends ends;
 	struct pool_runs runs;
 	uint32_t run_count;
@@ -390,9 +391,9 @@
 	unsigned int refused; /**< consecutive writes that were refused */
 	/** Consecutive writes that ended without an answer. */
 	unsigned int lost;
-	uint64_t probe; /**< probe call in flight, 0: none */
-	gb_time probed; /**< when it was sent */
-	bool answers;	/**< a probe during this write was answered */
+	uint64_t probe;	     /**< probe call in flight, 0: none */
+	gb_time probed;	     /**< when it was sent */
+	bool probe_answered; /**< a probe during this write was answered */
 	bool silent; /**< a probe got no answer, and nothing was answered since
 		      */
 	bool seal;   /**< a write got no answer: seal before the next write */
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -162,8 +162,8 @@
 	pool_crash_classify(pool, worker);
 	for (run = TAILQ_FIRST(&worker->runs); run != NULL; run = next) {
 		next = TAILQ_NEXT(run, of_worker);
-		if (!worker->over || !pool_run_is_start_pending(run))
-			pool_worker_run_lost(pool, run, worker->over);
+		if (!worker->ended || !pool_run_is_start_pending(run))
+			pool_worker_run_lost(pool, run, worker->ended);
 	}
 }
 
@@ -171,15 +171,15 @@
 pool_worker_ended(
     struct gb_pool *pool, struct pool_worker *worker, const char *why)
 {
-	if (worker->over)
+	if (worker->ended)
 		return;
-	worker->over = true;
+	worker->ended = true;
 	worker->ended_incarnation = worker->incarnation != 0
 					? worker->incarnation
 					: worker->entry.incarnation;
 	pool_crash_mark_unknown_loss(pool, worker);
 	if (worker->silent == 0)
-		worker->missed = pool->now;
+		worker->first_missed_at = pool->now;
 	pool->stats.workers_ended++;
 	pool_worker_set_mark_dirty(pool, worker);
 	worker_lose_runs(pool, worker, why);
@@ -192,7 +192,7 @@
 	gb_time pause;
 
 	if (worker->silent++ == 0) {
-		worker->missed = pool->now;
+		worker->first_missed_at = pool->now;
 		pool_incarnation_fence(worker);
 		pool_crash_worker_missed(pool, worker);
 	}
@@ -240,7 +240,7 @@
 	if (worker == NULL || worker->heartbeat_call != call->id)
 		return;
 	worker->heartbeat_call = 0;
-	if (worker->over)
+	if (worker->ended)
 		return;
 	if (report == NULL || report->status == GB_POOL_ORDER_LOST ||
 	    report->status == GB_POOL_ORDER_REFUSED) {
@@ -277,12 +277,13 @@
 	if (!worker->fenced)
 		pool->work_changed = true;
 	worker->fenced = true;
-	worker->reported = call->sent;
-	worker->questions = report->question ? worker->questions + 1 : 0;
+	worker->report_sent_at = call->sent;
+	worker->reports_without_lease =
+	    report->report_only ? worker->reports_without_lease + 1 : 0;
 	worker->heartbeat_at =
-	    pool->now + (report->question ? 0
-					  : heartbeat_pause(pool, worker,
-						report->ended_count));
+	    pool->now + (report->report_only ? 0
+					     : heartbeat_pause(pool, worker,
+						   report->ended_count));
 }
 
 /** How long the answer to a heartbeat may wait for the end of a run. */
@@ -332,7 +333,7 @@
 	heartbeat.confirmed =
 	    pool_incarnation_confirmed(worker) &&
 	    (pool->now - worker->answered <= HEARTBEAT_CONFIRMED_TIME ||
-		worker->questions >= HEARTBEAT_REPORTS_ONLY_MAX);
+		worker->reports_without_lease >= HEARTBEAT_REPORTS_ONLY_MAX);
 	call->token = heartbeat.token;
 	call->lease = heartbeat.lease_end_ms != 0;
 	if (worker->fenced && worker->silent == 0 && !worker->maybe_restarted &&
@@ -353,7 +354,7 @@
 			run->state == POOL_RUN_START_UNKNOWN) &&
 		    run->stop_at <= pool->now)
 			pool_run_stop_send(pool, run);
-		if (run->again && run->state == POOL_RUN_STARTING &&
+		if (run->retry_pending && run->state == POOL_RUN_STARTING &&
 		    pool_pace_may_send_starts(pool))
 			pool_run_start_retry(pool, run);
 	}
@@ -368,7 +369,7 @@
 	if (pool_worker_offered(worker) || worker->run_count > 0 ||
 	    !STAILQ_EMPTY(&worker->losses))
 		return true;
-	return (worker->fenced || worker->recorded != 0) &&
+	return (worker->fenced || worker->in_stored_sets != 0) &&
 	       (worker->silent < HEARTBEAT_UNLISTED_TRIES ||
 		   !pool_owner_reconciled(pool));
 }
@@ -378,9 +379,9 @@
 static bool
 worker_tick(struct gb_pool *pool, struct pool_worker *worker)
 {
-	if (worker->recorded != 0 && !pool_worker_in_use(pool, worker))
+	if (worker->in_stored_sets != 0 && !pool_worker_in_use(pool, worker))
 		pool_worker_set_mark_dirty(pool, worker);
-	if (worker->over)
+	if (worker->ended)
 		return true;
 	worker_runs_tick(pool, worker);
 	if (worker->silent > 0 && worker->run_count > 0 &&
@@ -456,13 +457,13 @@
 		worker->fence = 0;
 		worker->lease_end_ms = 0;
 		worker->lease_uncertain = false;
-		worker->recorded = 0;
-		worker->recording = 0;
-		worker->reported = 0;
+		worker->in_stored_sets = 0;
+		worker->in_sent_sets = 0;
+		worker->report_sent_at = 0;
 		worker->heartbeat_call = 0;
 		worker->heartbeat_at = 0;
 		worker->silent = 0;
-		worker->seen = 0;
+		worker->last_end = 0;
 		worker->acked = 0;
 		worker->clock_ms = 0;
 		worker->lapse_at = 0;
--- a/libgooseberry/pool/worker_set.c
+++ b/libgooseberry/pool/worker_set.c
@@ -35,7 +35,7 @@
 	uint32_t i;
 
 	for (i = 0; i < GB_POOL_PARTITIONS; i++) {
-		if ((worker->recorded & (UINT32_C(1) << i)) == 0)
+		if ((worker->in_stored_sets & (UINT32_C(1) << i)) == 0)
 			pool->partitions[i].set_changed |= set_row(worker);
 	}
 }
@@ -44,13 +44,13 @@
 bool
 pool_worker_in_use(const struct gb_pool *pool, const struct pool_worker *worker)
 {
-	if (worker->over)
+	if (worker->ended)
 		return false;
 	if (pool_worker_offered(worker) || worker->run_count > 0)
 		return true;
 	/* Not offered and silent: in use until every lease it was given has
 	 * expired. */
-	return worker->recorded != 0 &&
+	return worker->in_stored_sets != 0 &&
 	       (worker->silent == 0 || worker->lapse_at >= pool->now ||
 		   !pool_owner_reconciled(pool));
 }
@@ -77,10 +77,10 @@
 		struct pool_worker *worker = pool->workers[i];
 		gb_worker_ref *ref = &set.list.list_val[set.list.list_len];
 
-		worker->recording &= ~partition_bit;
+		worker->in_sent_sets &= ~partition_bit;
 		if (!pool_worker_in_use(pool, worker))
 			continue;
-		worker->recording |= partition_bit;
+		worker->in_sent_sets |= partition_bit;
 		ref->id = worker->entry.id;
 		ref->addr = worker->entry.addr;
 		set.incarnations
@@ -126,8 +126,9 @@
 		struct pool_worker *worker = pool->workers[i];
 
 		if (set_row(worker) == sent_row)
-			worker->recorded = (worker->recorded & ~partition_bit) |
-					   (worker->recording & partition_bit);
+			worker->in_stored_sets =
+			    (worker->in_stored_sets & ~partition_bit) |
+			    (worker->in_sent_sets & partition_bit);
 	}
 	pool->work_changed = true;
 }
@@ -144,6 +145,6 @@
 		snprintf(entry.addr, sizeof(entry.addr), "%s", ref->addr);
 		worker = pool_worker_new(pool, &entry);
 	}
-	worker->recorded |= UINT32_C(1) << partition;
+	worker->in_stored_sets |= UINT32_C(1) << partition;
 	worker->recorded_incarnation = incarnation;
 }
--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -174,7 +174,7 @@
 	}
 	if (flow->in_inbox)
 		draft_remove(draft, GB_POOL_INBOX, flow->spec.id);
-	if (flow->forgotten) {
+	if (flow->remove_pending) {
 		draft_remove(draft, GB_POOL_STATES, flow->spec.id);
 		return;
 	}
@@ -222,7 +222,7 @@
 	partition->phase = phase;
 	partition->call = call->id;
 	partition->sent = pool->now;
-	partition->answers = false;
+	partition->probe_answered = false;
 	draft->txn.partition = number;
 	draft->txn.conds = draft->conds;
 	draft->txn.puts = draft->puts;
@@ -358,7 +358,8 @@
 	    pool->now - partition->probed > WRITER_PROBE_TIMEOUT)
 		partition->silent = true;
 	if (partition->call == 0 || partition->probe != 0 ||
-	    partition->answers || pool->now - partition->sent < WRITER_OVERDUE)
+	    partition->probe_answered ||
+	    pool->now - partition->sent < WRITER_OVERDUE)
 		return;
 	call = pool_call_new(pool, POOL_CALL_PROBE);
 	call->partition = number;
@@ -566,7 +567,7 @@
 		return;
 	}
 	partition->silent = false;
-	partition->answers = true;
+	partition->probe_answered = true;
 	partition->refused = 0;
 	partition->lost = 0;
 	if (partition->call == 0 || partition->sent > call->sent ||
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -69,7 +69,7 @@
 	bool given_up;	      /**< a read that times out */
 	bool silent;	      /**< a heartbeat whose answer was lost */
 	unsigned int process; /**< worker process that received the heartbeat */
-	bool question;	      /**< a heartbeat without lease and cursor */
+	bool report_only;     /**< a heartbeat without lease and cursor */
 };
 
 /** Context of a core's operations: the cell and the number of the node. */
@@ -487,10 +487,10 @@
 static void
 heartbeat_connect(const struct pool_cell *cell, struct pool_event *event)
 {
-	event->question = event->heartbeat.incarnation != 0 &&
-			  !event->heartbeat.confirmed &&
-			  *connected_process(cell, event) != event->process;
-	if (!event->question)
+	event->report_only = event->heartbeat.incarnation != 0 &&
+			     !event->heartbeat.confirmed &&
+			     *connected_process(cell, event) != event->process;
+	if (!event->report_only)
 		return;
 	event->heartbeat.cursor = 0;
 	event->heartbeat.lease_end_ms = 0;
@@ -517,7 +517,7 @@
 		return;
 	}
 	world_heartbeat(cell->world, &event->heartbeat, report);
-	report->question = event->question;
+	report->report_only = event->report_only;
 	/* Lease and cursor apply on arrival, not while the worker waits to
 	 * answer. */
 	event->heartbeat.cursor = 0;
@@ -682,7 +682,7 @@
 			cell->events[i].due = cell->now + CELL_TICK;
 			cell->events[i].silent = event.silent;
 			cell->events[i].process = event.process;
-			cell->events[i].question = event.question;
+			cell->events[i].report_only = event.report_only;
 			cell->events[i].heartbeat = event.heartbeat;
 			continue;
 		}
@@ -886,7 +886,7 @@
 	world_worker_entry(cell->world, i, entry);
 	entry->removed = i < cell->unlisted;
 	if (i < cell->spoiled)
-		entry->fault = GB_POOL_ENTRY_INCOMPLETE;
+		entry->error = GB_POOL_ENTRY_INCOMPLETE;
 	if (cell->moved) {
 		world_worker_entry(cell->world, (i + 1) % count, &other);
 		snprintf(entry->addr, sizeof(entry->addr), "%s", other.addr);
--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -28,7 +28,7 @@
 	struct gb_pool_entry entry;
 
 	assert_true(plat_entry_decode("i-1", text, strlen(text), &entry));
-	return entry.fault;
+	return entry.error;
 }
 
 /** Error of the valid entry with one field changed.
@@ -60,7 +60,7 @@
 	(void)state;
 	assert_true(
 	    plat_entry_decode("i-1", valid_entry, strlen(valid_entry), &entry));
-	assert_int_equal(entry.fault, GB_POOL_ENTRY_VALID);
+	assert_int_equal(entry.error, GB_POOL_ENTRY_VALID);
 	assert_string_equal(entry.id, "i-1");
 	assert_string_equal(entry.addr, "10.1.0.9:8080");
 	assert_string_equal(entry.service, "svc");
@@ -150,14 +150,14 @@
 	(void)state;
 	for (i = 0; i + 1 < sizeof(valid_entry); i++) {
 		plat_entry_decode("i-1", valid_entry, i, &entry);
-		assert_int_equal(entry.fault, GB_POOL_ENTRY_UNREADABLE);
+		assert_int_equal(entry.error, GB_POOL_ENTRY_UNREADABLE);
 	}
 	for (i = 0; i < 20000; i++) {
 		memcpy(text, valid_entry, sizeof(valid_entry));
 		text[gb_random_next(&seed) % (sizeof(valid_entry) - 1)] =
 		    (char)gb_random_next(&seed);
 		plat_entry_decode("i-1", text, sizeof(valid_entry) - 1, &entry);
-		assert_true(entry.fault < GB_POOL_ENTRY_ERRORS);
+		assert_true(entry.error < GB_POOL_ENTRY_ERRORS);
 		assert_true(entry.capacity.cpu >= 0);
 		assert_true(entry.label_count <= GB_POOL_LABELS);
 	}
