--- a/soak/bites.sh
+++ b/soak/bites.sh
@@ -45,18 +45,18 @@
 breakage "ends are acknowledged before they are stored" $P/report.c \
     's/(flow != NULL \&\& flow->stored < end->change)/false/'
 breakage "a takeover waits for nobody" $P/owner.c \
-    's/part->settled = part->row_epoch == 0/part->settled = true/'
+    's/partition->reconciled = partition->row_epoch == 0/partition->reconciled = true/'
 breakage "steps do not wait for those before them" $P/flow.c \
     's/return step->done == step->spec->count \&\&/return true ||/'
 breakage "room that is used counts as free" $P/fit.c \
-    's/gb_res_sub(&room, &worker->used);//'
+    's/gb_res_sub(&avail, &worker->used);//'
 breakage "a part that is not attached answers" $P/pool.c \
-    's/if (pool_part_attached(pool, part))/if (true)/'
+    's/if (pool_partition_attached(pool, partition))/if (true)/'
 breakage "a cancelled flow is not stopped" $P/flow.c \
     's/if (status != GB_FLOW_SUCCEEDED)$/if (status == GB_FLOW_FAILED)/' \
     --planned
 breakage "attempts are not limited" $P/flow.c \
-    's/return most == 0 ? 1 : most;/return 99 + most;/'
+    's/return attempts == 0 ? 1 : attempts;/return 99 + attempts;/'
 breakage "an older configuration is taken" libgooseberry/node/node.c \
     's/config->version <= node->config->version/config->version == node->config->version/' \
     --planned
@@ -65,9 +65,9 @@
 breakage "runs are numbered anew by each owner" $P/dispatch.c \
     's/(pool->epoch - 1) \* POOL_RUNS_PER_EPOCH/0/'
 breakage "crashes under a task are not limited" $P/crash.c \
-    's/if (suspect->alone \&\&/if (false \&\&/; s/return suspect->crashes >= (sure.*/return sure \&\& false;/'
+    's/if (suspect->sole_suspect \&\&/if (false \&\&/; s/return suspect->crashes >= (confirmed.*/return confirmed \&\& false;/'
 breakage "whoever stands on a worker that crashes is failed" $P/crash.c \
-    's/return suspect->crashes >= (sure.*/return sure || suspect->crashes > 0;/'
+    's/return suspect->crashes >= (confirmed.*/return confirmed || suspect->crashes > 0;/'
 breakage "room that has shrunk is not looked at" $P/listing.c \
     '/"worker_draining"/,/listed = true/s/worker->entry = \*entry;/entry->capacity = worker->entry.capacity; &/'
 breakage "keys are not looked at" libgooseberry/node/caller.c \
@@ -75,11 +75,11 @@
 breakage "quotas are not looked at" $P/dispatch.c \
     's/allowed = pool_quota_fits(pool, flow->org, \&step->spec->res, wanted);/allowed = wanted;/'
 breakage "silent connections between members are kept" libgooseberry/connection/rpc_client.c \
-    's/return link->heard < call->written;/return false;/' \
+    's/return conn->last_heard < call->written;/return false;/' \
     "--storm --only peers_silence --nodes 8 --workers 24 --seconds 60"
 breakage "an owner at work is taken for one that is gone" libgooseberry/node/renewal.c \
     's/r->read_at != 0 && serial == r->serial/r->read_at != 0/' \
     "--only owner_cut,member_cut"
-breakage "a worker's next life is not noticed" $P/life.c \
-    's/return report->life != worker->life ||/return false \&\&/' \
+breakage "a worker's next life is not noticed" $P/incarnation.c \
+    's/return report->incarnation != worker->incarnation ||/return false \&\&/' \
     "--only worker_restart,rack_restart,worker_clock"
--- a/tests/bites.sh
+++ b/tests/bites.sh
@@ -61,8 +61,8 @@
     'shard->claim.known_at + 0 * core->cfg.fresh_us + 0 * lease +'
 bite "a change counts as in force at once" \
     libgooseberry/version/config.c \
-    'bool in_force = member_spread_done(core, &wait->spread);' \
-    'bool in_force = member_spread_done(core, &wait->spread) || true;'
+    'bool in_force = member_write_in_force(core, &wait->spread);' \
+    'bool in_force = member_write_in_force(core, &wait->spread) || true;'
 bite "a keyed request is sent before its key is written" \
     libgooseberry/request/request.c \
     'if (!r->idempotent && req->key[0]' 'if (r->idempotent && req->key[0]'
@@ -76,8 +76,8 @@
     'return now + core->cfg.sync_us * 3 + 0 * CLOCK_DRIFT_PART +'
 bite "leaving workers get work" \
     libgooseberry/process/worker.c \
-    'w->platform == GB_INSTANCE_LIVE && !w->draining && !w->sidelined;' \
-    'w->platform != GB_INSTANCE_GONE && !w->draining && !w->sidelined;'
+    'w->platform == GB_INSTANCE_LIVE && !w->draining &&' \
+    'w->platform != GB_INSTANCE_GONE && !w->draining &&'
 bite "room that orphans take is not counted" \
     libgooseberry/process/worker.c \
     'gb_res_add(&foreign, &held->res);' \
