--- a/libgooseberry/pool/crash.c
+++ b/libgooseberry/pool/crash.c
@@ -4,18 +4,19 @@
  *
  * Problem: a task may crash its worker within moments of its start, again and
  * again, and each crash ends everything else that runs there (eight runs on a
- * pool that is four fifths full). Other tasks on the worker must not be blamed,
- * nor tasks on a rack that is lost. A worker that is only disconnected has not
- * crashed, although its runs are lost when its lease lapses.
+ * pool that is four fifths full). The crash must not be attributed to other
+ * tasks on the worker, nor the loss of a rack to the tasks on it. A worker that
+ * is only disconnected has not crashed, although its runs are lost when its
+ * lease lapses.
  *
  * A worker counts as crashed under its runs when another incarnation answers in
  * its place and the worker had not reported that it was leaving. The crash is
- * attributed to those runs that were started so shortly before it that the
- * worker was not seen alive since. A task that ran on a crashed worker becomes
- * a crash suspect. It is started again only once that is stored, on the
- * emptiest worker, and nothing else is started there until the worker has been
- * seen alive after it. The second crash therefore distinguishes the task from
- * the others, and its flow fails.
+ * attributed to those runs that were started so shortly before it that no
+ * answer shows that the worker survived their start. A task that ran on a
+ * crashed worker becomes a crash suspect. It is started again only once that is
+ * stored, on the emptiest worker, and nothing else is started there until the
+ * worker has answered long enough after the start. The second crash therefore
+ * distinguishes the task from the others, and its flow fails.
  *
  * Owners may be killed as well, before they notice that the worker does not
  * answer. A new owner that finds a worker lost without knowing what ran there
@@ -41,15 +42,16 @@
  * after the lease had expired. These may have crashed after the task was
  * killed. */
 #define CRASH_EARLY_LIMIT 3
-/** Workers that stop answering within this time of each other were lost
- * together, with a rack or a zone, and the loss is attributed to no task. The
- * silence of a busy worker is noticed within 0.6 s. */
+/** Workers that stop answering within this time of each other, if there are at
+ * least so many, were lost together, with a rack or a data centre, and the loss
+ * is attributed to no task. A missing answer of a busy worker is noticed within
+ * 0.6 s. */
 #define CRASH_GROUP_TIME (600 * GB_MSEC)
 #define CRASH_GROUP_WORKERS_MIN 3
-/** Crashes of workers under a task, whenever and for whatever reason, at which
- * its flow fails. It is above what chance brings, and one start below what is
- * allowed, because an owner that is lost takes with it what it has not
- * stored. */
+/** Crashes of workers under a task, at any time and for any reason, at which
+ * its flow fails. It is more than happen by chance. It is one less than the
+ * five starts that such a task is allowed, because a crash that a lost owner
+ * had not stored is not counted. */
 #define CRASH_LIMIT 4
 /** The limit is one lower if at least this many crashes are confirmed and one
  * of them was early. */
@@ -79,8 +81,8 @@
 				there */
 	uint32_t unreachable_count;
 	struct pool_unreachable unreachable[GB_UNREACHABLE_MAX];
-	gb_time
-	    keep_until;	 /**< workers still unreachable then count as crashed */
+	/** Workers that are still unreachable then count as crashed. */
+	gb_time evidence_deadline;
 	uint64_t change; /**< change of the flow that stores this */
 };
 
@@ -104,6 +106,7 @@
 
 /* Suspects ---------------------------------------------------------------- */
 
+/** Returns the record of a task, and creates it if there is none. */
 static struct pool_crash_suspect *
 suspect_get(struct pool_flow *flow, uint32_t step, uint32_t index)
 {
@@ -239,7 +242,7 @@
 		unreachable->sole_suspect = row->sole_suspect;
 		unreachable->lapsed = row->lapsed;
 	}
-	suspect->keep_until = pool->now + CRASH_EVIDENCE_TIMEOUT;
+	suspect->evidence_deadline = pool->now + CRASH_EVIDENCE_TIMEOUT;
 }
 
 bool
@@ -291,8 +294,6 @@
 	plan_fill_unreachable(task->plan, out);
 }
 
-/** Adds the incarnations of the workers that pool_crash_fill adds, in the same
- * order. */
 void
 pool_crash_fill_incarnations(const struct pool_task *task, gb_flow_state *out)
 {
@@ -418,8 +419,8 @@
 
 /* New runs ---------------------------------------------------------------- */
 
-/** Whether the worker has not been seen alive long enough after the start of
- * the run. Runs of earlier owners are never new. */
+/** Whether the worker has not yet answered long enough after the start of the
+ * run. Runs of earlier owners are never new. */
 static bool
 run_is_new(const struct pool_run *run)
 {
@@ -452,13 +453,13 @@
 
 bool
 pool_crash_has_new_run(
-    const struct pool_worker *worker, const struct pool_flow *but)
+    const struct pool_worker *worker, const struct pool_flow *except)
 {
 	const struct pool_run *run;
 
 	TAILQ_FOREACH(run, &worker->runs, of_worker)
 	{
-		if (run->flow != but && run_is_new(run))
+		if (run->flow != except && run_is_new(run))
 			return true;
 	}
 	return false;
@@ -583,7 +584,7 @@
 		unreachable->early = run_is_confirmed(run);
 		unreachable->sole_suspect =
 		    !pool_crash_has_new_run(worker, run->flow);
-		run_task(run)->suspect->keep_until =
+		run_task(run)->suspect->evidence_deadline =
 		    pool->now + CRASH_EVIDENCE_TIMEOUT;
 		pool_flow_changed(pool, run->flow, true);
 		run_task(run)->suspect->change = run->flow->change;
@@ -632,12 +633,13 @@
 		unreachable->begun = run_is_confirmed(run);
 		unreachable->lapsed = true;
 	}
-	run_task(run)->suspect->keep_until = pool->now + CRASH_EVIDENCE_TIMEOUT;
+	run_task(run)->suspect->evidence_deadline =
+	    pool->now + CRASH_EVIDENCE_TIMEOUT;
 	pool_flow_changed(pool, run->flow, false);
 }
 
-/** An unreachable worker that may have crashed under a task has answered, as
- * the same incarnation or as another. */
+/** Handles that an unreachable worker has answered, as the same incarnation or
+ * as another, and counts a crash of it under the task if there was one. */
 static void
 unreachable_resolve(struct gb_pool *pool, struct pool_flow *flow, uint32_t step,
     uint32_t index, const struct pool_worker *worker, bool crashed)
@@ -710,8 +712,8 @@
 		return true;
 	if (suspect == NULL)
 		return false;
-	/* Does not depend on the time: the sweep first counts the workers that
-	 * are still unreachable at the end of the wait. */
+	/* The deadline is not checked here: the task stays blocked until the
+	 * sweep has counted the workers that are unreachable at that time. */
 	return flow->stored < suspect->change ||
 	       suspect_may_be_over_limit(suspect);
 }
@@ -733,7 +735,7 @@
 	return count;
 }
 
-/** Counts workers that are still unreachable at the end of the wait as crashed,
+/** Counts workers that are still unreachable at the deadline as crashed,
  * although nothing shows that the task caused it. */
 static void
 task_count_unreachable(
@@ -745,7 +747,7 @@
 
 	while (suspect != NULL && !task->done &&
 	       suspect->unreachable_count > 0 &&
-	       suspect->keep_until <= pool->now &&
+	       suspect->evidence_deadline <= pool->now &&
 	       flow->status < GB_FLOW_SUCCEEDED) {
 		suspect->unreachable_count--;
 		task_crashed(pool, flow, step, index, &unknown);
@@ -790,8 +792,8 @@
 
 	task_link_workers(pool, flow, step, index);
 	task_count_unreachable(pool, flow, step, index);
-	/* What was read from the store may be over the limit: the owner that
-	 * stored it may have had another. */
+	/* What was read from the store may be over the limit: an owner of
+	 * another version may have had a higher one. */
 	if (flow->status < GB_FLOW_SUCCEEDED && task->suspect != NULL &&
 	    !task->done && suspect_over_limit(task->suspect))
 		flow_fail_crashing(pool, flow);
--- a/libgooseberry/pool/crash.h
+++ b/libgooseberry/pool/crash.h
@@ -1,7 +1,7 @@
 /**
  * @file crash.h
- * Tasks that crash the workers that start them: interface for worker.c, flow.c,
- * fit.c and dispatch.c.
+ * Tasks that crash the workers that start them: interface for owner.c,
+ * dispatch.c, worker.c, incarnation.c, flow.c, run.c, flow_state.c and fit.c.
  */
 #ifndef GB_POOL_CRASH_H
 #define GB_POOL_CRASH_H
@@ -26,9 +26,9 @@
 /** Whether a crash suspect was just started on a worker, so that no other task
  * may be started there. */
 bool pool_crash_has_new_suspect(const struct pool_worker *);
-/** Whether a run of a flow other than `but` was just started on a worker. */
+/** Whether a run of a flow other than `except` was just started on a worker. */
 bool pool_crash_has_new_run(
-    const struct pool_worker *, const struct pool_flow *but);
+    const struct pool_worker *, const struct pool_flow *except);
 /** Whether a task may not be started yet: its start or its crashes are not
  * stored, or it may be over the limit of crashes. */
 bool pool_crash_start_blocked(
@@ -39,15 +39,15 @@
 /** Counts workers that have been unreachable for too long as crashed, and fails
  * the flow if one of its tasks is over the limit. */
 void pool_crash_sweep(struct gb_pool *, struct pool_flow *);
-/** Notes that a worker was lost which has not answered this owner, so that
- * partitions that are not reconciled don't know what it ran. */
+/** Handles the loss of a worker: if it had not answered this owner, records in
+ * the partitions that are not reconciled that it is unknown what it ran. */
 void pool_crash_mark_unknown_loss(struct gb_pool *, const struct pool_worker *);
 /** Handles that a partition was reconciled although workers were lost: from now
  * on, starts of flows that may have been started on these are stored before
  * they are sent. */
 void pool_crash_plan_starts(struct gb_pool *, uint32_t partition);
-/** Plans the start of a task on a worker: the start is stored first, and claims
- * its capacity. */
+/** Plans the start of a task on a worker: claims its capacity and queues the
+ * start to be stored. It may be sent once that is stored. */
 void pool_crash_plan(struct gb_pool *, struct pool_flow *, uint32_t step,
     uint32_t index, struct pool_worker *);
 /** Worker of a planned start. */
@@ -67,11 +67,13 @@
  * `known` unreachable workers. */
 void pool_crash_load(struct gb_pool *, struct pool_flow *,
     const gb_task_crashes *, const int64_t *incarnations, u_int known);
-/** Whether a task has crashes or a planned start to be stored; the next
- * function fills them in. */
+/** Whether a task has crashes, unreachable workers or a planned start to be
+ * stored. */
 bool pool_crash_needs_store(const struct pool_task *);
+/** Fills in the stored form of these; pool_flow_state_clear frees it. */
 void pool_crash_fill(const struct pool_task *, gb_task_crashes *);
-/** Appends the incarnations of the unreachable workers of a task. */
+/** Appends the incarnations of the workers that pool_crash_fill fills in, in
+ * the same order. */
 void pool_crash_fill_incarnations(const struct pool_task *, gb_flow_state *);
 
 #endif
