--- a/libgooseberry/pool/fit.c
+++ b/libgooseberry/pool/fit.c
@@ -14,15 +14,16 @@
 #include "state.h"
 
 /** A ticket must remain valid for this long, until the order reaches the
- * worker: a round trip between data centres and a queue of orders before it. */
+ * worker: a round trip between data centres and the orders queued before it. */
 #define FIT_TICKET_VALID_MIN (60 * GB_MSEC)
 /** Added to the score of a worker outside the rack that the step names. The
- * score is otherwise about the share of the worker that stays free, so such
- * workers are used last. */
+ * score is otherwise about the share of the worker's processors that stays free
+ * (0 to 1), and the lowest is used first, so such workers are used last. */
 #define FIT_OTHER_RACK_PENALTY 4.0
 /** Speeds of workers differ by half. A flow whose spare time is more than this
- * share of its remaining work prefers slow workers, others prefer fast ones.
- * Both weights are relative to the share of a worker that stays free. */
+ * many times its remaining work prefers slow workers, others prefer fast ones.
+ * The weights are the change of the score for a worker that is twice as slow as
+ * others. */
 #define FIT_SPARE_RATIO 1.0
 #define FIT_SLOW_WEIGHT 0.5
 #define FIT_FAST_WEIGHT 2.0
@@ -30,8 +31,12 @@
  * other workers are used first. */
 #define FIT_RESERVED_PENALTY 0.5
 /** Added to the score of a worker with a new run of another flow, if the step
- * has crash suspects: a second crash then shows which task caused it. */
+ * has crash suspects: on other workers a second crash shows which task caused
+ * it. */
 #define FIT_NEW_RUN_PENALTY 10.0
+/** Added to the score of a worker with failures since its last run that was
+ * done. */
+#define FIT_FAILURE_PENALTY 1.0
 
 gb_res
 pool_fit_free_capacity(const struct pool_worker *worker)
@@ -124,7 +129,7 @@
 	return tasks < 0 ? 0 : (uint32_t)tasks;
 }
 
-/** Runs of a step that a worker has, and starts that are planned on it. */
+/** Number of runs of a step that a worker has or that are planned on it. */
 static uint32_t
 fit_count_on_worker(const struct pool_flow *flow, const struct pool_step *step,
     const struct pool_worker *worker)
@@ -178,8 +183,8 @@
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
 	double score = free_share;
 
-	/* A suspect may crash its worker and end all that runs there: the
-	 * emptiest worker first. */
+	/* A suspect may crash its worker and end all that runs there, so the
+	 * emptiest worker comes first. */
 	if (step->suspects > 0 && !gang)
 		score = -free_share;
 	if (step->suspects > 0 && pool_crash_has_new_run(worker, flow))
@@ -190,7 +195,7 @@
 	if (worker->was_reserved)
 		score += FIT_RESERVED_PENALTY;
 	if (worker->failures > 0)
-		score += 1.0;
+		score += FIT_FAILURE_PENALTY;
 	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_FAST_WORKERS))
 		return score;
 	/* Flows with spare time leave the fast workers to the others. */
@@ -201,6 +206,8 @@
 	return score;
 }
 
+/** Whether a worker can run tasks of the step now; fills in how many and its
+ * score. The rack may be null: any. */
 static bool
 fit_candidate(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, bool tickets, struct pool_worker *worker,
@@ -221,6 +228,7 @@
 	    pool_fit_ticket(pool, step, worker->handle) == NULL)
 		return false;
 	avail = pool_fit_free_capacity(worker);
+	/* Runs that end before the reserved capacity is needed may use it. */
 	if (worker->reserved_at != 0 &&
 	    pool->now + pool_rank_estimate(pool, flow, step) >
 		worker->reserved_at)
@@ -238,8 +246,8 @@
 	return out->tasks > 0;
 }
 
-/** All workers that can run tasks: the approved ones if advice is needed, else
- * any in the pool. */
+/** Finds the workers that can run tasks of the step, the lowest score first: of
+ * the approved ones if advice is needed, else of all in the pool. */
 static size_t
 fit_candidates(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, bool tickets, const char *rack,
@@ -267,6 +275,7 @@
 	return count;
 }
 
+/** Fills one worker after the other, in the order of the candidates. */
 static uint32_t
 fit_fill(const struct pool_candidate *candidates, size_t count, uint32_t wanted,
     uint32_t *out)
@@ -282,8 +291,8 @@
 	return placed;
 }
 
-/** Places one task on each worker in turn, so that each goes where it fits
- * best. */
+/** Places one task on each worker in turn, in the order of the candidates, and
+ * begins again at the first until all are placed or no worker has capacity. */
 static uint32_t
 fit_spread(struct pool_candidate *candidates, size_t count, uint32_t wanted,
     uint32_t *out)
@@ -306,8 +315,8 @@
 	return placed;
 }
 
-/** Places a gang whose tasks slow down across racks: the first rack that fits
- * it. */
+/** Places a gang that is slower when it is spread over racks in the first rack
+ * with capacity for all of it. Returns 0 if there is none. */
 static uint32_t
 fit_same_rack(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, uint32_t wanted, bool tickets,
