--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -216,9 +216,9 @@
 	pool_flow_free(pool, flow);
 }
 
-/** Callers ask often between the end of the last task and the time it is
- * stored. An answer that waits for the 30 to 60 ms that this takes is the final
- * one, and saves them another question and its interval. */
+/** Callers often ask between the end of the last task and the time at which it
+ * is stored, 30 to 60 ms later. An answer that waits until then is final, so
+ * that the caller need not wait for its next query. */
 void
 pool_flow_query(struct gb_pool *pool, struct pool_flow *flow, uint64_t token)
 {
@@ -273,8 +273,8 @@
 	xdr_free((xdrproc_t)xdr_gb_flow, (char *)&submitted);
 }
 
-/** All runs of the flow have ended and its state is stored: keeps only the
- * state. */
+/** Frees all but the state and the names of a flow whose runs have ended and
+ * whose state is stored. */
 static void
 flow_close(struct gb_pool *pool, struct pool_flow *flow)
 {
@@ -406,7 +406,8 @@
 	for (i = 0; i < flow->step_count; i++) {
 		pool_advice_claims_drop(pool, &flow->steps[i]);
 		pool_crash_plans_drop(pool, &flow->steps[i]);
-		/* The members of a gang end with the first one that is done. */
+		/* After success nothing is stopped: the members of a gang end
+		 * with the first one that is done. */
 		if (status != GB_FLOW_SUCCEEDED)
 			pool_flow_stop_step(pool, flow, i, NULL, why);
 	}
@@ -463,7 +464,7 @@
 	uint32_t i;
 
 	if ((step->spec->flags & GB_STEP_GANG) != 0) {
-		/* The end of one member counts for all. */
+		/* A gang is done when one member is. */
 		for (i = 0; i < step->spec->count; i++)
 			step->tasks[i].done = true;
 		step->done = step->spec->count;
@@ -488,7 +489,7 @@
 }
 
 static uint32_t
-flow_attempts(const struct pool_flow *flow)
+flow_max_attempts(const struct pool_flow *flow)
 {
 	uint32_t attempts = flow->queue == NULL ? flow->spec.max_attempts
 						: flow->queue->max_attempts;
@@ -504,7 +505,7 @@
 		return; /* already counted, perhaps for another member of the
 			   gang */
 	pool_flow_changed(pool, flow, false);
-	if (task->failures >= flow_attempts(flow))
+	if (task->failures >= flow_max_attempts(flow))
 		flow_finish(pool, flow, GB_FLOW_FAILED,
 		    "a task failed as often as it may");
 }
@@ -549,8 +550,9 @@
 	    pool, flow, report->step, "a member of the gang ended");
 }
 
-/** Checks unfinished flows for tasks that crash workers, and frees what is no
- * longer needed of finished ones. */
+/** Checks unfinished flows for tasks that crash workers. Of finished ones,
+ * frees all but the state; once the state need not be answered any more,
+ * removes the rows and then frees the rest. */
 void
 pool_flow_sweep(struct gb_pool *pool)
 {
