--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -140,9 +140,9 @@
 	}
 }
 
-/** Starts the next waiting tasks on the workers found for them. Starts of a
- * flow that an earlier owner may have begun on lost workers are only planned,
- * to be stored first. */
+/** Starts the next waiting tasks on the workers found for them, of which there
+ * are `count`. If an earlier owner may have started the flow on workers that
+ * were lost, the starts are only planned, to be stored first. */
 static void
 step_start(struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number,
     const uint32_t *workers, uint32_t count)
@@ -228,14 +228,15 @@
 }
 
 /** Renews the tickets for the workers that a placement uses and for a few
- * more. */
+ * more. If `claim` is set, the capacity that a gang needs there is claimed
+ * until the tickets arrive. Sorts the workers. */
 static void
 step_renew_tickets(struct gb_pool *pool, struct pool_flow *flow,
     uint32_t step_number, uint32_t *workers, uint32_t count, bool claim)
 {
 	struct pool_step *step = &flow->steps[step_number];
-	uint32_t *names =
-	    gb_calloc(count + step->approved_count, sizeof(*names));
+	uint32_t *handles =
+	    gb_calloc(count + step->approved_count, sizeof(*handles));
 	uint32_t distinct = 0;
 	uint32_t spare = 0;
 	uint32_t i;
@@ -243,8 +244,8 @@
 
 	qsort(workers, count, sizeof(*workers), worker_compare);
 	for (i = 0; i < count; i++) {
-		if (distinct == 0 || names[distinct - 1] != workers[i])
-			names[distinct++] = workers[i];
+		if (distinct == 0 || handles[distinct - 1] != workers[i])
+			handles[distinct++] = workers[i];
 	}
 	for (i = 0; i < step->approved_count && spare < DISPATCH_SPARE_WORKERS;
 	     i++) {
@@ -252,19 +253,19 @@
 		    pool_worker_get(pool, step->approved[i].worker);
 
 		for (j = 0; j < distinct; j++) {
-			if (names[j] == worker->handle)
+			if (handles[j] == worker->handle)
 				break;
 		}
 		if (j < distinct ||
 		    !pool_fit_usable(pool, worker, flow->partition))
 			continue;
-		names[distinct++] = worker->handle;
+		handles[distinct++] = worker->handle;
 		spare++;
 	}
-	if (pool_advice_ask(pool, flow, step_number, names, distinct) &&
+	if (pool_advice_ask(pool, flow, step_number, handles, distinct) &&
 	    claim && (step->spec->flags & GB_STEP_GANG) != 0)
 		step_claim(pool, step, workers, count);
-	free(names);
+	free(handles);
 }
 
 /** Expected time to renew the tickets of a gang. */
@@ -476,8 +477,8 @@
 		pool_advice_ask(pool, flow, step_number, NULL, 0);
 }
 
-/** Stops the runs of a gang of which an earlier owner left only some: it can't
- * go on. */
+/** Stops the runs of a gang if only some remain from an earlier owner: the gang
+ * can't continue without the others. */
 static void
 step_stop_incomplete_gang(
     struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
@@ -533,7 +534,7 @@
 pool_dispatch_step(struct gb_pool *pool, struct pool_flow *flow, uint32_t step)
 {
 	step_dispatch(pool, flow, step);
-	/* A channel has become free for the next question. */
+	/* A channel has become free for the next call. */
 	pool->work_changed = true;
 }
 
