--- a/libgooseberry/pool/preempt.c
+++ b/libgooseberry/pool/preempt.c
@@ -5,9 +5,9 @@
  * Problem: the pool is four fifths full or more, and two fifths of it run
  * imports that have four times their run time to finish. A gang needs capacity
  * for all its tasks at one moment and can spare about its own run time. A
- * reservation comes too late for one gang in six even on quiet days. A worker
- * saves the state of a stopped task that makes checkpoints, so that stopping it
- * costs only the time of the stop and of resuming the work.
+ * reservation comes too late for one gang in six even under light load. A
+ * worker saves the state of a stopped task that makes checkpoints, so that
+ * stopping it costs only the time of the stop and of resuming the work.
  *
  * Limits: only a gang that would otherwise miss its objective preempts others,
  * and only tasks of flows that still meet their own by a margin, or can earn
@@ -25,9 +25,10 @@
  * of 100 cases. */
 #define PREEMPT_SPARE_TIME_MIN (4 * GB_SEC)
 /** No preemption if a stop may take longer than this, because the capacity is
- * idle meanwhile: with 0.2 s gangs gain, with 0.9 s they do not. */
+ * idle meanwhile: more gangs meet their objective with stops of 0.2 s, but not
+ * with stops of 0.9 s. */
 #define PREEMPT_STOP_TIME_MAX (400 * GB_MSEC)
-/** A task that is expected to end within this time is waited for. */
+/** A task that is expected to end within this time is not preempted. */
 #define PREEMPT_TIME_LEFT_MIN (500 * GB_MSEC)
 /** Time from the end of a stop until the start orders of the gang arrive: the
  * report of the worker and the next dispatch. */
@@ -37,7 +38,8 @@
 /** Pause before it is checked again whether preemption could free enough
  * capacity: a check costs up to 0.2 ms for a gang on 350 workers. */
 #define PREEMPT_CHECK_INTERVAL (40 * GB_MSEC)
-/** Most tasks of one gang, and most victims, that are counted on one worker. */
+/** Maximum number of tasks of one gang, and of runs that may be stopped, that
+ * are considered on one worker. */
 #define PREEMPT_WORKER_SLOTS_MAX 32
 
 /** Capacity for one more task of the gang on a worker, and the cost of freeing
@@ -48,7 +50,8 @@
 	uint32_t worker;
 };
 
-/** Time that a flow can lose without earning less. */
+/** Time that a flow can lose without earning less. A flow that can earn nothing
+ * any more can always spare enough to be preempted. */
 static gb_time
 flow_spare_time(const struct gb_pool *pool, const struct pool_flow *flow)
 {
--- a/libgooseberry/pool/reservation.c
+++ b/libgooseberry/pool/reservation.c
@@ -16,8 +16,8 @@
 
 /** Remaining time assumed for a run that has taken longer than expected. */
 #define RESERVE_TIME_LEFT_MIN (150 * GB_MSEC)
-/** Most tasks of one gang that are counted on one worker, and most runs of a
- * worker whose ends are considered: a worker has about 8 runs. */
+/** Maximum number of tasks of one gang that are considered on one worker, and
+ * of runs of a worker whose ends are considered: a worker has about 8 runs. */
 #define RESERVE_WORKER_SLOTS_MAX 32
 #define RESERVE_WORKER_RUNS_MAX 64
 /** Progress in percent below which it says little about the speed of a run. */
@@ -42,7 +42,7 @@
 
 /** Capacity for a task that becomes free on a worker at some time. */
 struct pool_slot {
-	gb_time wait;
+	gb_time wait; /**< time until then */
 	uint32_t worker;
 };
 
@@ -114,6 +114,7 @@
 	return count;
 }
 
+/** Reserves the capacity of a slot for a gang that needs it at a time. */
 static void
 slot_reserve(struct gb_pool *pool, const struct pool_step *step,
     const struct pool_slot *slot, gb_time at)
