--- a/libgooseberry/pool/incarnation.c
+++ b/libgooseberry/pool/incarnation.c
@@ -76,7 +76,8 @@
 		return;
 	worker->maybe_restarted = true;
 	pool_incarnation_fence(worker);
-	/* A heartbeat in flight may wait on a connection that has ended. */
+	/* A heartbeat in flight may wait on a connection that the restart has
+	 * broken. */
 	worker->heartbeat_call = 0;
 	worker->heartbeat_at = pool->now;
 	gb_event(pool->cfg.events, GB_EVENT_NORMAL, "worker_doubted",
--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -15,8 +15,8 @@
 #include "crash.h"
 #include "state.h"
 
-/** Start orders that are sent before a run is given up: each is waited for
- * 0.3 s, and the members of a gang for 3 s. */
+/** Maximum number of start orders sent for a run: the answer to each is waited
+ * for 0.3 s, and members of a gang wait 3 s for the others. */
 #define START_TRIES_MAX 4
 /** A stop without answer is sent again after this time. */
 #define STOP_RETRY_DELAY (500 * GB_MSEC)
@@ -264,9 +264,9 @@
 		run_start_uncertain(pool, run);
 }
 
-/** Retries an order without answer as soon as the link has capacity: the answer
- * shows what the worker did with the first, and a gang waits for its members
- * only for a limited time. */
+/** Retries a start order without answer as soon as the link has capacity: the
+ * answer shows what the worker did with the first one, and members of a gang
+ * wait for the others only for a limited time. */
 static void
 run_start_lost(struct gb_pool *pool, struct pool_run *run)
 {
--- a/libgooseberry/pool/worker.c
+++ b/libgooseberry/pool/worker.c
@@ -16,12 +16,12 @@
 #include "state.h"
 
 /** Longest lease given with an order or heartbeat, even if the worker would
- * grant a longer one: tasks of a lost worker can start again only after it, and
- * a takeover must be done well before it ends. */
+ * accept a longer one: tasks of a lost worker can start again only after it,
+ * and a takeover must be done well before it ends. */
 #define LEASE_MAX (3500 * GB_MSEC)
 /** How long the answer to a heartbeat may wait for the end of a run. It is
- * short for a worker with runs, so that progress is seen and a lost answer is
- * noticed soon. */
+ * short for a worker with runs, so that progress is reported and a lost answer
+ * is noticed soon. */
 #define HEARTBEAT_WAIT_BUSY (400 * GB_MSEC)
 #define HEARTBEAT_WAIT_IDLE (1800 * GB_MSEC)
 /** If answers of workers were lost recently, a heartbeat to a worker with runs
@@ -29,31 +29,33 @@
  * the minimum. */
 #define HEARTBEAT_END_DELAY (60 * GB_MSEC)
 #define HEARTBEAT_WAIT_MIN (150 * GB_MSEC)
-/** How long after a lost answer this applies: answers are lost in periods of
- * some seconds. */
+/** How long after a lost answer this shorter wait applies: answers are lost in
+ * periods of some seconds. */
 #define HEARTBEAT_LOSS_PERIOD (5 * GB_SEC)
-/** Pause after a heartbeat whose answer reported ends. It collects the next
- * ends, because every heartbeat uses a part of the link, and lets the store
- * confirm these, since the worker answers at once while an end is not
- * acknowledged. */
+/** Pause after a heartbeat whose answer reported ends. Every heartbeat uses a
+ * part of the link, so the next one should report several ends. The pause also
+ * gives time to store the reported ones: the worker answers at once as long as
+ * an end is not acknowledged. */
 #define HEARTBEAT_PAUSE (60 * GB_MSEC)
-/** Where workers are asked in turn, the pause before the next heartbeat to a
- * worker with runs is this long, in microseconds, times the number of workers.
- * This limits the rate of all heartbeats. */
+/** If there are too few connections for heartbeats that wait, the pause before
+ * the next heartbeat to a worker with runs is this long, in microseconds, times
+ * the number of workers. This limits the rate of all heartbeats. */
 #define HEARTBEAT_PAUSE_PER_WORKER_US 250
 /** Pause after a heartbeat without answer, times the number of unanswered ones
- * before it. The first is retried at once, since ends may wait behind a lost
- * answer. */
+ * directly before it, and the longest pause. The first is retried at once,
+ * because the lost answer may have reported ends. */
 #define HEARTBEAT_RETRY_DELAY (100 * GB_MSEC)
 #define HEARTBEAT_RETRY_DELAY_MAX (800 * GB_MSEC)
 /** Heartbeats without answer in a row after which the lease is no longer
  * renewed and may lapse. */
 #define HEARTBEAT_RENEW_TRIES 2
-/** A worker that answered within this time has not restarted since. */
+/** A worker that answered within this time is taken not to have restarted
+ * since. */
 #define HEARTBEAT_CONFIRMED_TIME (20 * GB_MSEC)
-/** Answers in a row that only reported, without renewing the lease, after which
- * a heartbeat counts as confirmed without a recent answer: connections to the
- * worker may never stay open for two calls. */
+/** Consecutive answers that only reported, without renewing the lease, after
+ * which a heartbeat is sent as confirmed although the last answer is not
+ * recent. Otherwise the lease would never be renewed if each connection to the
+ * worker lasts for one call only. */
 #define HEARTBEAT_REPORTS_ONLY_MAX 2
 /** Heartbeats without answer after which a worker that is not listed gets no
  * more: its entry may come back for 2 s after an outage of the store. */
@@ -81,8 +83,9 @@
 						     : LEASE_MAX;
 }
 
-/** Returns the end of a lease that begins now, on the worker's clock, or 0
- * while the clock is unknown. Records when the lease has certainly expired. */
+/** Returns the end of a lease that begins now, in milliseconds on the worker's
+ * clock, or 0 while the clock is unknown. Records when the lease has certainly
+ * expired, also in `lapse` unless it is null. */
 int64_t
 pool_worker_lease(
     struct gb_pool *pool, struct pool_worker *worker, gb_time *lapse)
@@ -208,8 +211,9 @@
 }
 
 /** Whether there are too few connections for heartbeats that wait. Such a
- * heartbeat keeps a connection, and orders need another one; with many workers
- * they are asked in turn instead. */
+ * heartbeat keeps a connection, and orders to the worker need another one. With
+ * too many workers for that, heartbeats are answered at once and sent after a
+ * pause. */
 static bool
 connections_are_short(const struct gb_pool *pool)
 {
@@ -249,6 +253,7 @@
 	}
 	if (pool_incarnation_fenced_off(pool, call, report->status))
 		return;
+	/* The heartbeat was for the previous incarnation. */
 	if (report->status == GB_POOL_ORDER_WRONG_WORKER &&
 	    call->sent <= worker->incarnation_since) {
 		worker->heartbeat_at = pool->now;
@@ -323,8 +328,8 @@
 	heartbeat.worker = worker->entry.id;
 	heartbeat.addr = worker->entry.addr;
 	heartbeat.token = pool_incarnation_token(pool, worker);
-	/* A heartbeat without answer may still renew the lease. A worker that
-	 * stays silent is asked without renewing it, or its runs would never
+	/* A heartbeat without answer may still renew the lease. Those to a
+	 * worker that stays silent do not renew it, or its runs would never
 	 * lapse. */
 	if (worker->silent < HEARTBEAT_RENEW_TRIES)
 		heartbeat.lease_end_ms = pool_worker_lease(pool, worker, NULL);
@@ -343,6 +348,7 @@
 	pool->ops.heartbeat(pool->ops.data, call->id, &heartbeat);
 }
 
+/** Retries the stops and starts of a worker's runs that are due. */
 static void
 worker_runs_tick(struct gb_pool *pool, struct pool_worker *worker)
 {
@@ -438,7 +444,7 @@
 	return worker;
 }
 
-/** Begins a new term: nothing is known of what the workers run. */
+/** Begins a new term of ownership: it is unknown what the workers run. */
 void
 pool_workers_reset(struct gb_pool *pool)
 {
