--- a/libgooseberry/pool/health.c
+++ b/libgooseberry/pool/health.c
@@ -2,12 +2,12 @@
  * @file health.c
  * Health of workers, judged by the results of their runs.
  *
- * Problem: a tenth of the workers fail whatever they start although their own
- * health answers are good, or make no progress with it. A failing worker is
- * always free, so that it gets more work than others. On the other hand a tenth
- * of the flows fail because of their own work. Several failures in a row, of
- * different flows, therefore quarantine a worker for a time that doubles. After
- * a single one other workers are only preferred.
+ * Problem: a tenth of the workers fail all tasks that they start, or make no
+ * progress with them, although they report themselves healthy. A failing worker
+ * is always free, so that it gets more work than others. On the other hand a
+ * tenth of the flows fail because of their own work. Consecutive failures of
+ * different flows therefore quarantine a worker, each time for twice as long.
+ * After a single failure other workers are only preferred.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,17 +16,18 @@
 
 #include "state.h"
 
-/** Failures in a row at which a worker is quarantined. Only the first failure
- * of a task counts, so that about 5% of the runs of healthy workers do, and two
- * in a row happen once in 400 runs. */
+/** Consecutive failures at which a worker is quarantined. Only the first
+ * failure of a task counts, so that a failure counts in about 5% of the runs on
+ * healthy workers, and two in a row happen once in 400 runs. */
 #define HEALTH_FAILURES_MAX 2
 /** First and longest time of quarantine. */
 #define HEALTH_QUARANTINE_MIN (3 * GB_SEC)
 #define HEALTH_QUARANTINE_MAX (20 * GB_SEC)
 /** A run without progress for this long is stalled: the percent of the longest
- * tasks (12 s) rises every 0.12 s and is seen every 0.9 s. */
+ * tasks (12 s) rises every 0.12 s and is received every 0.9 s. */
 #define HEALTH_STALL_TIME (2200 * GB_MSEC)
-/** Percent of progress from which a run may only be waiting for others. */
+/** Percent of progress from which a run that makes none may be waiting for
+ * other members of its gang. */
 #define HEALTH_PERCENT_AT_END 99
 /** Weight of the newest run in the slowness of a worker: about ten runs
  * count. */
@@ -104,7 +105,7 @@
 	const struct pool_step *step = &run->flow->steps[run->step];
 	bool gang = (step->spec->flags & GB_STEP_GANG) != 0;
 
-	/* The failure of a gang may come from another worker that fails. */
+	/* An earlier failure of a gang may be that of another worker. */
 	return !gang && step->tasks[run->index].failures > 0;
 }
 
