--- a/libgooseberry/pool/advice.c
+++ b/libgooseberry/pool/advice.c
@@ -4,11 +4,12 @@
  *
  * Problem: the service takes 12 to 560 ms for a call and more for each worker
  * named, handles one call at a time for each calling node, and its tickets last
- * 1.5 to 2.5 s. All calls together take 3 seconds and more in each second.
- * Every node therefore calls it in its own name (a channel), one call at a
- * time, in the order in which the flows wait. The set of approved workers does
- * not change: the first calls for a step name all workers that could run it,
- * later calls only those that are about to be used.
+ * 1.5 to 2.5 s. The calls needed in one second take 3 s and more in total, too
+ * much for a single node. The owner therefore calls the service through every
+ * member (a channel each), one call at a time per channel, in the order in
+ * which the flows wait. The set of approved workers of a step does not change:
+ * the first calls for a step name workers that could run it, later calls only
+ * renew the tickets of those that are about to be used.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -22,23 +23,24 @@
 #define CHANNEL_SILENCE_MAX (1200 * GB_MSEC)
 /** Pause of a channel after a refusal or a lost answer. */
 #define CHANNEL_BACK_OFF (300 * GB_MSEC)
-/** A ticket is valid from the decision of the service, which is this long
- * before its answer arrives. */
+/** A ticket is valid from the decision of the service on, which it makes at
+ * most this long before its answer arrives. */
 #define TICKET_ANSWER_TIME (30 * GB_MSEC)
 /** A step without any approved worker asks again after this time. */
 #define ADVICE_RETRY_DELAY (2 * GB_SEC)
-/** A gang uses several channels at once: each answer arrives sooner, and more
- * workers are approved, of which enough must have capacity at one moment. The
- * first value limits the number of calls. The second says that they use at most
- * one in so many of the free channels. */
+/** The first calls for a gang use several channels at once: each answer arrives
+ * sooner, and more workers are approved, of which enough must have capacity at
+ * one moment. The first value limits the number of calls. The second is the
+ * number of free channels for each call. */
 #define ADVICE_BATCHES_MAX 4
 #define ADVICE_CHANNELS_DIVISOR 4
-/** Workers to name for each worker that a gang would fill if it were empty: a
- * quarter are approved, and one in five of these is available when needed. */
+/** Workers to name for each worker that a gang would fill if it were empty: one
+ * in four is approved, and one in five of these is available when needed. */
 #define ADVICE_NAMES_PER_WORKER 20
-/** Most workers to name in all calls, and workers to name in each of several
- * calls, which then takes about 1 s if one worker takes 8 ms. */
+/** Maximum number of workers to name in all calls together. */
 #define ADVICE_NAMES_MAX 300
+/** Workers to name in each of several calls: if a worker takes 8 ms, a call
+ * then takes about 1 s. */
 #define ADVICE_NAMES_PER_BATCH 60
 
 void
@@ -160,6 +162,7 @@
 	}
 }
 
+/** Names the given workers, as many as one call takes. */
 static void
 ask_add_workers(struct gb_pool *pool, const uint32_t *workers, uint32_t count,
     gb_advice_ask *ask)
@@ -236,7 +239,8 @@
 	return count;
 }
 
-/** Number of workers that a gang fills if they are empty. */
+/** Number of workers that a gang fills if they are empty and have as many
+ * processors as the first worker. */
 static uint32_t
 gang_worker_count(const struct gb_pool *pool, const struct pool_step *step)
 {
@@ -261,6 +265,8 @@
 	uint32_t names;
 
 	*batches = 1;
+	/* Several calls gain little if the workers named take much less time
+	 * than the decision itself. */
 	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_ADVICE_CHANNELS) ||
 	    (step->spec->flags & GB_STEP_GANG) == 0 || batch_limit < 2 ||
 	    advice->per_worker_us * POOL_ADVICE_WORKERS_MAX <
@@ -282,8 +288,8 @@
 	return names;
 }
 
-/** Counts the workers that are still to be named, up to `limit`. It stops
- * there, or each call would have to look at the whole pool. */
+/** Counts the workers that are still to be named. Stops at `limit`, so that not
+ * every call goes through the whole pool. */
 static uint32_t
 ask_count_candidates(const struct gb_pool *pool, const struct pool_flow *flow,
     const struct pool_step *step, uint32_t limit)
@@ -354,6 +360,8 @@
 	step->claim_until = 0;
 }
 
+/** Records the ticket of an approved worker. The ticket is void if another
+ * incarnation of the worker has answered since the service was asked. */
 static void
 approval_set(struct gb_pool *pool, struct pool_step *step,
     const gb_ticket *ticket, gb_time asked, gb_time expires)
@@ -379,8 +387,8 @@
 	snprintf(a->ticket, sizeof(a->ticket), "%s", ticket->ticket);
 }
 
-/** Marks all workers as not asked about, because the calls got no usable
- * answer. */
+/** Marks all workers as not asked about, because the calls approved none or got
+ * no usable answer. */
 static void
 step_clear_asked(struct pool_step *step)
 {
