--- a/libgooseberry/pool/flow_state.c
+++ b/libgooseberry/pool/flow_state.c
@@ -8,8 +8,8 @@
 #include "crash.h"
 #include "state.h"
 
-/** Size, in XDR units of 4 bytes, of the fields at the end of each type that
- * the first programs did not write. */
+/** Maximum size, in XDR units of 4 bytes, of the fields at the end of each type
+ * that rows of older versions may lack. */
 #define STATE_ADDED_UNITS 3
 #define FLOW_ADDED_UNITS 4
 
@@ -176,11 +176,11 @@
 		pool_task_checkpoint(task, state->checkpoint);
 }
 
-/** Marks the steps that certainly nobody has begun. A step begins only once the
- * ends of the steps before it are stored, so a step that is not ready by the
- * stored state was never begun. */
+/** Marks the steps that no earlier owner has started. A step is started only
+ * once the ends of the steps before it are stored, so a step that is not ready
+ * by the stored state was never started. */
 static void
-flow_mark_fresh_steps(struct pool_flow *flow)
+flow_mark_unstarted_steps(struct pool_flow *flow)
 {
 	uint32_t i;
 	uint32_t j;
@@ -235,7 +235,8 @@
 	flow->cancelled = state->cancelled;
 	flow->status = state->status;
 	flow->stored = flow->change;
-	/* Stored by a node without an owner: nobody has started any of it. */
+	/* A flow that a node stored without the owner, and that no owner has
+	 * accepted since, was not started. */
 	flow->not_started_before = !state->owned;
 	flow->owned = state->owned;
 	if (state->status >= GB_FLOW_SUCCEEDED)
@@ -248,7 +249,7 @@
 			return false;
 		flow->begun = flow->begun || flow->steps[i].done > 0;
 	}
-	flow_mark_fresh_steps(flow);
+	flow_mark_unstarted_steps(flow);
 	for (i = 0; i < state->tasks.tasks_len; i++) {
 		task = &state->tasks.tasks_val[i];
 		if (task->step >= flow->step_count ||
--- a/libgooseberry/pool/shape.c
+++ b/libgooseberry/pool/shape.c
@@ -4,8 +4,10 @@
  */
 #include "pool.h"
 
+/** Maximum number of tasks of a step. */
 #define STEP_TASKS_MAX 2000
 
+/** Whether a step is valid; else fills in the error. */
 static bool
 step_check(const gb_step *step, uint32_t step_number, struct gb_error *err)
 {
--- a/libgooseberry/pool/worker_set.c
+++ b/libgooseberry/pool/worker_set.c
@@ -48,8 +48,9 @@
 		return false;
 	if (pool_worker_offered(worker) || worker->run_count > 0)
 		return true;
-	/* Not offered and silent: in use until every lease it was given has
-	 * expired. */
+	/* It may have runs while it answers, until every lease that it was
+	 * given has expired, and while runs of earlier owners may exist that
+	 * are not known yet. */
 	return worker->in_stored_sets != 0 &&
 	       (worker->silent == 0 || worker->lapse_at >= pool->now ||
 		   !pool_owner_reconciled(pool));
