--- a/libgooseberry/pool/dispatch.c
+++ b/libgooseberry/pool/dispatch.c
@@ -26,8 +26,8 @@
 #define DISPATCH_RESERVATIONS_MAX 10
 /** Time to the advice service and back, through a member. */
 #define DISPATCH_ADVICE_ROUND_TRIP (60 * GB_MSEC)
-/** Capacity freed by preemption stays claimed for this long after the time for
- * stops: reports of workers arrive within 0.1 s. */
+/** Capacity freed by preemption stays claimed until this long after the maximum
+ * time of a stop: reports of workers arrive within 0.1 s. */
 #define DISPATCH_STOP_REPORT_TIME (300 * GB_MSEC)
 /** Workers named in addition to the needed ones when tickets are renewed. */
 #define DISPATCH_SPARE_WORKERS 2
@@ -411,6 +411,7 @@
 	workers = gb_calloc(wanted, sizeof(*workers));
 	started = pool_fit_place(pool, flow, step, wanted, true, workers);
 	step_start(pool, flow, step_number, workers, started);
+	/* The rest may fit on approved workers without a valid ticket. */
 	if (started < wanted && step->ticket_calls_in_flight == 0)
 		placeable = pool_fit_place(
 		    pool, flow, step, wanted - started, false, workers);
@@ -464,7 +465,7 @@
     struct gb_pool *pool, struct pool_flow *flow, uint32_t step_number)
 {
 	struct pool_step *step = &flow->steps[step_number];
-	gb_time in;
+	gb_time ready_in;
 
 	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_ADVICE_PREFETCH) ||
 	    step->advice != POOL_ADVICE_NONE ||
@@ -472,8 +473,8 @@
 	    step->done > 0 || step->advice_retry_at > pool->now ||
 	    !pool_advice_channel_free(pool))
 		return;
-	in = step_ready_in(pool, flow, step);
-	if (in >= 0 && in < step_advice_time(flow, step))
+	ready_in = step_ready_in(pool, flow, step);
+	if (ready_in >= 0 && ready_in < step_advice_time(flow, step))
 		pool_advice_ask(pool, flow, step_number, NULL, 0);
 }
 
--- a/libgooseberry/pool/health.c
+++ b/libgooseberry/pool/health.c
@@ -54,12 +54,12 @@
 	    (json_int_t)(worker->quarantine_length / GB_MSEC));
 }
 
-/** Updates the slowness of a worker by how long a run took compared with
+/** Updates the slowness of a worker by the run time of one run, compared with
  * earlier runs of the same step. Tasks of a step differ less (by 15% to 30%)
  * than declared run times differ from real ones. */
 static void
 worker_update_slowness(
-    struct pool_worker *worker, const struct pool_run *run, gb_time took)
+    struct pool_worker *worker, const struct pool_run *run, gb_time run_time)
 {
 	struct pool_step *step = &run->flow->steps[run->step];
 	double expected;
@@ -68,9 +68,9 @@
 		expected = (double)step->done_run_time / step->done_runs;
 		worker->slowness +=
 		    HEALTH_SLOWNESS_WEIGHT *
-		    ((double)took / expected - worker->slowness);
+		    ((double)run_time / expected - worker->slowness);
 	}
-	step->done_run_time += took;
+	step->done_run_time += run_time;
 	step->done_runs++;
 }
 
@@ -79,7 +79,7 @@
 {
 	struct pool_queue_stat *stat =
 	    pool_rank_queue_stat(pool, run->flow->spec.queue);
-	double took = (double)(pool->now - run->started);
+	double run_time = (double)(pool->now - run->started);
 	double declared = (double)run->flow->steps[run->step].spec->estimate_us;
 
 	if (run->state != POOL_RUN_RUNNING || run->confirmed == 0)
@@ -88,13 +88,13 @@
 		(GB_STEP_GANG | GB_STEP_CHECKPOINT)) == 0)
 		worker_update_slowness(
 		    run->worker, run, pool->now - run->started);
-	stat->run_us =
-	    stat->run_us <= 0
-		? took
-		: stat->run_us + HEALTH_QUEUE_WEIGHT * (took - stat->run_us);
+	stat->run_us = stat->run_us <= 0
+			   ? run_time
+			   : stat->run_us + HEALTH_QUEUE_WEIGHT *
+						(run_time - stat->run_us);
 	if (declared > 0)
 		stat->ratio +=
-		    HEALTH_QUEUE_WEIGHT * (took / declared - stat->ratio);
+		    HEALTH_QUEUE_WEIGHT * (run_time / declared - stat->ratio);
 }
 
 /** Whether the task has failed before: then the failure is attributed to the
--- a/libgooseberry/pool/run.c
+++ b/libgooseberry/pool/run.c
@@ -2,10 +2,11 @@
  * @file run.c
  * Runs of tasks on workers: orders to start and to stop them.
  *
- * An order without answer may be carried out seconds later. It is followed by a
- * stop, which also makes the worker refuse a start that arrives later, or by
- * the end of its own lease. Capacity is released only when the end of a run is
- * certain.
+ * An order without answer may be carried out seconds later. If retries of a
+ * start get no answer either, the owner sends a stop, which also makes the
+ * worker refuse a start that arrives later, or waits until the lease in the
+ * order has certainly expired. Capacity is released only when the end of a run
+ * is certain.
  */
 #include <stdlib.h>
 #include <string.h>
