--- a/libgooseberry/node/intake.c
+++ b/libgooseberry/node/intake.c
@@ -15,11 +15,14 @@
 
 #include "node_state.h"
 
-/** Timeout of an attempt at the owner, which writes a flow within 20 to 40 ms
+/** Timeout of a request to the owner, which stores a flow within 20 to 40 ms
  * when the store is fast. */
 #define ATTEMPT_TIMEOUT (700 * GB_MSEC)
 /** Pause between attempts. */
 #define ATTEMPT_PAUSE (40 * GB_MSEC)
+/** Number of attempts without an owner after which the state of a flow is read
+ * from the store. */
+#define STATE_ATTEMPTS_MAX 2
 /** Time that a submission waits for an owner before this node writes it itself.
  */
 #define WRITE_DELAY (120 * GB_MSEC)
@@ -28,7 +31,8 @@
  * takeover, short enough for the caller to retry. */
 #define OWNER_WAIT (400 * GB_MSEC)
 #define OWNER_WAIT_READS 8
-/** A caller is answered this long before its timeout. */
+/** A caller is answered this long before its timeout, or after half of a
+ * timeout that is shorter than twice this. */
 #define ANSWER_MARGIN (150 * GB_MSEC)
 /** Longest read of the store before a write in place of the owner.  A slower
  * store is slow for all nodes, and the write would come too late. */
@@ -38,7 +42,7 @@
 /** Time without an owner from which the bytes that this node stores are
  * limited.  A takeover is shorter. */
 #define BUDGET_AFTER (1500 * GB_MSEC)
-/** Time for which an unused budget of bytes accumulates. */
+/** Longest time for which an unused budget of bytes accumulates. */
 #define BUDGET_TIME (2 * GB_SEC)
 /** Bytes of an order to start a task, without the specification. */
 #define FLOW_TASK_BYTES 520
@@ -66,8 +70,8 @@
 	intake_free(in);
 }
 
-/** The caller's time is up while an attempt is in flight: the request may have
- * been carried out. */
+/** Answer a caller whose time is up while an attempt is in flight.  The request
+ * may have been carried out. */
 static void
 intake_answer_early(struct intake *in)
 {
@@ -84,6 +88,7 @@
 	in->answer(in->data, &answer);
 }
 
+/** End a request that was not carried out, or not certainly. */
 static void
 intake_give_up(struct intake *in)
 {
@@ -100,8 +105,8 @@
 	intake_finish(in, &answer);
 }
 
-/** The owner refused the request, but may have carried out an earlier attempt.
- */
+/** Pass a refusal on to the caller, unless an earlier attempt may have been
+ * carried out. */
 static void
 intake_refused(struct intake *in, const gb_flow_answer *answer)
 {
@@ -118,7 +123,7 @@
 	in->next_try = node_now() + ATTEMPT_PAUSE;
 }
 
-/* At the store, without the owner ----------------------------------------- */
+/* Through the store, without the owner ------------------------------------ */
 
 /** Status of a stored flow that callers of an organisation may see. */
 static gb_flow_status
@@ -134,6 +139,7 @@
 	return status;
 }
 
+/** The stored state of a flow was read for a caller. */
 static void
 flow_state_read(struct node_call *call, const struct gb_pool_read_res *res)
 {
@@ -187,8 +193,10 @@
 	       OWNER_WAIT + OWNER_WAIT_READS * in->node->watch.store_read_time;
 }
 
+/** The write of a submission failed or got no answer.  Retry while the request
+ * may wait, unless the owner has lost the store: then one write is tried. */
 static void
-flow_not_written(struct intake *in)
+flow_write_failed(struct intake *in)
 {
 	if (in->tried_store || !intake_may_wait(in))
 		intake_give_up(in);
@@ -213,11 +221,11 @@
 		intake_finish(in, &answer);
 		break;
 	case GB_STORE_REFUSED:
-		flow_not_written(in);
+		flow_write_failed(in);
 		break;
 	default:
 		in->maybe_done = true;
-		flow_not_written(in);
+		flow_write_failed(in);
 		break;
 	}
 }
@@ -245,7 +253,7 @@
 	if (!gb_xdr_encode(
 		(xdrproc_t)xdr_gb_flow_state, &state, &puts[0].value) ||
 	    !gb_xdr_encode((xdrproc_t)xdr_gb_flow_row, &stored, &puts[1].value))
-		abort(); /* made and checked by this process */
+		abort(); /* can't happen: this process has checked the values */
 	in->in_flight = true;
 	node->platform.txn(node->platform.data,
 	    node_call_new(node, in, flow_written, NULL), &txn);
@@ -253,11 +261,12 @@
 	free(puts[1].value.gb_body_val);
 }
 
-/* At the owner ------------------------------------------------------------ */
+/* Through the owner ------------------------------------------------------- */
 
-/** The store, which does not take the owner's writes, has answered this node's
- * read.  The read is sent before the write, since a caller whose write gets no
- * answer must be told that it may have been carried out. */
+/** The state of a flow was read before this node stores the flow in place of an
+ * owner whose writes the store rejects.  The read shows whether the store
+ * answers this node: after a write without an answer the caller could only be
+ * told that the flow may have been accepted. */
 static void
 flow_state_checked(struct node_call *call, const struct gb_pool_read_res *res)
 {
@@ -322,7 +331,7 @@
 	}
 	if (in->submit == NULL && in->ask.op != GB_FLOW_OP_PENDING &&
 	    answer->status == GB_FLOW_UNKNOWN) {
-		/* The owner may not know the flow yet: look in the store. */
+		/* The owner may not know yet a flow that is in the store. */
 		intake_read(in);
 		return;
 	}
@@ -348,16 +357,16 @@
 intake_local(struct intake *in)
 {
 	struct gb_node *node = in->node;
-	struct node_caller *caller = gb_calloc(1, sizeof(*caller));
+	struct node_request *request = gb_calloc(1, sizeof(*request));
 
-	caller->token = ++node->next_id;
-	caller->intake = in;
-	HASH_ADD(hh, node->callers, token, sizeof(caller->token), caller);
+	request->token = ++node->next_id;
+	request->intake = in;
+	HASH_ADD(hh, node->requests, token, sizeof(request->token), request);
 	if (in->submit != NULL)
 		gb_pool_submit(
-		    node->pool, node_now(), caller->token, in->submit);
+		    node->pool, node_now(), request->token, in->submit);
 	else
-		gb_pool_ask(node->pool, node_now(), caller->token, &in->ask);
+		gb_pool_ask(node->pool, node_now(), request->token, &in->ask);
 }
 
 /** Send the request to the owner. */
@@ -449,6 +458,7 @@
 	       shed_rejects(in->node->owner_shed_percent, in->submit->flow.id);
 }
 
+/** Refuse a flow because the owner's link is full. */
 static void
 intake_refuse_for_link(struct intake *in)
 {
@@ -460,6 +470,7 @@
 	intake_finish(in, &answer);
 }
 
+/** Start the next attempt at a request, or answer it. */
 static void
 intake_try(struct intake *in, gb_time now)
 {
@@ -467,16 +478,16 @@
 	bool silent =
 	    watch_owner_silence(&node->watch, now) > NODE_OWNER_SILENCE ||
 	    node->watch.refused > 0;
-	bool owner = node->watch.owner[0] != '\0' && !node->watch.vacant;
+	bool owned = node->watch.owner[0] != '\0' && !node->watch.vacant;
 	bool loading = watch_owner_loads_slowly(&node->watch, now);
 
 	in->tries++;
 	in->in_flight = true;
 	if (gb_pool_owns(node->pool)) {
 		intake_local(in);
-	} else if (owner && !silent && !loading && intake_shed(in)) {
+	} else if (owned && !silent && !loading && intake_shed(in)) {
 		intake_refuse_for_link(in);
-	} else if (owner && !silent && !loading) {
+	} else if (owned && !silent && !loading) {
 		intake_remote(in, in->deadline - now);
 	} else if (in->submit != NULL && node_store_unavailable(node)) {
 		/* Neither an owner nor the store: refuse at once. */
@@ -486,7 +497,7 @@
 		   (silent || loading || now - in->began >= WRITE_DELAY)) {
 		intake_try_store(in, now);
 	} else if (in->submit == NULL && in->ask.op == GB_FLOW_OP_STATE &&
-		   (silent || loading || in->tries > 2)) {
+		   (silent || loading || in->tries > STATE_ATTEMPTS_MAX)) {
 		intake_read(in);
 	} else {
 		intake_retry(in);
@@ -519,11 +530,11 @@
 {
 	struct intake *in = gb_calloc(1, sizeof(*in));
 	gb_time now = node_now();
-	gb_time most = node->leave_by - now;
+	gb_time timeout_max = node->leave_by - now;
 
 	/* A stopping process answers all callers before it ends. */
-	if (node->leaving && timeout > most)
-		timeout = most > 0 ? most : 1;
+	if (node->leaving && timeout > timeout_max)
+		timeout = timeout_max > 0 ? timeout_max : 1;
 	in->node = node;
 	in->began = now;
 	in->deadline =
--- a/libgooseberry/node/node.c
+++ b/libgooseberry/node/node.c
@@ -14,12 +14,13 @@
 #define TICK_BUSY_MS 5
 /** Tick interval of other nodes. */
 #define TICK_IDLE_MS 25
-/** Failed calls in a row from which the store counts as unavailable to this
- * node. */
+/** Number of failed calls in a row from which the store counts as unavailable
+ * to this node. */
 #define STORE_FAILURES_MAX 2
 /** Pause between probes of a store that is unavailable. */
 #define STORE_PROBE_INTERVAL (200 * GB_MSEC)
-/** Silence of the owner after which a node without the store isn't ready. */
+/** Silence of the owner after which a node isn't ready if the store is
+ * unavailable too. */
 #define READY_SILENCE (1500 * GB_MSEC)
 /** Descriptors that are reserved for callers, members, the store and files; the
  * others are for connections to workers. */
@@ -70,15 +71,15 @@
 	return call;
 }
 
-static struct node_caller *
-node_caller_remove(struct gb_node *node, uint64_t token)
+static struct node_request *
+node_request_remove(struct gb_node *node, uint64_t token)
 {
-	struct node_caller *caller;
+	struct node_request *request;
 
-	HASH_FIND(hh, node->callers, &token, sizeof(token), caller);
-	if (caller != NULL)
-		HASH_DEL(node->callers, caller);
-	return caller;
+	HASH_FIND(hh, node->requests, &token, sizeof(token), request);
+	if (request != NULL)
+		HASH_DEL(node->requests, request);
+	return request;
 }
 
 /* Operations of the pool core --------------------------------------------- */
@@ -164,15 +165,15 @@
 op_answer(void *data, uint64_t token, const gb_flow_answer *answer)
 {
 	struct gb_node *node = data;
-	struct node_caller *caller = node_caller_remove(node, token);
+	struct node_request *request = node_request_remove(node, token);
 
-	if (caller == NULL)
+	if (request == NULL)
 		return;
-	if (caller->call != NULL)
-		gb_rpc_call_reply(caller->call, (void *)answer);
+	if (request->call != NULL)
+		gb_rpc_call_reply(request->call, (void *)answer);
 	else
-		intake_answered(caller->intake, answer);
-	free(caller);
+		intake_answered(request->intake, answer);
+	free(request);
 }
 
 static void
@@ -185,6 +186,7 @@
 	link->use = gb_link_utilisation(gb_env_link(node->env));
 }
 
+/** This node has gained or lost the pool. */
 static void
 op_owner(void *data, bool owns, uint64_t epoch)
 {
@@ -231,7 +233,7 @@
 static void
 probe_done(struct node_call *call, const struct gb_pool_read_res *res)
 {
-	(void)res;
+	(void)res; /* gb_node_read_done has counted it */
 	call->node->store_probing = false;
 	call->node->store_probe_at = node_now() + STORE_PROBE_INTERVAL;
 }
@@ -279,17 +281,17 @@
 gb_node_advise_done(
     struct gb_node *node, uint64_t call, const gb_advice_res *res)
 {
-	struct node_caller *caller;
+	struct node_request *request;
 
 	if ((call & NODE_CALL) == 0) {
 		gb_pool_advise_done(node->pool, node_now(), call, res);
 		return;
 	}
-	caller = node_caller_remove(node, call & ~NODE_CALL);
-	if (caller == NULL)
+	request = node_request_remove(node, call & ~NODE_CALL);
+	if (request == NULL)
 		return;
-	gb_rpc_call_reply(caller->call, (void *)res);
-	free(caller);
+	gb_rpc_call_reply(request->call, (void *)res);
+	free(request);
 }
 
 void
@@ -418,8 +420,8 @@
 
 /* Watch ------------------------------------------------------------------- */
 
-/** The row could not be read: the next read goes to the next partition, as some
- * may be unavailable while others answer. */
+/** Handle a failed read of the owner's row.  The next read goes to the next
+ * partition, as some may be unavailable while others answer. */
 static void
 owner_row_failed(struct gb_node *node)
 {
@@ -456,6 +458,7 @@
 	gb_owner_record_clear(&record);
 }
 
+/** Read the owner's row from the store. */
 static void
 owner_row_request(struct gb_node *node)
 {
@@ -472,6 +475,7 @@
 	    node_call_new(node, NULL, NULL, owner_row_read), &read);
 }
 
+/** Carry out the duties of an owner, or the next action of the watch. */
 static void
 watch_tick(struct gb_node *node)
 {
@@ -479,7 +483,7 @@
 	uint64_t epoch;
 
 	if (gb_pool_owns(node->pool))
-		watch_set_self_owner(&node->watch, node_now());
+		watch_owner_confirmed(&node->watch, node_now());
 	if (gb_pool_owns(node->pool) || gb_pool_acquiring(node->pool)) {
 		if (!gb_pool_owns(node->pool))
 			return;
@@ -552,7 +556,7 @@
 {
 	const struct gb_link *link = gb_env_link(node->env);
 	gb_time queued = gb_link_backlog(link, node_now());
-	unsigned int most = 0;
+	unsigned int busiest = 0;
 	unsigned int i;
 
 	if (node->link_full ? queued > LINK_FREE_DELAY
@@ -561,15 +565,15 @@
 	node->link_full = !node->link_full;
 	for (i = 0; i < GB_TRAFFIC_KINDS; i++) {
 		if (gb_link_traffic(link, i)->out >
-		    gb_link_traffic(link, most)->out)
-			most = i;
+		    gb_link_traffic(link, busiest)->out)
+			busiest = i;
 	}
 	gb_event(node->events, GB_EVENT_ALWAYS,
 	    node->link_full ? "link_full" : "link_free", "{s:I, s:I, s:s, s:I}",
 	    "queued_ms", (json_int_t)(queued / GB_MSEC), "use_percent",
 	    (json_int_t)(gb_link_utilisation(link) * 100), "most_kind",
-	    gb_traffic_name(most), "most_bytes",
-	    (json_int_t)gb_link_traffic(link, most)->out);
+	    gb_traffic_name(busiest), "most_bytes",
+	    (json_int_t)gb_link_traffic(link, busiest)->out);
 }
 
 static void
--- a/libgooseberry/node/node_state.h
+++ b/libgooseberry/node/node_state.h
@@ -19,8 +19,8 @@
  * pool core do not have it. */
 #define NODE_CALL (UINT64_C(1) << 62)
 
-/** An owner that was not heard for this long is sent no requests, and counts as
- * unreachable in votes.  It answers a hello each 0.2 s. */
+/** An owner that has not answered for this long is sent no requests, and counts
+ * as unreachable in votes.  Hellos are sent to it every 0.2 s. */
 #define NODE_OWNER_SILENCE (600 * GB_MSEC)
 
 /** A member as the owner knows it from its hellos. */
@@ -60,26 +60,27 @@
 	gb_flow_ask ask;
 	gb_time began;
 	gb_time deadline;
-	gb_time next_try; /**< no attempt before */
-	bool in_flight;	  /**< an attempt is in flight */
-	bool answered;	  /**< the caller has its answer, the end of the attempt
-			     is awaited */
-	bool maybe_done;  /**< an earlier attempt may have been carried out */
-	bool tried_store; /**< this node has tried to store it for an owner that
-			     has lost the store */
-	unsigned int tries;
+	gb_time next_try;   /**< earliest time of the next attempt */
+	bool in_flight;	    /**< an attempt is in flight */
+	bool answered;	    /**< the caller has its answer, but the attempt in
+			       flight has not ended */
+	bool maybe_done;    /**< an earlier attempt may have been carried out */
+	bool tried_store;   /**< this node has tried to store it in place of an
+			       owner that has lost the store */
+	unsigned int tries; /**< attempts so far */
 	gb_node_answer answer;
 	void *data;
 };
 
 TAILQ_HEAD(intakes, intake);
 
-/** A request to the pool core that waits for its answer. */
-struct node_caller {
+/** A request to the pool core, or a member's call to the advice service, that
+ * waits for its answer. */
+struct node_request {
 	UT_hash_handle hh;
-	uint64_t token;
-	struct gb_rpc_call *call; /**< from a peer; null: from this node */
-	struct intake *intake;	  /**< from this node */
+	uint64_t token;		  /**< number that the answer comes with */
+	struct gb_rpc_call *call; /**< of a peer; null: the intake is set */
+	struct intake *intake;	  /**< request of a caller of this node */
 };
 
 /** Handover of the pool from this owner to a member. */
@@ -95,7 +96,7 @@
 struct gb_node {
 	uv_loop_t *loop;
 	uv_timer_t tick;
-	/** Partition to read the owner's row from, modulo their number. */
+	/** Partition to read the owner's row from next, modulo their number. */
 	uint32_t next_partition;
 	bool busy_tick; /**< ticks at the short interval */
 	bool link_full; /**< the last event was link_full */
@@ -148,9 +149,9 @@
 	uint64_t known_members_vers; /**< the owner's version of that list */
 	struct node_call *calls;
 	unsigned int store_failures; /**< failed store calls in a row */
-	gb_time store_probe_at;	     /**< no probe of the store before */
+	gb_time store_probe_at;	     /**< earliest time of the next probe */
 	bool store_probing;	     /**< a probe is in flight */
-	struct node_caller *callers;
+	struct node_request *requests;
 	uint64_t next_id; /**< last number given to a call or caller */
 	struct intakes intakes;
 	gb_time started;
@@ -164,13 +165,13 @@
 
 /** Clock of the node, in microseconds. */
 gb_time node_now(void);
-/** Register a call to the store and return its number; the function for its
- * kind is called at its end, the other one may be null. */
+/** Register a call to the store and return its number.  The function for the
+ * kind of the call is called at its end; the other one is null. */
 uint64_t node_call_new(struct gb_node *, void *data,
     void (*txn_done)(struct node_call *, const struct gb_pool_txn_res *),
     void (*read_done)(struct node_call *, const struct gb_pool_read_res *));
 
-/** Another node has this version of the configuration. */
+/** Note that another node has this version of the configuration. */
 void node_config_announced(struct gb_node *, uint64_t version);
 
 /** Whether the last calls of this node to the store have failed. */
@@ -183,7 +184,7 @@
 /* intake.c */
 /** Start the attempts that are due and answer requests whose time is up. */
 void intake_tick(struct gb_node *);
-/** The pool core answered, here or at the owner. */
+/** Handle an answer of the pool core, on this node or on the owner. */
 void intake_answered(struct intake *, const gb_flow_answer *);
 
 /* handover.c */
@@ -191,11 +192,12 @@
 bool node_handover_begin(struct gb_node *);
 /** End a handover whose claim has not come in time. */
 void node_handover_tick(struct gb_node *);
-/** Begin a handover if a member is much larger than this node. */
+/** Begin a handover if the processor of a member is at least half again as
+ * large as that of this node. */
 void node_handover_to_larger(struct gb_node *);
-/** This node has lost the pool.
+/** Complete the handover in progress, if any: this node has lost the pool.
  * @param epoch the newest that is known
- * @return whether a handover was in progress, which is done by this
+ * @return whether a handover was in progress
  */
 bool node_handover_done(struct gb_node *, uint64_t epoch);
 /** Serve an owner's request to take the pool over. */
@@ -203,7 +205,7 @@
     struct gb_node *, struct gb_rpc_call *, const gb_takeover_request *);
 
 /* members.c */
-/** This owner received a hello of a member. */
+/** Update what this owner knows of a member from its hello. */
 struct node_member *node_member_hello_received(
     struct gb_node *, const gb_hello *);
 /** Fill in a member's rank and, unless `known` is the current version of it,
@@ -211,14 +213,16 @@
  * valid until the next call. */
 void node_members_fill(struct gb_node *, const struct node_member *,
     uint64_t known, gb_hello_res *);
-/** The pool was lost: keep the members that this owner knew as those that it
- * may poll about the next owner. */
+/** Keep the members that this node knows as the owner, when it loses the pool:
+ * it may poll them about the next owner. */
 void node_members_keep_known(struct gb_node *);
 /** Write the members that can own the pool, the most suitable first, and return
  * their number.  The array must have space for all members. */
 size_t node_members_order(struct gb_node *, struct succession_member *);
 
 /* metrics.c */
+/** Serve the metrics over HTTP.  Returns false with an error when the address
+ * of the settings can't be used. */
 bool node_metrics_serve(struct gb_node *, struct gb_error *);
 
 /* peers.c */
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -9,9 +9,10 @@
 
 #include "node_state.h"
 
-/** Timeout of a hello, and of a configuration that is sent to the owner. */
+/** Timeout of a hello, of a poll of a member, and of a configuration that is
+ * sent to the owner. */
 #define HELLO_TIMEOUT (600 * GB_MSEC)
-/** Members that are polled about the owner. */
+/** Number of members that are polled about the owner. */
 #define POLL_MEMBERS_MAX 3
 /** A node that has had an older configuration for this long is sent the newest
  * one.  All nodes must have it within 2 s. */
@@ -19,17 +20,19 @@
 /** An owner with an older configuration is sent the newest one by the first
  * successor that has it: each waits this long for each one before it. */
 #define PUSH_RANK_DELAY (100 * GB_MSEC)
-/** Successors that send the owner a configuration at all. */
+/** Number of successors, the first ones, that send the owner a configuration.
+ */
 #define PUSH_RANKS_MAX 10
 /** Pause before the same version is sent to the same owner again.  It may be
  * unable to read it because its program is too old. */
 #define PUSH_REPEAT_PAUSE (10 * GB_SEC)
 /** Configurations are sent to members at a tenth of the link's rate at most. */
 #define PUSH_LINK_DIVISOR 10
-/** Largest rate for that, and the rate when the bandwidth is unknown: a third
- * of a link of 10 Mbit/s. */
+/** Largest rate for that in bytes per second, and the rate when the bandwidth
+ * is unknown: a third of a link of 10 Mbit/s. */
 #define PUSH_BYTES_PER_S_MAX 400000
 
+/** Describe this node in a hello.  The strings stay the node's. */
 static void
 hello_fill(struct gb_node *node, gb_hello *hello)
 {
@@ -46,6 +49,7 @@
 	hello->members_known = node->known_members_vers;
 }
 
+/** Replace the known members by the owner's list if it is a newer one. */
 static void
 known_members_update(struct gb_node *node, const gb_hello_res *res)
 {
@@ -67,6 +71,7 @@
 	}
 }
 
+/** Take note of the configuration that an answer names or has with it. */
 static void
 config_received(struct gb_node *node, const gb_hello_res *res)
 {
@@ -120,7 +125,7 @@
     struct gb_node *node, const gb_hello_res *res, unsigned int rank)
 {
 	gb_time now = node_now();
-	gb_config_push news;
+	gb_config_push push;
 
 	if (node->config == NULL || res->config >= node->config->version) {
 		node->owner_behind_since = 0;
@@ -136,10 +141,10 @@
 	node->config_in_flight = true;
 	node->config_sent_epoch = res->epoch;
 	node->config_sent_version = node->config->version;
-	news.text.gb_body_val = node->config_text;
-	news.text.gb_body_len = (u_int)node->config_len;
+	push.text.gb_body_val = node->config_text;
+	push.text.gb_body_len = (u_int)node->config_len;
 	gb_rpc_client_call(gb_rpc_pool_get(node->peers, node->watch.owner),
-	    GB_PROC_CONFIG, &news, HELLO_TIMEOUT, config_send_done, node);
+	    GB_PROC_CONFIG, &push, HELLO_TIMEOUT, config_send_done, node);
 }
 
 /** A hello that is in flight. */
@@ -220,6 +225,7 @@
 	    GB_PROC_HELLO, &hello, HELLO_TIMEOUT, hello_done, call);
 }
 
+/** A polled member answered with what it knows of the owner, or failed to. */
 static void
 poll_done(void *data, gb_verdict verdict, void *arg)
 {
@@ -243,7 +249,7 @@
 {
 	unsigned int asked = 0;
 	gb_hello hello;
-	size_t from;
+	size_t from; /**< random first member */
 	size_t i;
 
 	hello_fill(node, &hello);
@@ -312,6 +318,8 @@
 	res.rank = SUCCESSION_UNRANKED;
 	node_config_announced(node, hello->config);
 	gb_pool_epoch_found(node->pool, now, hello->epoch);
+	/* A node that has released the pool still answers as an owner that
+	 * vacates it, so that a successor claims it at once. */
 	res.owner = gb_pool_owns(node->pool) || node->released;
 	res.acquiring = gb_pool_loading(node->pool);
 	res.vacating =
@@ -342,27 +350,29 @@
 	free(res.members.members_val);
 }
 
+/** Receive a configuration that a member has sent to this owner. */
 static void
 serve_config(
-    struct gb_node *node, struct gb_rpc_call *call, const gb_config_push *news)
+    struct gb_node *node, struct gb_rpc_call *call, const gb_config_push *push)
 {
 	gb_config_push_res res = {0};
 
 	gb_node_config_received(
-	    node, news->text.gb_body_val, news->text.gb_body_len);
+	    node, push->text.gb_body_val, push->text.gb_body_len);
 	res.config = node->config == NULL ? 0 : node->config->version;
 	gb_rpc_call_reply(call, &res);
 }
 
-static struct node_caller *
-caller_new(struct gb_node *node, struct gb_rpc_call *call)
+/** Register a peer's call that is answered later. */
+static struct node_request *
+request_new(struct gb_node *node, struct gb_rpc_call *call)
 {
-	struct node_caller *caller = gb_calloc(1, sizeof(*caller));
+	struct node_request *request = gb_calloc(1, sizeof(*request));
 
-	caller->token = ++node->next_id;
-	caller->call = call;
-	HASH_ADD(hh, node->callers, token, sizeof(caller->token), caller);
-	return caller;
+	request->token = ++node->next_id;
+	request->call = call;
+	HASH_ADD(hh, node->requests, token, sizeof(request->token), request);
+	return request;
 }
 
 void
@@ -375,16 +385,16 @@
 		serve_hello(node, call, arg);
 		break;
 	case GB_PROC_FLOW_SUBMIT:
-		gb_pool_submit(
-		    node->pool, node_now(), caller_new(node, call)->token, arg);
+		gb_pool_submit(node->pool, node_now(),
+		    request_new(node, call)->token, arg);
 		break;
 	case GB_PROC_FLOW_ASK:
-		gb_pool_ask(
-		    node->pool, node_now(), caller_new(node, call)->token, arg);
+		gb_pool_ask(node->pool, node_now(),
+		    request_new(node, call)->token, arg);
 		break;
 	case GB_PROC_ADVISE:
 		node->platform.advise(node->platform.data,
-		    caller_new(node, call)->token | NODE_CALL, arg);
+		    request_new(node, call)->token | NODE_CALL, arg);
 		break;
 	case GB_PROC_SUCCEED:
 		node_serve_succeed(node, call, arg);
--- a/libgooseberry/node/succession.c
+++ b/libgooseberry/node/succession.c
@@ -38,7 +38,7 @@
 #define SUCCESSION_UNRANKED_CLAIMS 2
 
 static bool
-member_can(const struct succession_member *m)
+member_eligible(const struct succession_member *m)
 {
 	return !m->leaving && m->current &&
 	       m->silent <= SUCCESSION_SILENCE_MAX &&
@@ -68,7 +68,7 @@
 	size_t i;
 
 	for (i = 0; i < count; i++) {
-		if (member_can(&members[i]))
+		if (member_eligible(&members[i]))
 			members[kept++] = members[i];
 	}
 	if (kept > 1)
--- a/libgooseberry/node/watch.c
+++ b/libgooseberry/node/watch.c
@@ -37,6 +37,7 @@
  * timeout as it is: a single one may come from a paused owner.  Each further
  * one doubles the timeout, or quadruples it while the owner renews its row. */
 #define WATCH_CONTENTION_FREE 1
+/** Largest number of doublings. */
 #define WATCH_DOUBLINGS_MAX 2
 /** Suspicion timeout of an owner that has not renewed its row since its claim,
  * after takeovers from working owners.  It is still loading the stored state,
@@ -46,8 +47,9 @@
 #define WATCH_LOAD_TIME_USUAL (400 * GB_MSEC)
 /** Serial of the owner's row when it has not been renewed since the claim. */
 #define WATCH_SERIAL_CLAIM 1
-/** Reads in a row without a renewal after which a node that reaches no other
- * member takes the owner for stopped; a single renewal may be late. */
+/** Number of reads in a row without a renewal after which a node that reaches
+ * no other member considers the owner stopped.  A single renewal may be late.
+ */
 #define WATCH_ISOLATED_READS 3
 /** Time between two calls of watch_next above which this process was paused and
  * could not receive the owner's answers. */
@@ -72,17 +74,19 @@
 #define WATCH_STORE_READ_MAX_AGE (400 * GB_MSEC)
 /** Pause between reads of the owner's row. */
 #define WATCH_READ_INTERVAL (150 * GB_MSEC)
-/** Random delay of reads, so that nodes do not all read at the same time. */
+/** Largest random delay of a read, so that nodes do not all read at the same
+ * time. */
 #define WATCH_READ_DELAY_MAX (60 * GB_MSEC)
 /** Time for which the store must answer this node before it takes over from an
  * owner that has lost the store.  The owner retries at least every 0.15 s, so a
  * store that has just recovered is not mistaken for one that rejects the owner
  * alone. */
 #define WATCH_STORE_OK_TIME (250 * GB_MSEC)
-/** First successors that check the store when the owner reports that the store
- * does not take its writes. */
+/** Number of successors, the first ones, that check the store when the owner
+ * reports that the store does not take its writes. */
 #define WATCH_STORE_CHECKERS 3
-/** Delay of a small node's claim: longer than a larger node's claim takes. */
+/** Longest delay of the claim of a node with a small processor: a larger node's
+ * claim takes less. */
 #define WATCH_SMALL_NODE_DELAY (400 * GB_MSEC)
 /** Milli-cores of a processor core. */
 #define CORE_MILLI 1000
@@ -140,7 +144,7 @@
 }
 
 void
-watch_set_self_owner(struct watch *w, gb_time now)
+watch_owner_confirmed(struct watch *w, gb_time now)
 {
 	w->owner_confirmed_at = now;
 	w->acquiring_since = 0;
@@ -171,7 +175,7 @@
 	w->last_checked = now;
 }
 
-/** How often the suspicion timeout is doubled. */
+/** Number of times that the suspicion timeout is doubled. */
 static unsigned int
 watch_timeout_doublings(const struct watch *w)
 {
@@ -202,8 +206,11 @@
 	return (gb_time)(gb_random_next(&w->seed) % WATCH_READ_DELAY_MAX);
 }
 
-/** Delay of this node's claim for its size: the owner's work needs processor
- * time, so larger nodes claim first. */
+/** Delay of this node's claim because its processor is small: the owner's work
+ * needs processor time, so larger nodes claim first.  A node counts as small
+ * when it has less than 80 % of the largest member's processor.  While that is
+ * unknown, it is compared with one core, and the delay grows with the
+ * difference. */
 static gb_time
 watch_size_delay(const struct watch *w)
 {
@@ -234,16 +241,16 @@
 static bool
 watch_votes_allow_takeover(struct watch *w, gb_time now)
 {
-	bool works = w->renewal.state == RENEWAL_CONTINUES;
+	bool renews = w->renewal.state == RENEWAL_CONTINUES;
 
 	if (w->votes_reachable > 0) {
-		/* Only this node does not reach the owner.  last_heard stays,
-		 * since this node's own votes in other polls go by it. */
+		/* The owner is reachable for others.  last_heard stays as it
+		 * is, since this node's votes in their polls depend on it. */
 		w->poll_size = 0;
 		w->suspect_after = now + WATCH_SUSPICION_TIMEOUT / 2;
 		return false;
 	}
-	if (works)
+	if (renews)
 		return w->votes_unreachable * 2 > w->poll_size;
 	return w->votes_unreachable > 0 ||
 	       (watch_owner_silence(w, now) > WATCH_ISOLATED_TIMEOUT &&
@@ -459,7 +466,7 @@
 				      ? WATCH_SUCCESSOR_HELLO_INTERVAL
 				      : WATCH_HELLO_INTERVAL);
 	watch_clear_suspicion(w, now);
-	watch_set_self_owner(w, now);
+	watch_owner_confirmed(w, now);
 	if (status->epoch > w->epoch) {
 		w->epoch = status->epoch;
 		w->owner_since = now;
@@ -557,6 +564,9 @@
 	w->votes = 0;
 	w->votes_unreachable = 0;
 	w->votes_reachable = 0;
+	/* 0 would mean that there is no poll: wait for a vote that doesn't
+	 * come.
+	 */
 	if (members == 0)
 		w->poll_size = 1;
 }
--- a/libgooseberry/node/watch.h
+++ b/libgooseberry/node/watch.h
@@ -1,7 +1,8 @@
 /**
  * @file watch.h
  * Monitors the owner of the pool and decides when to take the pool over.
- * Does no I/O: the caller sends the messages and reports the answers.
+ * Does no I/O: the caller sends the messages and reports the answers.  Times
+ * are in microseconds.
  */
 #ifndef GB_WATCH_H
 #define GB_WATCH_H
@@ -24,7 +25,7 @@
 enum watch_vote {
 	WATCH_VOTE_REACHABLE,
 	WATCH_VOTE_UNREACHABLE,
-	WATCH_VOTE_NONE /**< no answer, or one that tells nothing */
+	WATCH_VOTE_NONE /**< no answer */
 };
 
 /** Why the pool counts as vacant. */
@@ -54,18 +55,20 @@
 	bool read_in_flight;	/**< a read of the owner's row */
 	bool read_compared; /**< the read in flight goes to renewal_add_read */
 	bool hello_in_flight;
-	gb_time next_read; /**< no read before */
+	gb_time next_read; /**< earliest time of the next read */
 	gb_time read_sent; /**< when the last read was sent */
 	/** The owner reports that it has lost the store. */
 	bool owner_lacks_store;
 	/** Since then the store has answered this node while the owner lacks
 	 * it; 0: it has not. */
 	gb_time store_ok_since;
-	gb_time next_hello;	  /**< no hello before */
+	gb_time next_hello;	  /**< earliest time of the next hello */
 	gb_time hello_sent;	  /**< when the last hello was sent */
 	gb_time hello_round_trip; /**< round trip of the last answered hello */
 	gb_time last_heard;	  /**< last answer of the owner */
-	gb_time owner_confirmed_at; /**< last answer it gave as the owner */
+	/** When this node last owned the pool or got an answer of an owner, or
+	 * when it started. */
+	gb_time owner_confirmed_at;
 	/** The new owner has been loading the stored state since then, 0: it is
 	 * not loading. */
 	gb_time acquiring_since;
@@ -75,15 +78,16 @@
 	unsigned int refused;	/**< connections in a row that were refused */
 	uint32_t contested;	/**< from the owner's row, see watch_row */
 	struct renewal renewal; /**< of the row, while the owner is silent */
-	gb_time takeover_at;	/**< no takeover before */
+	gb_time takeover_at;	/**< earliest time of a takeover */
 	unsigned int poll_size; /**< members in the current poll, 0: none */
 	unsigned int asked;	/**< members in the last poll */
-	unsigned int votes;	/**< answers to the poll and failures */
+	unsigned int votes;	/**< members that answered it or failed to */
 	unsigned int votes_unreachable; /**< do not reach the owner either */
 	unsigned int votes_reachable;
-	gb_time polled_at;
-	gb_time suspect_after;	 /**< no suspicion before: a member has
-				    reached the owner */
+	gb_time polled_at; /**< when the last poll was sent */
+	/** Earliest time to suspect the owner again, after a polled member has
+	 * reached it. */
+	gb_time suspect_after;
 	struct succession place; /**< of this node, as the owner sent it last */
 	gb_time store_read_time; /**< duration of the last answered read */
 	gb_time store_read_at;	 /**< when that answer came, 0: none yet */
@@ -98,7 +102,8 @@
     gb_time now, uint64_t seed);
 /** Return what the caller has to do now. */
 enum watch_action watch_next(struct watch *, gb_time now);
-/** A read of the owner's row was sent. */
+/** A read of the owner's row was sent.  Its end is reported with watch_row or
+ * watch_read_failed. */
 void watch_read_sent(struct watch *, gb_time now);
 /** The owner's row, as a partition of the tables has it. */
 struct watch_row {
@@ -135,8 +140,8 @@
  * found to be a newer owner. */
 void watch_pool_handed_over(
     struct watch *, gb_time now, const char *addr, uint64_t epoch);
-/** Set the number of members that this node knows after it has owned the pool
- * itself. */
+/** This node has lost the pool and knows this number of members from that time.
+ * Its rank is unknown until the next owner sends it. */
 void watch_set_members(struct watch *, unsigned int members);
 /** Send a hello at once: the presumed owner has answered that it is not the
  * owner. */
@@ -151,16 +156,18 @@
  * @param refused the connection was refused
  */
 void watch_hello_failed(struct watch *, gb_time now, bool refused);
-/** A poll was sent to so many members. */
+/** A poll was sent to this number of members, which may be 0. */
 void watch_poll_begun(struct watch *, gb_time now, unsigned int members);
 /** A polled member has answered, or failed to. */
 void watch_add_vote(struct watch *, enum watch_vote);
-/** Whether the new owner is loading the stored state for longer than usual, as
- * over a slow link.  It can't accept flows before it has finished. */
+/** Whether the new owner has been loading the stored state for longer than
+ * usual, as it does over a slow link.  It can't accept flows before it has
+ * finished. */
 bool watch_owner_loads_slowly(const struct watch *, gb_time now);
-/** This node owns the pool. */
-void watch_set_self_owner(struct watch *, gb_time now);
-/** Time since a node last answered as the owner. */
+/** The pool has a working owner: this node, or the one that answered. */
+void watch_owner_confirmed(struct watch *, gb_time now);
+/** Time since this node last owned the pool or got an answer of an owner, or
+ * since it started. */
 gb_time watch_time_without_owner(const struct watch *, gb_time now);
 /** Time since the owner's last answer, without pauses of this process. */
 gb_time watch_owner_silence(const struct watch *, gb_time now);
