--- a/libgooseberry/node/caller.c
+++ b/libgooseberry/node/caller.c
@@ -13,9 +13,9 @@
 #include "caller.h"
 
 bool
-gb_caller_config_usable(gb_time age, gb_time most)
+gb_caller_config_usable(gb_time age, gb_time max_age)
 {
-	return most == 0 || age <= most;
+	return max_age == 0 || age <= max_age;
 }
 
 enum gb_caller_verdict
--- a/libgooseberry/node/handover.c
+++ b/libgooseberry/node/handover.c
@@ -16,12 +16,14 @@
 
 #include "node_state.h"
 
-/** Timeout of the request to take the pool over, which is answered at once. */
+/** Timeout of the request to take the pool over.  The member answers before it
+ * claims the pool. */
 #define HANDOVER_ANSWER_TIMEOUT (500 * GB_MSEC)
 /** Time from the request after which the claim counts as failed.  Its read and
  * its write take 1 s when the store is 60 times slower. */
 #define HANDOVER_CLAIM_TIMEOUT (2500 * GB_MSEC)
-/** Members that are asked before a stopping owner releases the pool. */
+/** Number of members that are asked before a stopping owner releases the pool.
+ */
 #define HANDOVER_TRIES_MAX 3
 
 /** An owner keeps the pool at least this long before it hands it over to a
@@ -47,6 +49,7 @@
 		gb_pool_release(node->pool, node_now());
 }
 
+/** The member answered whether it claims the pool. */
 static void
 handover_answered(void *data, gb_verdict verdict, void *arg)
 {
@@ -110,8 +113,8 @@
 {
 	if (node->handover.in_progress &&
 	    node->handover.deadline <= node_now()) {
-		/* A claim of another member would come too late for callers
-		 * that wait: release the pool. */
+		/* The claim of another member would come too late for callers
+		 * that wait, so the pool is released. */
 		node->handover.tries = HANDOVER_TRIES_MAX;
 		handover_failed(node, "the claim did not come");
 	}
@@ -132,6 +135,7 @@
 		    "{s:s, s:I, s:I}", "member", order[0].addr, "cpu_milli",
 		    (json_int_t)order[0].cpu_milli, "own_milli",
 		    (json_int_t)node->cpu_milli);
+		/* The next attempt is made after OWNERSHIP_MIN. */
 		node->owned_at = node_now();
 		node_handover_begin(node);
 	}
--- a/libgooseberry/node/members.c
+++ b/libgooseberry/node/members.c
@@ -16,8 +16,8 @@
 
 /** Members that have sent no hello for this long are removed from the list. */
 #define MEMBER_TIMEOUT (5 * GB_SEC)
-/** Interval at which the order of succession is updated.  Hellos come each
- * 0.2 s, and a successor is dropped after a silence of 0.6 s. */
+/** Interval at which the order of succession is updated.  Hellos come
+ * every 0.2 s, and a successor is dropped after a silence of 0.6 s. */
 #define MEMBERS_UPDATE_INTERVAL (100 * GB_MSEC)
 
 static void
--- a/libgooseberry/node/owner_monitor.c
+++ b/libgooseberry/node/owner_monitor.c
@@ -17,7 +17,7 @@
 /** Silence up to which a member counts as connected.  Members send five hellos
  * a second. */
 #define MONITOR_MEMBER_SILENCE_MAX (500 * GB_MSEC)
-/** Logged in place of a missing rank or time. */
+/** Number that is logged in place of a missing rank or time. */
 #define MONITOR_NONE (-1)
 
 static json_int_t
--- a/libgooseberry/node/owner_monitor.h
+++ b/libgooseberry/node/owner_monitor.h
@@ -12,7 +12,7 @@
 struct gb_node;
 
 struct owner_monitor {
-	char asked[GB_NAME_MAX + 1]; /**< owner of the last hello */
+	char asked[GB_NAME_MAX + 1]; /**< owner that the last hello went to */
 	uint64_t asked_epoch;	     /**< its epoch, as known at that time */
 	gb_time answered;	     /**< its last answer, or the first hello */
 	bool silent;		     /**< the last hello got no answer */
@@ -32,16 +32,18 @@
 void owner_monitor_hello_answered(struct gb_node *);
 /** A hello got no answer. */
 void owner_monitor_hello_lost(struct gb_node *);
-/** So many members are polled about the owner. */
+/** The owner is suspected, and `asked` members are polled about it. */
 void owner_monitor_suspected(struct gb_node *, unsigned int asked);
 /** The pool is about to be claimed.  Call this before the node's watch is
  * reset. */
 void owner_monitor_takeover_decided(struct gb_node *);
 /** This node has gained or lost the pool; the epoch is the newest known. */
 void owner_monitor_owner_changed(struct gb_node *, bool owns, uint64_t epoch);
-/** The event loop ticks; ticks are `period` apart. */
+/** The event loop ticks.
+ * @param period interval of the ticks in microseconds
+ */
 void owner_monitor_tick(struct gb_node *, gb_time now, gb_time period);
-/** Add the counters. */
+/** Add the counters in the text format of Prometheus. */
 void owner_monitor_metrics(const struct gb_node *, struct gb_text *);
 
 #endif
--- a/libgooseberry/node/renewal.c
+++ b/libgooseberry/node/renewal.c
@@ -12,10 +12,10 @@
 #include "renewal.h"
 
 /** Longest time between two renewals, without the duration of the write.  An
- * owner renews its row each 0.5 s, and the write waits for the one before it.
+ * owner renews its row every 0.5 s, and the write waits for the one before it.
  */
 #define RENEWAL_TIME_MAX (620 * GB_MSEC)
-/** A write takes as long as this many reads. */
+/** A write takes as long as this number of reads. */
 #define RENEWAL_WRITE_FACTOR 2
 
 void
--- a/libgooseberry/node/shed.c
+++ b/libgooseberry/node/shed.c
@@ -20,9 +20,9 @@
 #define SHED_USE_HIGH 97
 #define SHED_USE_LOW 88
 /** Each increase reduces the percentage of accepted flows to this percentage of
- * itself. */
-#define SHED_CUT_PERCENT 75
-/** Each decrease reduces the percentage of rejected flows by this much. */
+ * its value. */
+#define SHED_KEEP_PERCENT 75
+/** Each decrease subtracts this from the percentage of rejected flows. */
 #define SHED_RECOVERY_STEP 4
 /** Largest percentage of flows that are rejected. */
 #define SHED_PERCENT_MAX 95
@@ -42,7 +42,7 @@
 	shed->bytes = bytes;
 	if (use > SHED_USE_HIGH)
 		shed->percent =
-		    100 - (100 - shed->percent) * SHED_CUT_PERCENT / 100;
+		    100 - (100 - shed->percent) * SHED_KEEP_PERCENT / 100;
 	else if (use < SHED_USE_LOW)
 		shed->percent -= shed->percent < SHED_RECOVERY_STEP
 				     ? shed->percent
--- a/libgooseberry/node/shed.h
+++ b/libgooseberry/node/shed.h
@@ -11,12 +11,13 @@
 struct shed {
 	uint32_t percent; /**< of new flows to reject */
 	gb_time at;	  /**< last update of the percentage, 0: none */
-	uint64_t bytes;	  /**< received until then */
+	uint64_t bytes;	  /**< bytes received until then */
 };
 
-/** Update the percentage, if it is time.
- * @param bytes received so far
- * @param rate bytes a second that the link carries, 0: unlimited
+/** Update the percentage if the interval of updates has passed.
+ * @param now in microseconds
+ * @param bytes received since the start of the process
+ * @param rate bandwidth of the link in bytes per second, 0: unlimited
  */
 void shed_tick(struct shed *, gb_time now, uint64_t bytes, uint64_t rate);
 /** Whether to reject the flow with this id at the given percentage.  The answer
--- a/libgooseberry/node/succession.c
+++ b/libgooseberry/node/succession.c
@@ -2,13 +2,13 @@
  * @file succession.c
  * Order of succession.
  *
- * When the pool is vacant, 35 nodes learn so within 0.2 s.  A claim writes a
- * row in each of five partitions.  A partition carries out writes one after
+ * When the pool becomes vacant, 35 nodes find out within 0.2 s.  A claim writes
+ * a row in each of five partitions.  A partition carries out writes one after
  * another and rejects calls when more than one second of them is queued.  With
- * a store that is 35 times slower a write takes 0.3 s, so that the claims of
- * all nodes would take seconds, of which only one claim is needed.  Therefore
- * the owner sends each member its rank, and a member waits for the claims of
- * those before it, whose duration it estimates from its last read of the store.
+ * a store that is 35 times slower a write takes 0.3 s, so the claims of all
+ * nodes would take seconds, although only one claim is needed.  Therefore the
+ * owner sends each member its rank, and a member waits for the claims of those
+ * before it, whose duration it estimates from its last read of the store.
  *
  * In a rolling restart the nodes are stopped and started in turn, two seconds
  * apart.  The node that started last will stay the longest, so it is preferred.
@@ -18,8 +18,8 @@
 
 #include "succession.h"
 
-/** Silence after which a member is no successor.  Hellos come each 0.2 s: when
- * three are missing, it may have terminated. */
+/** Silence after which a member is no successor.  Hellos come every 0.2 s: when
+ * three are missing, the member may have terminated. */
 #define SUCCESSION_SILENCE_MAX (600 * GB_MSEC)
 /** Age of a process from which it can be a successor.  A younger one does not
  * know workers and members yet. */
@@ -33,10 +33,11 @@
 /** Longest time to wait for one claim.  With a store that is a hundred times
  * slower a read takes 0.4 s. */
 #define SUCCESSION_CLAIM_MAX (1200 * GB_MSEC)
-/** Nodes without a rank wait a random time of up to one claim for each of them,
- * and of at least this many claims. */
+/** Nodes without a rank wait a random time, which is at most one claim for each
+ * such node, or this number of claims if that is more. */
 #define SUCCESSION_UNRANKED_CLAIMS 2
 
+/** Whether a member can own the pool. */
 static bool
 member_eligible(const struct succession_member *m)
 {
@@ -45,9 +46,9 @@
 	       m->up >= SUCCESSION_UPTIME_MIN;
 }
 
-/** The member with the larger processor comes first, since the owner's work
- * takes 0.2 cores with 350 workers; among equal ones, the one that started
- * last. */
+/** Compare two members for qsort.  The one with the larger processor comes
+ * first, since the owner's work takes 0.2 cores with 350 workers; among equal
+ * ones, the one that started last. */
 static int
 member_compare(const void *a, const void *b)
 {
