--- a/libgooseberry/node/node.h
+++ b/libgooseberry/node/node.h
@@ -106,13 +106,17 @@
 /* What the arguments refer to stays with the platform. */
 
 /** A configuration was received, in its stored form.  It is ignored unless it
- * is newer than the present one. */
+ * is newer than the present one.  A malformed one is counted and logged. */
 void gb_node_config_received(struct gb_node *, const char *, size_t);
 /** Entries of the list of workers were received.
  * @param whole they are all the workers that exist, not just changes
  */
 void gb_node_workers_received(
     struct gb_node *, const struct gb_pool_entry *, size_t count, bool whole);
+
+/* The call with this number has ended.  These functions must not be called from
+ * within the function of struct gb_node_platform that started the call. */
+
 void gb_node_start_done(
     struct gb_node *, uint64_t call, const struct gb_pool_order_res *);
 void gb_node_stop_done(
