--- a/tests/large_gang.c
+++ b/tests/large_gang.c
@@ -38,8 +38,9 @@
 		pool_cell_run(cell, 100 * GB_MSEC);
 	}
 	assert_int_equal(cell->flows[large].status, GB_FLOW_SUCCEEDED);
-	assert_true(cell->flows[large].over - cell->flows[large].submitted <=
-		    3 * OBJECTIVE);
+	assert_true(
+	    cell->flows[large].finished_at - cell->flows[large].submitted <=
+	    3 * OBJECTIVE);
 	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
--- a/tests/pool_cell.c
+++ b/tests/pool_cell.c
@@ -53,19 +53,19 @@
  * answer is lost or late is carried out with call number 0, and another event
  * reports the loss to the caller. */
 struct pool_event {
-	gb_time due;
+	gb_time due; /**< -1: done, to be removed */
 	enum event_kind kind;
 	unsigned int node;
 	uint64_t incarnation;
-	uint64_t call; /**< 0: no caller waits for the answer */
-	gb_time expires;
+	uint64_t call;	 /**< 0: no caller waits for the answer */
+	gb_time expires; /**< end of the wait of a heartbeat */
 	struct gb_pool_order order;
 	struct gb_pool_heartbeat heartbeat;
 	gb_advice_ask ask;
 	struct gb_pool_txn txn;
 	struct gb_pool_read read;
-	bool stop;
-	bool fails;
+	bool stop;	      /**< the lost order was to stop a run */
+	bool fails;	      /**< a read that is refused */
 	bool given_up;	      /**< a read that times out */
 	bool silent;	      /**< a heartbeat whose answer was lost */
 	unsigned int process; /**< worker process that received the heartbeat */
@@ -254,7 +254,7 @@
 	from->cell->advice_calls++;
 	if (!gb_xdr_copy((xdrproc_t)xdr_gb_advice_ask, ask, &event->ask,
 		sizeof(event->ask)))
-		abort(); /* a request of the core can be encoded */
+		abort(); /* requests of the core can always be encoded */
 }
 
 static struct gb_pool_row *
@@ -288,7 +288,8 @@
 	return bytes;
 }
 
-/** The store handles the writes of a partition one after another. */
+/** Adds a write to the queue of a partition, which the store handles one after
+ * another; returns how long it waits in the queue. */
 static gb_time
 partition_wait(struct pool_cell *cell, uint32_t partition)
 {
@@ -498,8 +499,8 @@
 	event->expires = cell->now;
 }
 
-/** Delivers a heartbeat to the worker and gets its report. The connection ends
- * with the process that received it. */
+/** Delivers a heartbeat to the worker and gets its report. The call is lost if
+ * the process that received it has ended since. */
 static void
 heartbeat_receive(const struct pool_cell *cell, struct pool_event *event,
     struct gb_pool_report *report)
@@ -622,6 +623,7 @@
 	world_read_free(&res);
 }
 
+/** Reports an order or a transaction without an answer as lost. */
 static void
 event_lost(struct pool_cell *cell, const struct pool_event *event)
 {
@@ -749,8 +751,8 @@
 config_make(struct pool_cell *cell)
 {
 	static const char *const names[] = {"lookup", "import", "rebuild"};
-	static const gb_time targets[] = {250, 3000, 1000};
-	static const double stretches[] = {1.5, 4.0, 2.2};
+	static const gb_time base_ms[] = {250, 3000, 1000};
+	static const double factors[] = {1.5, 4.0, 2.2};
 	struct gb_pool_config *config = gb_pool_config_new(3, 0);
 	size_t i;
 
@@ -762,8 +764,8 @@
 		snprintf(queue->name, sizeof(queue->name), "%s", names[i]);
 		snprintf(queue->service, sizeof(queue->service), "svc");
 		queue->max_attempts = 3;
-		queue->objective_factor = stretches[i];
-		queue->objective_base_us = targets[i] * GB_MSEC;
+		queue->objective_factor = factors[i];
+		queue->objective_base_us = base_ms[i] * GB_MSEC;
 		queue->advice.needed = cell->setup.approved_percent > 0;
 		queue->advice.decide_us = cell->setup.decide_us;
 		queue->advice.valid_us = cell->setup.valid_us;
@@ -885,9 +887,9 @@
 	}
 	world_worker_entry(cell->world, i, entry);
 	entry->removed = i < cell->unlisted;
-	if (i < cell->spoiled)
+	if (i < cell->invalid_entries)
 		entry->error = GB_POOL_ENTRY_INCOMPLETE;
-	if (cell->moved) {
+	if (cell->wrong_addresses) {
 		world_worker_entry(cell->world, (i + 1) % count, &other);
 		snprintf(entry->addr, sizeof(entry->addr), "%s", other.addr);
 	}
@@ -948,9 +950,9 @@
 }
 
 void
-pool_cell_run(struct pool_cell *cell, gb_time how_long)
+pool_cell_run(struct pool_cell *cell, gb_time duration)
 {
-	gb_time until = cell->now + how_long;
+	gb_time until = cell->now + duration;
 	size_t i;
 
 	while (cell->now < until) {
@@ -958,12 +960,12 @@
 		for (i = 0; i < cell->flow_count; i++) {
 			struct pool_cell_flow *flow = &cell->flows[i];
 
-			if (flow->over != 0)
+			if (flow->finished_at != 0)
 				continue;
 			flow->status = pool_cell_state(cell, i);
 			if (flow->status >= GB_FLOW_SUCCEEDED &&
 			    flow->status <= GB_FLOW_CANCELLED)
-				flow->over = cell->now;
+				flow->finished_at = cell->now;
 		}
 	}
 }
@@ -1031,6 +1033,7 @@
 	step->after.after_val[0] = (uint32_t)after;
 }
 
+/** Sends a submission to the owner, if there is one. */
 static void
 flow_send(struct pool_cell *cell, struct pool_cell_flow *flow)
 {
@@ -1076,7 +1079,7 @@
 
 void
 pool_cell_ask(struct pool_cell *cell, size_t number, const gb_flow_ask *ask,
-    gb_time how_long)
+    gb_time duration)
 {
 	struct pool_cell_flow *flow = &cell->flows[number];
 	gb_flow_ask named = *ask;
@@ -1086,9 +1089,12 @@
 	flow->answered = false;
 	gb_pool_ask(
 	    cell->nodes[pool_cell_owner(cell)], cell->now, flow->token, &named);
-	pool_cell_run(cell, how_long);
+	pool_cell_run(cell, duration);
 }
 
+/** Asks the owner about a flow on behalf of its organisation. The answer to a
+ * request for the state is returned and leaves that of the submission in the
+ * flow. */
 static gb_flow_answer
 cell_ask(struct pool_cell *cell, size_t number, gb_flow_op op)
 {
@@ -1149,16 +1155,17 @@
 void
 pool_cell_assert_no_violation(const struct pool_cell *cell)
 {
-	const struct world_violations *faults = world_violations(cell->world);
-
-	if (faults->text[0] != '\0')
-		print_message("oracle: %s\n", faults->text);
-	assert_int_equal(faults->twice, 0);
-	assert_int_equal(faults->limit, 0);
-	assert_int_equal(faults->order, 0);
-	assert_int_equal(faults->budget, 0);
-	assert_int_equal(faults->spread, 0);
-	assert_int_equal(faults->quota, 0);
+	const struct world_violations *violations =
+	    world_violations(cell->world);
+
+	if (violations->text[0] != '\0')
+		print_message("oracle: %s\n", violations->text);
+	assert_int_equal(violations->twice, 0);
+	assert_int_equal(violations->limit, 0);
+	assert_int_equal(violations->order, 0);
+	assert_int_equal(violations->budget, 0);
+	assert_int_equal(violations->spread, 0);
+	assert_int_equal(violations->quota, 0);
 }
 
 size_t
--- a/tests/pool_cell.h
+++ b/tests/pool_cell.h
@@ -10,14 +10,17 @@
 #include "world.h"
 
 #define CELL_NODES 3
+/** Largest number of organisations. */
 #define CELL_ORGS 8
 /** Largest number of workers. */
 #define CELL_WORKERS_MAX 512
-/** Submissions per second that each organisation may send while the pool is
- * full. */
+/** Weight of each organisation, in submissions per second: those beyond it wait
+ * behind the others while the pool is full. */
 #define CELL_WEIGHT 6
 
-/** Injected faults, in percent of the calls concerned unless said otherwise. */
+/** Injected faults, in percent of the calls concerned unless said otherwise. An
+ * order is a call that starts or stops a run; an advice call asks the advice
+ * service to approve workers for a step. */
 struct pool_cell_faults {
 	unsigned int order_lost;     /**< carried out, the answer is lost */
 	unsigned int order_late;     /**< no answer, carried out 2 s later */
@@ -33,19 +36,21 @@
 	bool down_workers_silent; /**< workers that are down do not answer at
 			      all, in place of resetting connections */
 	bool store_down;	  /**< the store refuses all calls */
-	bool store_resets;   /**< calls are neither carried out nor answered */
+	/** The store resets connections: calls are not carried out, which their
+	 * callers cannot know. */
+	bool store_resets;
 	gb_time store_delay; /**< added to each read, twice to each write */
 	uint32_t
 	    partitions_down; /**< bitmask of partitions that are unavailable */
-	/** Bitmask of partitions where reads of the set of workers fail after a
-	 * delay of 0.4 s. */
+	/** Bitmask of partitions where reads of the stored set of workers fail
+	 * after a delay of 0.4 s. */
 	uint32_t set_reads_fail;
 };
 
 struct pool_cell_setup {
 	uint64_t seed;
-	unsigned int workers;
-	gb_res capacity;
+	unsigned int workers;	       /**< number of workers */
+	gb_res capacity;	       /**< of each worker */
 	unsigned int approved_percent; /**< workers approved by the advice
 					  service, 0: no advice needed */
 	gb_time decide_us;	       /**< time of an advice call */
@@ -64,7 +69,8 @@
 	bool accepted; /**< reported as accepted at some time */
 	gb_flow_answer answer;
 	gb_time submitted;
-	gb_time over; /**< when it was first reported as finished, 0: not yet */
+	gb_time finished_at; /**< when it was first reported as finished, 0: not
+				yet */
 	gb_flow_status status;
 };
 
@@ -98,15 +104,18 @@
 	unsigned int (*connected)[CELL_WORKERS_MAX];
 	unsigned int starts;
 	unsigned int advice_calls;
-	gb_time listed_at;     /**< when nodes last got the list of workers */
+	/** When the owner last got the list of workers. A time in the future
+	 * puts off the next list. */
+	gb_time listed_at;
 	unsigned int unlisted; /**< number of workers, from the first, listed as
 				  removed */
-	unsigned int spoiled;  /**< number of workers, from the first, whose
-				  entries are invalid */
+	unsigned int invalid_entries; /**< number of workers, from the first,
+					 whose entries are invalid */
 	/** Number of extra entries, of a service that does not exist, at
 	 * addresses where nothing answers. */
 	unsigned int unknown_workers;
-	bool moved; /**< each entry names the address of the next worker */
+	bool wrong_addresses; /**< each entry names the address of the next
+				 worker */
 	/** Answers to reads take up bandwidth too, on an inbound link as fast
 	 * as the outbound one. */
 	bool inbound_limited;
@@ -117,22 +126,28 @@
 	int log_fd;
 };
 
+/** Creates a cell in which no node owns the pool yet; to be freed with
+ * pool_cell_free(). */
 struct pool_cell *pool_cell_new(const struct pool_cell_setup *);
 void pool_cell_free(struct pool_cell *);
-void pool_cell_run(struct pool_cell *, gb_time how_long);
-/** Lets a node take over the pool from its owner. */
+/** Runs the cell for a duration of virtual time. */
+void pool_cell_run(struct pool_cell *, gb_time duration);
+/** Makes a node start to take over the pool, even from a working owner. */
 void pool_cell_take_over(struct pool_cell *, unsigned int node);
 /** Kills the process of a node and starts a new one without state. */
 void pool_cell_kill(struct pool_cell *, unsigned int node);
-/** Kills the owner of the pool and lets a node take over. */
+/** Kills the owner of the pool, or node 0 if there is none, and makes a node
+ * start to take over. */
 void pool_cell_replace_owner(struct pool_cell *, unsigned int node);
 /** Returns the number of the node that owns the pool, or CELL_NODES if none
  * does. */
 unsigned int pool_cell_owner(const struct pool_cell *);
 
-/** Creates a cell whose first node owns the pool. */
+/** Creates a cell whose node 0 owns the pool; to be freed with
+ * pool_cell_free(). */
 struct pool_cell *pool_cell_begin(const struct pool_cell_setup *);
-/** Asserts that the oracle has seen no violation of a guarantee. */
+/** Asserts that the oracle of the model has found no violation of a guarantee.
+ * Incomplete gangs and starts without a ticket are not checked. */
 void pool_cell_assert_no_violation(const struct pool_cell *);
 /** Sets the quota of an organisation in thousandths of a processor and MB of
  * memory, 0: none, and sends all nodes a new version of the configuration. The
@@ -141,28 +156,33 @@
     struct pool_cell *, const char *org, int64_t cpu, int64_t mem);
 /** Sends all nodes a new version of the configuration. */
 void pool_cell_configure(struct pool_cell *);
-/** Submits a flow of two tasks of 1 s to the queue of lookups. */
+/** Submits a flow of two tasks of 1 s to the queue of lookups; returns its
+ * number. */
 size_t pool_cell_submit_lookup(struct pool_cell *);
 
-/** Submits the flow drafted by the preceding calls of pool_cell_step_add to the
- * owner; returns its number. */
+/** Submits the flow drafted by the preceding calls of pool_cell_step_add() to
+ * the owner; returns its number. `spec` is the specification of its tasks, in
+ * the format that world.h describes. */
 size_t pool_cell_submit(
     struct pool_cell *, const char *queue, const char *spec);
 /** Adds a step of `count` tasks to the flow that is submitted next; `after` is
- * the step that it waits for, -1: none. */
+ * the step that it waits for, -1: none. `cpu` is in thousandths of a processor,
+ * `work` the estimated duration of a task, `flags` are bits GB_STEP_*. */
 void pool_cell_step_add(struct pool_cell *, uint32_t count, int cpu,
     gb_time work, uint32_t flags, int after);
-/** Submits a flow once more, as a caller that got no answer does. */
+/** Submits a flow once more, as a caller that got no answer does. Without an
+ * owner nothing is sent. */
 void pool_cell_resubmit(struct pool_cell *, size_t flow);
 void pool_cell_cancel(struct pool_cell *, size_t flow);
 /** Asks the owner about a flow on behalf of the caller named in the request,
  * then runs the cell for a time. An answer that arrives by then is in the
  * flow. */
 void pool_cell_ask(
-    struct pool_cell *, size_t flow, const gb_flow_ask *, gb_time how_long);
+    struct pool_cell *, size_t flow, const gb_flow_ask *, gb_time duration);
 /** Verdict of the owner on a request for the state of a flow. */
 gb_flow_verdict pool_cell_verdict(struct pool_cell *, size_t flow);
-/** State of a flow as reported by the owner. */
+/** State of a flow as reported by the owner, GB_FLOW_UNKNOWN if there is no
+ * owner. */
 gb_flow_status pool_cell_state(struct pool_cell *, size_t flow);
 
 #endif
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -178,7 +178,7 @@
 			continue;
 		assert_int_equal(flow->status, GB_FLOW_SUCCEEDED);
 		all++;
-		in_time += flow->over - flow->submitted <= most;
+		in_time += flow->finished_at - flow->submitted <= most;
 	}
 	assert_true(in_time * 10 >= all * 9);
 }
--- a/tests/test_entries.c
+++ b/tests/test_entries.c
@@ -1,9 +1,9 @@
 /**
  * @file test_entries.c
- * Guards against entries of the list of workers that do harm: flows that wait
- * for workers which do not exist, runs that are given up or started twice, and
- * takeovers that are delayed.  It comes about when entries are invalid or wrong
- * because others than the workers wrote them.
+ * Guards against flows that wait for workers which do not exist, runs that are
+ * given up or started twice, and takeovers that are delayed.  They come about
+ * when entries of the list of workers are invalid or wrong because something
+ * other than the worker wrote them.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -32,13 +32,13 @@
 	pool_cell_step_add(cell, 1, 1000, 6 * GB_SEC, 0, -1);
 	running = pool_cell_submit(cell, "import", "ms=6000");
 	pool_cell_run(cell, GB_SEC);
-	cell->spoiled = 1;
+	cell->invalid_entries = 1;
 	pool_cell_run(cell, GB_SEC);
 	waiting = pool_cell_submit_lookup(cell);
 	pool_cell_run(cell, 7 * GB_SEC);
 	assert_int_equal(cell->flows[running].status, GB_FLOW_SUCCEEDED);
 	assert_int_equal(cell->starts, 1);
-	cell->spoiled = 0;
+	cell->invalid_entries = 0;
 	pool_cell_run(cell, 3 * GB_SEC);
 	assert_int_equal(cell->flows[waiting].status, GB_FLOW_SUCCEEDED);
 	pool_cell_assert_no_violation(cell);
@@ -52,7 +52,7 @@
 	struct pool_cell *cell = pool_cell_new(&plain);
 
 	(void)state;
-	cell->spoiled = 15;
+	cell->invalid_entries = 15;
 	pool_cell_take_over(cell, 0);
 	pool_cell_run(cell, GB_SEC);
 	pool_cell_step_add(cell, 32, 1000, GB_SEC, 0, -1);
@@ -89,9 +89,9 @@
 	pool_cell_free(cell);
 }
 
-/** Entries name the address of another worker.  Guards against runs of a worker
- * that has answered at its own address being given up as those of an ended
- * incarnation, and started a second time. */
+/** Entries name the address of another worker.  The runs of a worker that
+ * has answered at its own address must not be given up as those of an ended
+ * incarnation and started a second time. */
 static void
 test_wrong_address_ends_no_run(void **state)
 {
@@ -102,7 +102,7 @@
 	pool_cell_step_add(cell, 16, 8000, 6 * GB_SEC, 0, -1);
 	flow = pool_cell_submit(cell, "import", "ms=6000");
 	pool_cell_run(cell, GB_SEC);
-	cell->moved = true;
+	cell->wrong_addresses = true;
 	pool_cell_run(cell, 8 * GB_SEC);
 	assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
 	assert_int_equal(cell->starts, 16);
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -120,9 +120,10 @@
 							 : 2;
 
 		*refused += flow->answer.verdict == GB_FLOW_REFUSED;
-		*in_time += flow->over != 0 &&
-			    flow->status == GB_FLOW_SUCCEEDED &&
-			    flow->over - flow->submitted <= objectives[queue];
+		*in_time +=
+		    flow->finished_at != 0 &&
+		    flow->status == GB_FLOW_SUCCEEDED &&
+		    flow->finished_at - flow->submitted <= objectives[queue];
 	}
 	print_message("in time %u, refused %u of %zu; lapsed %llu\n", *in_time,
 	    *refused, cell->flow_count,
--- a/tests/test_lost_holds.c
+++ b/tests/test_lost_holds.c
@@ -37,7 +37,7 @@
 	pool_cell_run(cell, 4 * GB_SEC);
 	for (i = 0; i < LOOKUP_COUNT; i++) {
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
-		late += cell->flows[i].over - cell->flows[i].submitted >
+		late += cell->flows[i].finished_at - cell->flows[i].submitted >
 			1750 * GB_MSEC;
 	}
 	pool_cell_assert_no_violation(cell);
--- a/tests/test_lost_holds_seed.c
+++ b/tests/test_lost_holds_seed.c
@@ -35,7 +35,7 @@
 	pool_cell_run(cell, 4 * GB_SEC);
 	for (i = 0; i < 100; i++) {
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
-		late += cell->flows[i].over - cell->flows[i].submitted >
+		late += cell->flows[i].finished_at - cell->flows[i].submitted >
 			1750 * GB_MSEC;
 	}
 	print_message("late: %u of 100\n", late);
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -717,8 +717,9 @@
 	pool_cell_run(cell, 20 * GB_SEC);
 	for (i = 0; i < 16; i++) {
 		assert_int_equal(cell->flows[i].status, GB_FLOW_SUCCEEDED);
-		assert_true(cell->flows[i].over - cell->flows[i].submitted <
-			    27 * GB_SEC);
+		assert_true(
+		    cell->flows[i].finished_at - cell->flows[i].submitted <
+		    27 * GB_SEC);
 	}
 	/* No task was stopped twice, and few were stopped at all. */
 	assert_in_range(cell->starts, 128 + 8 + 8, 128 + 8 + 64);
@@ -1123,7 +1124,7 @@
 		assert_true(world_flow_view(cell->world, f->spec.id, &view));
 	}
 	pool_cell_run(cell, 5 * GB_MSEC);
-	assert_int_equal(f->over, 0);
+	assert_int_equal(f->finished_at, 0);
 	pool_cell_ask(cell, flow, &ask, how_long);
 	return f->answered ? f->answer.status : GB_FLOW_UNKNOWN;
 }
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -25,8 +25,8 @@
 static bool
 in_time(const struct pool_cell_flow *flow)
 {
-	return flow->over != 0 && flow->status == GB_FLOW_SUCCEEDED &&
-	       flow->over - flow->submitted <= OBJECTIVE;
+	return flow->finished_at != 0 && flow->status == GB_FLOW_SUCCEEDED &&
+	       flow->finished_at - flow->submitted <= OBJECTIVE;
 }
 
 /** Submits a burst of gangs that needs twice what the pool can do within their
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -58,8 +58,9 @@
 		if (flow->accepted)
 			assert_int_equal(flow->status, GB_FLOW_SUCCEEDED);
 		if (strcmp(flow->spec.org, "other") == 0)
-			count += flow->over != 0 &&
-				 flow->over - flow->submitted <= OBJECTIVE;
+			count +=
+			    flow->finished_at != 0 &&
+			    flow->finished_at - flow->submitted <= OBJECTIVE;
 	}
 	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
