--- a/tests/test_crash.c
+++ b/tests/test_crash.c
@@ -1,9 +1,9 @@
 /**
  * @file test_crash.c
- * Tasks that crash every worker that starts them. The owner learns of such a
- * crash only from the loss of the worker, which reports no end of the run; if
- * ends reported by workers were the only failed attempts, the task would be
- * restarted without limit and take the other runs of each worker with it.
+ * Guards against a task that crashes every worker that starts it and is started
+ * again without limit, each time ending the other runs of the worker. This
+ * comes about when only ends that workers report count as failed attempts, as a
+ * crashed worker reports none.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,12 +15,14 @@
 
 #include "pool_cell.h"
 
-/** Most starts of a task that crashes its workers: once three workers have
- * crashed under it, only two more are allowed. */
+/** Largest number of starts of a task that crashes its workers: after three
+ * workers have crashed under it, only two more starts are allowed. */
 #define STARTS_MAX 5
 
+/** 24 workers with 16 processors and 64 GB each, without advice service. */
 static const struct pool_cell_setup pool24 = {
     11, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
+/** 48 workers, of which the advice service approves 40%. */
 static const struct pool_cell_setup advised48 = {12, 48,
     {32000, 128000, 0, 0, 0}, 40, 20 * GB_MSEC, 2500 * GB_MSEC, 200, 0, 0};
 
@@ -101,6 +103,7 @@
 	pool_cell_assert_no_violation(cell);
 }
 
+/** Submits a flow of one task, which `spec` can make crash its workers. */
 static size_t
 submit_crasher(struct pool_cell *cell, const char *spec)
 {
@@ -417,8 +420,8 @@
 	}
 }
 
-/** Load: all workers are lost and come back at once, and the owner notices it
- * first for the busy ones. What it starts on the others goes to incarnations
+/** All workers are lost and come back at once, and the owner notices it first
+ * for the busy ones. What it starts on the others goes to incarnations
  * that have ended, and must not be taken for a cause of crashes. */
 static void
 test_ended_incarnations_fail_no_flow(void **state)
--- a/tests/test_crash_racks.c
+++ b/tests/test_crash_racks.c
@@ -1,8 +1,9 @@
 /**
  * @file test_crash_racks.c
- * Racks that are lost under a task, several times. From the losses of workers
- * alone, this cannot be told from tasks that crash their workers at the same
- * time, so that the task may be failed without having caused a crash.
+ * Guards against a task that counts as failed because several racks it ran on
+ * were lost one after the other. To the owner, which sees only that workers are
+ * lost, this looks like several tasks that crash their workers at the same
+ * time.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,9 +17,12 @@
 
 #define RACK_WORKERS 8
 
+/** 24 workers with 16 processors and 64 GB each, without advice service. */
 static const struct pool_cell_setup pool24 = {
     11, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
+/** Runs the cell for a number of tenths of a second, with a lookup every
+ * 0.2 s. */
 static void
 run_with_load(struct pool_cell *cell, unsigned int tenths)
 {
@@ -31,8 +35,8 @@
 	}
 }
 
-/** Crashes the rack where a flow runs, a number of tenths of a second after it
- * was seen to run, and brings it back 1.5 s later. */
+/** Waits until a flow runs and for a number of tenths of a second more, crashes
+ * the rack that it runs on, and brings the rack back 1.5 s later. */
 static void
 lose_rack_of(struct pool_cell *cell, size_t flow, unsigned int tenths)
 {
--- a/tests/test_crash_takeover.c
+++ b/tests/test_crash_takeover.c
@@ -1,9 +1,8 @@
 /**
  * @file test_crash_takeover.c
- * Owners that are killed soon after they have started a task that crashes its
- * workers, before they notice the loss of the worker. A successor that does not
- * know of the start cannot count the crash, so that the task could be started
- * without limit.
+ * Guards against a task that crashes its workers and is started without limit
+ * because each owner is killed before it notices the loss of the worker. A
+ * successor that does not know of the start cannot count the crash.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,6 +13,7 @@
 
 #include "pool_cell.h"
 
+/** 24 workers with 16 processors and 64 GB each, without advice service. */
 static const struct pool_cell_setup pool24 = {
     11, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
@@ -72,7 +72,7 @@
 	world_worker_replace(cell->world, worker);
 }
 
-/** Load: an owner and a worker are lost together while a step waits that allows
+/** An owner and a worker are lost together while a step waits that allows
  * one task per worker. All tasks finish, and no worker gets two at a time. */
 static void
 test_per_worker_limit_over_takeover(void **state)
@@ -91,7 +91,7 @@
 	pool_cell_free(cell);
 }
 
-/** Load: the only worker is lost with its owner, and has capacity for one task
+/** The only worker is lost with its owner, and has capacity for one task
  * at a time. All tasks of the flow finish. */
 static void
 test_single_slot_over_takeover(void **state)
@@ -112,7 +112,7 @@
 	pool_cell_free(cell);
 }
 
-/** A pool of 48 workers with twice the capacity. */
+/** 48 workers with twice the capacity of those of pool24. */
 static const struct pool_cell_setup pool48 = {
     12, 48, {32000, 128000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
@@ -133,7 +133,7 @@
 	}
 }
 
-/** Load: for 10 s, flows that crash their workers are submitted beside others
+/** For 10 s, flows that crash their workers are submitted beside others
  * that do not, so that two or three workers crash per second, while the owner
  * is killed every `tenths` tenths of a second. */
 static void
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -1,8 +1,9 @@
 /**
  * @file test_pool.c
- * Guarantees of the pool core: each accepted flow finishes, and no task runs
- * twice at once or after it is done. Tests inject one fault at a time, among
- * them each fault that once broke a guarantee, and then several at random.
+ * Guards the guarantees of the pool core: each accepted flow finishes, and no
+ * task runs twice at once or after it is done. They are at risk when calls are
+ * lost, owners and workers end or the store is unavailable; the tests inject
+ * such faults one at a time, and then several at random.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,8 +16,10 @@
 #include "pool_cell.h"
 #include "pool_random.h"
 
+/** 16 workers with 16 processors and 64 GB each, without advice service. */
 static const struct pool_cell_setup plain = {
     1, 16, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
+/** 48 workers, of which the advice service approves 30%. */
 static const struct pool_cell_setup advised = {
     2, 48, {16000, 64000, 0, 0, 0}, 30, 100 * GB_MSEC, 1500 * GB_MSEC, 0, 0, 0};
 
@@ -120,9 +123,9 @@
 	pool_cell_free(cell);
 }
 
-/* Former failures --------------------------------------------------------- */
+/* Regressions ------------------------------------------------------------- */
 
-/** A gang that needs nearly whole workers must not wait for ever on a pool that
+/** A gang that needs nearly whole workers must not wait forever on a pool that
  * small tasks keep busy. */
 static void
 test_gang_gets_capacity_on_busy_pool(void **state)
@@ -219,8 +222,8 @@
 }
 
 /** Entries of workers expire while the store is unavailable. A new owner must
- * send heartbeats to unlisted workers too, or it starts again what has ended on
- * them. */
+ * send heartbeats to unlisted workers too, or it restarts tasks that have ended
+ * on them. */
 static void
 test_unlisted_workers_get_heartbeats(void **state)
 {
@@ -245,8 +248,8 @@
 	pool_cell_free(cell);
 }
 
-/** A worker fails every task while others succeed. It must be quarantined, so
- * that flows with few attempts succeed. */
+/** Two workers fail every task while the others succeed. They must be
+ * quarantined, so that flows with few attempts succeed. */
 static void
 test_failing_worker_is_quarantined(void **state)
 {
@@ -270,8 +273,8 @@
 	pool_cell_free(cell);
 }
 
-/** Orders get no answer. A gang must still be complete within the time that its
- * members wait for each other. */
+/** Orders get no answer or arrive late. A gang must still be
+ * complete within the time that its members wait for each other. */
 static void
 test_gang_completes_over_lost_orders(void **state)
 {
@@ -295,8 +298,9 @@
 
 /* Takeovers --------------------------------------------------------------- */
 
-/** The list names an ended incarnation at the address of a worker after the
- * current one. The runs of the current one must not be taken for lost. */
+/** After the entry of a worker, the list contains an older one for the same
+ * address, of an incarnation that has ended. The runs of the current one must
+ * not be taken for lost. */
 static void
 test_stale_entry_keeps_incarnation(void **state)
 {
@@ -342,7 +346,8 @@
 	pool_cell_free(cell);
 }
 
-/** Makes a new version with one queue more, without sending it to any node. */
+/** Makes a new version of the configuration with one queue more, without
+ * sending it to any node. */
 static struct gb_pool_config *
 config_with_queue(const struct pool_cell *cell, const char *name)
 {
@@ -360,8 +365,9 @@
 	return config;
 }
 
-/** Submits a flow of a queue of a newer version to an owner that has it, then
- * kills this owner; its successor has the older version. */
+/** Submits a flow to a queue that only the owner knows, from a newer version of
+ * the configuration, then kills the owner; its successor has the older
+ * version. */
 static size_t
 submit_with_newer_config(struct pool_cell *cell)
 {
@@ -499,9 +505,9 @@
 	pool_cell_free(cell);
 }
 
-/** Load: some partitions of the store become unavailable. Requests for the
- * others are served as before, and those for the missing ones are rejected at
- * once and accepted afterwards. */
+/** Some partitions of the store become unavailable. Requests for the others are
+ * served as before, and those for the unavailable ones are rejected at once and
+ * accepted afterwards. */
 static void
 test_partial_outage_of_the_store(void **state)
 {
@@ -537,9 +543,10 @@
 	pool_cell_free(cell);
 }
 
-/** Load: the owner is killed while two of five partitions are unavailable. Its
- * successor works on the others at once; runs of the missing ones continue, and
- * workers keep their ends until the partitions are available. */
+/** The owner is killed while two of five partitions are unavailable. Its
+ * successor works on the others at once. Runs of flows in the unavailable ones
+ * continue, and workers keep the ends of these runs until the partitions are
+ * available. */
 static void
 test_takeover_without_some_partitions(void **state)
 {
@@ -632,9 +639,9 @@
 	pool_cell_free(cell);
 }
 
-/** A node that lost the claim still claims two partitions and continues; the
- * winner owns the pool and then releases it. The loser must not own the pool at
- * the same epoch, as no worker could tell the two apart. */
+/** A node that has lost the claim is still claiming two partitions; the winner
+ * owns the pool and then releases it. The loser must not own the pool at the
+ * same epoch, as no worker could tell the two owners apart. */
 static void
 test_epoch_has_one_owner(void **state)
 {
@@ -663,7 +670,7 @@
 	pool_cell_free(cell);
 }
 
-/** Load: an owner stops while a partition is unavailable. Writes that are
+/** An owner stops while a partition is unavailable. Writes that are
  * pending for it must not delay the handover, which would leave the pool
  * without an owner. */
 static void
@@ -691,10 +698,10 @@
 	pool_cell_free(cell);
 }
 
-/** Load: imports with checkpoints, which may take four times as long as their
- * work, fill the pool, and a gang comes that may take about twice as long as
- * its work. It starts at once, and the imports, each stopped once at most,
- * still finish in time. */
+/** The pool is full of imports with checkpoints, whose objective is four times
+ * their work, when a gang is submitted, whose objective is about twice its
+ * work. It starts at once, and the imports, each stopped once at most, still
+ * finish in time. */
 static void
 test_gang_preempts_imports(void **state)
 {
@@ -727,7 +734,7 @@
 	pool_cell_free(cell);
 }
 
-/** Load: on a large pool, an advice call about a hundred workers takes longer
+/** On a large pool, an advice call about a hundred workers takes longer
  * than a gang can wait. The owner must ask several members in parallel. */
 static void
 test_gang_uses_several_channels(void **state)
@@ -795,12 +802,12 @@
  * 3 s that callers wait, and that no caller is told that the store is
  * unavailable. */
 static void
-assert_slow_store_accepts(gb_time slow)
+assert_slow_store_accepts(gb_time delay)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	size_t i;
 
-	cell->faults.store_delay = slow;
+	cell->faults.store_delay = delay;
 	for (i = 0; i < 30; i++) {
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 50 * GB_MSEC);
@@ -813,7 +820,7 @@
 	pool_cell_free(cell);
 }
 
-/** Load: the store is far slower than usual, with 0.4 s for a read and 0.8 s
+/** The store is far slower than usual, with 0.4 s for a read and 0.8 s
  * for a write. */
 static void
 test_slow_store_accepts_flows(void **state)
@@ -822,7 +829,7 @@
 	assert_slow_store_accepts(390 * GB_MSEC);
 }
 
-/** Load: a read takes 0.44 s, longer than the timeout of reads while the store
+/** A read takes 0.44 s, longer than the timeout of reads while the store
  * is quick. If the probe of the store times out with them, the store counts as
  * unavailable and all flows that wait for a write are rejected. */
 static void
@@ -834,7 +841,8 @@
 
 #define BURST_FLOWS 1200
 
-/** Notes the waiting time of each caller that has been answered since. */
+/** Records the waiting time of each caller that has been answered since the
+ * last call. */
 static void
 burst_note_waits(const struct pool_cell *cell, gb_time *waits)
 {
@@ -846,10 +854,10 @@
 	}
 }
 
-/** Submits lookups at intervals of `each` during `lasts` while the store takes
- * 0.87 s for a write, and asserts that each is accepted within `most`. */
+/** Submits lookups at an interval for a duration while the store takes 0.87 s
+ * for a write, and asserts that each is accepted within `wait_max`. */
 static void
-assert_burst_accepted(gb_time each, gb_time lasts, gb_time most)
+assert_burst_accepted(gb_time interval, gb_time duration, gb_time wait_max)
 {
 	struct pool_cell *cell = pool_cell_begin(&plain);
 	gb_time waits[BURST_FLOWS] = {0};
@@ -858,8 +866,8 @@
 	size_t i;
 
 	cell->faults.store_delay = 430 * GB_MSEC;
-	for (at = 0; at < lasts + most; at += 5 * GB_MSEC) {
-		for (; next <= at && at < lasts; next += each)
+	for (at = 0; at < duration + wait_max; at += 5 * GB_MSEC) {
+		for (; next <= at && at < duration; next += interval)
 			pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 5 * GB_MSEC);
 		burst_note_waits(cell, waits);
@@ -867,16 +875,16 @@
 	for (i = 0; i < cell->flow_count; i++) {
 		assert_int_equal(
 		    cell->flows[i].answer.verdict, GB_FLOW_ACCEPTED);
-		assert_true(waits[i] > 0 && waits[i] < most);
+		assert_true(waits[i] > 0 && waits[i] < wait_max);
 	}
 	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
 
-/** Load: 200 lookups per second for 6 s on a slow store. A transaction holds 46
- * flows, and each partition handles one at a time, which makes 264 flows per
- * second, new and finished ones together. New flows must not queue behind
- * finished ones: none waits for more than two writes. */
+/** 200 lookups per second are submitted for 6 s on a slow store. A transaction
+ * holds 46 flows, and each partition handles one at a time, which makes 264
+ * flows per second, new and finished ones together. New flows must not queue
+ * behind finished ones: none waits for more than two writes. */
 static void
 test_slow_store_accepts_a_burst(void **state)
 {
@@ -884,8 +892,8 @@
 	assert_burst_accepted(5 * GB_MSEC, 6 * GB_SEC, 1800 * GB_MSEC);
 }
 
-/** Load: 300 lookups per second, more than the store can write. All callers get
- * their answer within their 3 s. */
+/** 300 lookups per second are submitted, more than the store can write. All
+ * callers get their answer within their 3 s. */
 static void
 test_slow_store_accepts_larger_burst(void **state)
 {
@@ -893,9 +901,10 @@
 	assert_burst_accepted(GB_SEC / 300, 3 * GB_SEC, 3 * GB_SEC);
 }
 
-/** Load: the store resets every connection for 4 s while 20 flows per second
- * are submitted. Their callers are told at once to retry; only those whose
- * write was lost when this began wait, and are accepted when it ends. */
+/** The store resets every connection for 4 s while 20 flows per second are
+ * submitted. Their callers are told at once to retry, except those whose write
+ * was in flight when the resets began: they wait until the store works again.
+ */
 static void
 test_resetting_store_rejects_at_once(void **state)
 {
@@ -952,11 +961,11 @@
 	pool_cell_free(cell);
 }
 
-/** Runs the cell for `most`; returns how long the pool had no owner. */
+/** Runs the cell for a duration; returns how long the pool had no owner. */
 static gb_time
-time_without_owner(struct pool_cell *cell, gb_time most)
+time_without_owner(struct pool_cell *cell, gb_time duration)
 {
-	gb_time until = cell->now + most;
+	gb_time until = cell->now + duration;
 	gb_time without = 0;
 
 	while (cell->now < until) {
@@ -967,30 +976,29 @@
 	return without;
 }
 
-/** Load: the owner is stopped while the store takes 0.11 s for a read and 0.21
- * s for a write, and callers continue. It serves until the claim of its
- * successor is stored. The pool must be without an owner for three answers of
- * the store at most, and for less than half the time that a release before the
- * claim takes. */
+/** The owner stops while the store takes 0.11 s for a read and 0.21 s for a
+ * write. If it serves until the claim of its successor is stored, the pool must
+ * be without an owner for at most 0.4 s, and for at most half as long as if the
+ * owner releases the pool before the claim. */
 static void
 test_owner_serves_until_claim(void **state)
 {
 	struct pool_cell *cell;
 	gb_time without[2];
-	int first;
+	int handed_over;
 
 	(void)state;
-	for (first = 0; first < 2; first++) {
+	for (handed_over = 0; handed_over < 2; handed_over++) {
 		cell = pool_cell_begin(&plain);
 		cell->faults.store_delay = 100 * GB_MSEC;
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 300 * GB_MSEC);
-		if (first == 0) {
+		if (handed_over == 0) {
 			gb_pool_release(cell->nodes[0], cell->now);
 			pool_cell_run(cell, 250 * GB_MSEC);
 		}
 		pool_cell_take_over(cell, 1);
-		without[first] = time_without_owner(cell, 4 * GB_SEC);
+		without[handed_over] = time_without_owner(cell, 4 * GB_SEC);
 		assert_int_equal(pool_cell_owner(cell), 1);
 		pool_cell_submit_lookup(cell);
 		pool_cell_run(cell, 4 * GB_SEC);
@@ -1034,7 +1042,7 @@
 	free(puts[1].value.gb_body_val);
 }
 
-/** Stores a flow of two tasks of 1 s in this way. */
+/** Stores a flow of two tasks of 1 s with store_without_owner(). */
 static void
 submit_without_owner(
     struct pool_cell *cell, const char *queue, uint64_t version)
@@ -1080,9 +1088,9 @@
 	pool_cell_free(cell);
 }
 
-/** Load: a flow was stored while there was no owner, and the owner that finds
- * it is replaced at various times after. The successor must not take it for a
- * flow that no owner has started. */
+/** A flow was stored while there was no owner, and the owner that finds it is
+ * replaced after various delays. The successor must not take it for a flow that
+ * no owner has started. */
 static void
 test_inbox_flow_is_marked_before_start(void **state)
 {
@@ -1109,11 +1117,11 @@
 	}
 }
 
-/** Asks for the state of a flow as soon as all its tasks have ended, and waits
- * up to `how_long`; returns the status in the answer, or unknown if there is
- * none. */
+/** Asks for the state of a flow as soon as all its tasks have ended, and runs
+ * the cell for a duration; returns the status in the answer, GB_FLOW_UNKNOWN if
+ * there is none by then. */
 static gb_flow_status
-ask_at_the_end(struct pool_cell *cell, size_t flow, gb_time how_long)
+ask_at_the_end(struct pool_cell *cell, size_t flow, gb_time duration)
 {
 	const struct pool_cell_flow *f = &cell->flows[flow];
 	struct world_flow_view view = {0};
@@ -1125,7 +1133,7 @@
 	}
 	pool_cell_run(cell, 5 * GB_MSEC);
 	assert_int_equal(f->finished_at, 0);
-	pool_cell_ask(cell, flow, &ask, how_long);
+	pool_cell_ask(cell, flow, &ask, duration);
 	return f->answered ? f->answer.status : GB_FLOW_UNKNOWN;
 }
 
@@ -1152,12 +1160,12 @@
 
 /* Random faults ----------------------------------------------------------- */
 
-/** Seeds that once broke a guarantee. */
+/** Regressions that occur only with certain seeds. */
 static void
 test_seeds_that_failed(void **state)
 {
-	/* Owners that were killed took the knowledge of crashed workers with
-	 * them. */
+	/* Guards against killed owners that have not stored which workers have
+	 * crashed. */
 	static const uint64_t seeds[] = {3, 36, 200, 615, 702, 802};
 	size_t i;
 
