--- a/tests/test_crash.c
+++ b/tests/test_crash.c
@@ -421,8 +421,8 @@
 }
 
 /** All workers are lost and come back at once, and the owner notices it first
- * for the busy ones. What it starts on the others goes to incarnations
- * that have ended, and must not be taken for a cause of crashes. */
+ * for the busy ones. What it starts on the others goes to incarnations that
+ * have ended, and must not be taken for a cause of crashes. */
 static void
 test_ended_incarnations_fail_no_flow(void **state)
 {
--- a/tests/test_crash_racks.c
+++ b/tests/test_crash_racks.c
@@ -21,8 +21,8 @@
 static const struct pool_cell_setup pool24 = {
     11, 24, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
-/** Runs the cell for a number of tenths of a second, with a lookup every
- * 0.2 s. */
+/** Runs the cell for a number of tenths of a second, with a lookup every 0.2
+ * s. */
 static void
 run_with_load(struct pool_cell *cell, unsigned int tenths)
 {
--- a/tests/test_crash_takeover.c
+++ b/tests/test_crash_takeover.c
@@ -72,8 +72,8 @@
 	world_worker_replace(cell->world, worker);
 }
 
-/** An owner and a worker are lost together while a step waits that allows
- * one task per worker. All tasks finish, and no worker gets two at a time. */
+/** An owner and a worker are lost together while a step waits that allows one
+ * task per worker. All tasks finish, and no worker gets two at a time. */
 static void
 test_per_worker_limit_over_takeover(void **state)
 {
@@ -91,8 +91,8 @@
 	pool_cell_free(cell);
 }
 
-/** The only worker is lost with its owner, and has capacity for one task
- * at a time. All tasks of the flow finish. */
+/** The only worker is lost with its owner, and has capacity for one task at a
+ * time. All tasks of the flow finish. */
 static void
 test_single_slot_over_takeover(void **state)
 {
@@ -133,9 +133,9 @@
 	}
 }
 
-/** For 10 s, flows that crash their workers are submitted beside others
- * that do not, so that two or three workers crash per second, while the owner
- * is killed every `tenths` tenths of a second. */
+/** For 10 s, flows that crash their workers are submitted beside others that do
+ * not, so that two or three workers crash per second, while the owner is killed
+ * every `tenths` tenths of a second. */
 static void
 run_crashers_and_kill_owners(
     unsigned int tenths, uint64_t seed, bool workers_silent)
--- a/tests/test_entries.c
+++ b/tests/test_entries.c
@@ -89,8 +89,8 @@
 	pool_cell_free(cell);
 }
 
-/** Entries name the address of another worker.  The runs of a worker that
- * has answered at its own address must not be given up as those of an ended
+/** Entries name the address of another worker.  The runs of a worker that has
+ * answered at its own address must not be given up as those of an ended
  * incarnation and started a second time. */
 static void
 test_wrong_address_ends_no_run(void **state)
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -1,10 +1,10 @@
 /**
  * @file test_node.c
  * Guards against flows that are lost or rejected while the owner can't store
- * them, handovers that leave the pool without an owner, old configurations and
- * missing log lines.  They come about when three nodes, connected over their
- * peer ports, misread each other's answers or those of the store, which is the
- * model of the platform.
+ * them, handovers that leave the pool without an owner, nodes that keep an old
+ * configuration, and missing log lines.  They come about when a node misreads
+ * answers of other nodes or of the store.  Runs three nodes, connected over
+ * their peer ports, with the model of the platform as the store.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -33,7 +33,7 @@
 
 struct cell;
 
-/** A call of a node to the tables whose answer is not delivered yet. */
+/** A call of a node to the store whose answer is not delivered yet. */
 struct table_call {
 	TAILQ_ENTRY(table_call) next;
 	unsigned int node; /**< number of the node */
@@ -45,7 +45,7 @@
 
 TAILQ_HEAD(table_calls, table_call);
 
-/** Argument of a node's platform operations. */
+/** Context of a node's platform operations. */
 struct node_context {
 	struct cell *cell;
 	unsigned int number; /**< of the node */
@@ -53,22 +53,23 @@
 
 struct cell {
 	uv_loop_t loop;
-	uv_timer_t timer; /**< delivers the answers of the tables */
+	uv_timer_t timer; /**< delivers the answers of the store */
 	struct world *world;
 	struct gb_node *nodes[NODES];
 	struct node_context contexts[NODES];
 	const struct gb_env *env;
-	bool store_refuses[NODES]; /**< the tables reject this node's calls */
+	bool store_refuses[NODES]; /**< the store rejects this node's calls */
 	struct table_calls calls;
-	unsigned int writes[NODES]; /**< writes that the tables carried out */
+	unsigned int writes[NODES]; /**< writes that the store carried out */
 	FILE *log;		    /**< structured log lines of all nodes */
 	bool answered;		    /**< the submission that is pending */
 	gb_flow_answer answer;
 };
 
+/** An environment without a limit on the link. */
 static const struct gb_env env = {NULL, NULL, NULL, NULL};
-/** A node can't be freed before the process ends, so that cells stay allocated;
- * each has addresses of its own. */
+/** A node can't be freed before the process ends, so cells stay allocated; each
+ * has addresses of its own. */
 static struct cell *cells[CELLS_MAX];
 static unsigned int cell_count;
 
@@ -145,8 +146,8 @@
 	(void)on;
 }
 
-/** Configurations can't be decoded, as by a program that is too old for them.
- */
+/** Set: configurations can't be decoded, as by a program that is too old for
+ * them. */
 static bool config_unreadable;
 
 static struct gb_pool_config *
@@ -171,7 +172,7 @@
 	return config;
 }
 
-/** Delivers the answers to all calls to the tables. */
+/** Delivers the answers to all calls to the store. */
 static void
 on_timer(uv_timer_t *timer)
 {
@@ -294,7 +295,7 @@
 	assert_true(cell_ready(cell));
 }
 
-/** Runs the loop for some real time. */
+/** Runs the loop for a duration of real time. */
 static void
 cell_run(struct cell *cell, gb_time duration)
 {
@@ -558,8 +559,8 @@
 }
 
 /** A node that has known for a while that the new owner is loading the tables
- * stores flows itself.  Sending them to the owner over and over would fill the
- * link that the owner loads through. */
+ * stores flows itself.  Sending them to the owner repeatedly would fill the
+ * link over which the owner loads the tables. */
 static void
 test_flows_are_kept_from_loading_owner(void **state)
 {
@@ -577,9 +578,9 @@
 	assert_int_equal(cell->writes[other], writes + 1);
 }
 
-/** While the pool has been without an owner for long, a node stores only as
- * many flows for the next owner as a link like its own carries, and rejects the
- * rest at once. */
+/** When the pool has been without an owner for long, a node stores only as many
+ * flows for the next owner as a link of its own bandwidth carries, and rejects
+ * the rest at once. */
 static void
 test_link_bounds_flows_without_owner(void **state)
 {
@@ -590,7 +591,7 @@
 	unsigned int i;
 
 	(void)state;
-	thin_env.link = gb_link_new(2000);
+	thin_env.link = gb_link_new(2000); /* bytes a second */
 	cell = cell_start_in(&thin_env);
 	cell_wait_ready(cell);
 	other = cell->nodes[(cell_owner(cell) + 1) % NODES];
@@ -644,8 +645,8 @@
 	cell_wait_ready(cell);
 	owner = cell_owner(cell);
 	other = (owner + 1) % NODES;
-	/* The percentage that the owner reports; without a bandwidth in its
-	 * settings it reports 0 itself. */
+	/* Stands for the percentage that an owner reports; this one reports 0,
+	 * as it has no bandwidth in its settings. */
 	cell->nodes[other]->owner_shed_percent = 100;
 	cell_submit(cell, other, "00000000000000c0");
 	assert_int_equal(cell->answer.verdict, GB_FLOW_REFUSED);
@@ -761,7 +762,8 @@
 }
 
 /** Gives an address at which connections are neither established nor refused,
- * because the listener's backlog is full. */
+ * because the listener's backlog is full.  The sockets stay open until the
+ * process ends. */
 static void
 hanging_address(char addr[GB_NAME_MAX + 1])
 {
@@ -787,7 +789,8 @@
 }
 
 /** Guards against packets lost on a cut path that count as a refused
- * connection, by which a node takes the pool without polling the members. */
+ * connection, after which a node takes over the pool without polling the
+ * members. */
 static void
 test_hanging_connection_is_not_refused(void **state)
 {
@@ -799,7 +802,7 @@
 	(void)state;
 	cell_wait_ready(cell);
 	node = cell->nodes[(cell_owner(cell) + 1) % NODES];
-	/* Otherwise it learns of the real owner from the row. */
+	/* Otherwise it learns of the real owner from the owner's row. */
 	cell->store_refuses[(cell_owner(cell) + 1) % NODES] = true;
 	hanging_address(addr);
 	watch_pool_handed_over(
@@ -810,8 +813,8 @@
 	assert_int_equal(node->watch.refused, 0);
 }
 
-/** Guards against a former owner that knows no members, polls none of them, and
- * takes the pool back from an owner that all others reach. */
+/** Guards against a former owner that knows no members, so that it polls none
+ * and takes the pool back from an owner that all others reach. */
 static void
 test_former_owner_knows_the_members(void **state)
 {
@@ -833,8 +836,8 @@
 }
 
 /** 97 nodes send five hellos a second each.  The owner sends the list of
- * members only to nodes that do not have its newest version, and so again after
- * a member has joined. */
+ * members only to nodes that do not have its newest version, and to all of them
+ * again after a member has joined. */
 static void
 test_list_of_members_is_sent_once(void **state)
 {
@@ -869,8 +872,8 @@
 	free(res.members.members_val);
 }
 
-/** Delivers to an owner a hello of a member.
- * @param up age of the member's process
+/** Delivers a hello of a member to the owner.
+ * @param up time since the member's process started
  */
 static void
 member_hello(
@@ -886,6 +889,7 @@
 	node_member_hello_received(owner, &hello);
 }
 
+/** Returns the address of the first node in the order of succession. */
 static const char *
 first_successor(struct gb_node *owner)
 {
@@ -914,7 +918,8 @@
 	assert_string_equal(first_successor(owner), a);
 	member_hello(owner, b, 2, 4980 * GB_MSEC);
 	assert_string_equal(first_successor(owner), a);
-	/* A restarted process is expected to run longest, so it is first. */
+	/* The process that started last is expected to run longest, so it is
+	 * first. */
 	member_hello(owner, b, 3, 1000 * GB_MSEC);
 	assert_string_equal(first_successor(owner), b);
 }
@@ -977,7 +982,7 @@
 	assert_counter(node, "gooseberry_owner_silences", 2);
 }
 
-/** Guards against a node that takes the pool over and later logs an answer of
+/** Guards against a node that takes over the pool and later logs an answer of
  * an earlier owner as the end of a silence, which would include the time for
  * which it owned the pool itself. */
 static void
@@ -1085,7 +1090,7 @@
 }
 
 /** Guards against log lines of a deposed owner that do not name the node that
- * took the pool. */
+ * took over the pool. */
 static void
 test_lost_pool_names_the_winner(void **state)
 {
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -273,8 +273,8 @@
 	pool_cell_free(cell);
 }
 
-/** Orders get no answer or arrive late. A gang must still be
- * complete within the time that its members wait for each other. */
+/** Orders get no answer or arrive late. A gang must still be complete within
+ * the time that its members wait for each other. */
 static void
 test_gang_completes_over_lost_orders(void **state)
 {
@@ -670,9 +670,9 @@
 	pool_cell_free(cell);
 }
 
-/** An owner stops while a partition is unavailable. Writes that are
- * pending for it must not delay the handover, which would leave the pool
- * without an owner. */
+/** An owner stops while a partition is unavailable. Writes that are pending for
+ * it must not delay the handover, which would leave the pool without an
+ * owner. */
 static void
 test_release_skips_unavailable(void **state)
 {
@@ -734,8 +734,8 @@
 	pool_cell_free(cell);
 }
 
-/** On a large pool, an advice call about a hundred workers takes longer
- * than a gang can wait. The owner must ask several members in parallel. */
+/** On a large pool, an advice call about a hundred workers takes longer than a
+ * gang can wait. The owner must ask several members in parallel. */
 static void
 test_gang_uses_several_channels(void **state)
 {
@@ -820,8 +820,8 @@
 	pool_cell_free(cell);
 }
 
-/** The store is far slower than usual, with 0.4 s for a read and 0.8 s
- * for a write. */
+/** The store is far slower than usual, with 0.4 s for a read and 0.8 s for a
+ * write. */
 static void
 test_slow_store_accepts_flows(void **state)
 {
@@ -829,8 +829,8 @@
 	assert_slow_store_accepts(390 * GB_MSEC);
 }
 
-/** A read takes 0.44 s, longer than the timeout of reads while the store
- * is quick. If the probe of the store times out with them, the store counts as
+/** A read takes 0.44 s, longer than the timeout of reads while the store is
+ * quick. If the probe of the store times out with them, the store counts as
  * unavailable and all flows that wait for a write are rejected. */
 static void
 test_slow_store_is_not_unavailable(void **state)
@@ -903,8 +903,8 @@
 
 /** The store resets every connection for 4 s while 20 flows per second are
  * submitted. Their callers are told at once to retry, except those whose write
- * was in flight when the resets began: they wait until the store works again.
- */
+ * was in flight when the resets began: they wait until the store works
+ * again. */
 static void
 test_resetting_store_rejects_at_once(void **state)
 {
--- a/tests/test_takeovers.c
+++ b/tests/test_takeovers.c
@@ -1,9 +1,10 @@
 /**
  * @file test_takeovers.c
- * Guards against a pool whose owner changes over and over while paths are cut,
- * or everything is slow or pauses, and against a dead owner that is succeeded
- * late.  Both come about when nodes misjudge an owner's silence.  Simulates
- * eight nodes, the owner's row and the paths between nodes in virtual time.
+ * Guards against a pool whose owner changes repeatedly while paths between
+ * nodes are cut, or paths, the store or nodes are slow, and against a dead
+ * owner that is succeeded late.  Both come about when nodes misjudge an owner's
+ * silence. Simulates eight nodes, the owner's row and the paths between nodes
+ * in virtual time.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,6 +19,8 @@
 
 #define NODES 8
 #define NO_OWNER NODES
+/** Processor of each node, in thousandths. */
+#define NODE_CPU_MILLI 250
 #define STEP (5 * GB_MSEC)
 #define READ_DURATION (4 * GB_MSEC)
 #define CLAIM_DURATION (15 * GB_MSEC)
@@ -54,6 +57,7 @@
 	gb_time sent_at;
 };
 
+/** CLAIMING and LOADING are the two phases of a takeover. */
 enum role { MEMBER, CLAIMING, LOADING, OWNER };
 
 struct node {
@@ -155,8 +159,8 @@
 }
 
 /** Rank of a member in the order of succession.  In this model that is the
- * order of the indexes of the members that the owner has lately had a hello
- * from. */
+ * order of the indexes of the members from which the owner has recently
+ * received a hello. */
 static unsigned int
 member_rank(const struct node *owner, unsigned int member)
 {
@@ -169,7 +173,7 @@
 	return rank;
 }
 
-/** Delivers to a node the answer to the hello that it sent. */
+/** Delivers the answer to a node's hello, from the node `to`. */
 static void
 hello_answer(struct node *node, struct node *to)
 {
@@ -185,11 +189,12 @@
 		return;
 	}
 	to->hello_at[node_index(node)] = cell.now;
+	/* A count that has grown is stored at once. */
 	if (contention_process_alive(
 		&to->contention, cell.now, node->incarnation))
 		to->renewed_at = cell.now - RENEW_INTERVAL;
 	status.epoch = to->epoch;
-	status.largest_milli = 250;
+	status.largest_milli = NODE_CPU_MILLI;
 	status.place.rank = member_rank(to, node_index(node));
 	status.place.ranked = member_count(to);
 	status.place.members = member_count(to) - 1;
@@ -255,7 +260,7 @@
 	watch_poll_begun(&node->watch, cell.now, polled);
 }
 
-/** Delivers votes that have come in, and ends calls that have timed out. */
+/** Delivers votes that have arrived, and ends calls that have timed out. */
 static void
 poll_tick(struct node *node)
 {
@@ -437,7 +442,8 @@
 
 	memset(node, 0, sizeof(*node));
 	node->incarnation = ++cell.next_incarnation;
-	watch_init(&node->watch, cell.addr[i], 250, cell.now, cell.seed + i);
+	watch_init(&node->watch, cell.addr[i], NODE_CPU_MILLI, cell.now,
+	    cell.seed + i);
 }
 
 /** Starts all nodes and runs them until one owns the pool and the others reach
@@ -479,8 +485,8 @@
 	}
 }
 
-/** Runs for two minutes with bounded changes of the owner; in the second one
- * the pool must be served for three quarters of the time. */
+/** Runs for two minutes and asserts that the owner changes seldom; in the
+ * second minute the pool must be served for three quarters of the time. */
 static void
 assert_owner_changes_bounded(void)
 {
@@ -508,8 +514,8 @@
 	assert_int_equal(cell.reads, 0);
 }
 
-/** Guards against hellos that count as missed because the owner is far away:
- * members read its row before each hello. */
+/** Guards against hellos that count as missed because the owner is far away, so
+ * that members read its row before each hello. */
 static void
 test_far_members_read_no_rows(void **state)
 {
@@ -630,7 +636,7 @@
 	}
 }
 
-/** Answers come after the calls have timed out. */
+/** Answers arrive after the calls have timed out. */
 static void
 test_slow_paths_change_owners_seldom(void **state)
 {
@@ -644,8 +650,8 @@
 	}
 }
 
-/** A takeover takes longer than members wait for an owner that is silent but at
- * work. */
+/** Loading the pool after a claim takes longer than members wait for an owner
+ * that does not answer. */
 static void
 test_slow_takeovers_change_owners_seldom(void **state)
 {
@@ -664,7 +670,7 @@
 static void
 test_paused_owners_change_seldom(void **state)
 {
-	unsigned int most_changes = 0;
+	unsigned int changes_max = 0;
 	uint64_t seed;
 	int i;
 
@@ -676,10 +682,10 @@
 			    cell.now + 1300 * GB_MSEC;
 			cell_run(2500 * GB_MSEC);
 		}
-		if (cell.owner_changes > most_changes)
-			most_changes = cell.owner_changes;
+		if (cell.owner_changes > changes_max)
+			changes_max = cell.owner_changes;
 	}
-	assert_in_range(most_changes, 0, OWNER_CHANGES_MAX);
+	assert_in_range(changes_max, 0, OWNER_CHANGES_MAX);
 }
 
 /** Every node runs for 0.1 s of each 0.8 s, the nodes one after the other. */
@@ -727,8 +733,8 @@
 	cell.nodes[cell.row_owner].dead = true;
 }
 
-/** Runs until another node has claimed the pool; returns the time until then,
- * which ends at 20 s. */
+/** Runs until another node has claimed the pool, at most for 20 s; returns the
+ * duration. */
 static gb_time
 takeover_duration(void)
 {
--- a/tests/test_watch.c
+++ b/tests/test_watch.c
@@ -1,9 +1,9 @@
 /**
  * @file test_watch.c
- * Guards against takeovers from an owner that works, and against an owner that
- * has ended or can't write and keeps the pool.  Either comes about when a node
- * misjudges missing answers to hellos, votes of members or reads of the owner's
- * row.  Runs in virtual time.
+ * Guards against takeovers from an owner that works, and against a pool that is
+ * not taken over from an owner that has ended or can't write.  Either comes
+ * about when a node misjudges missing answers to hellos, votes of members or
+ * reads of the owner's row.  Runs in virtual time.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,6 +15,8 @@
 
 #define OWNER "10.0.0.1:70"
 #define SELF "10.0.0.2:70"
+/** Processor of each node, in thousandths. */
+#define NODE_CPU_MILLI 250
 /** Interval of calls of watch_next(). */
 #define STEP (25 * GB_MSEC)
 
@@ -43,8 +45,9 @@
 	watch_hello_answered(w, now, &status);
 }
 
-/** Delivers an answer to a hello by which the store rejects the owner's writes,
- * to a node of the given rank in the order of succession. */
+/** Delivers an answer to a hello in which the owner reports that the store
+ * rejects its writes, to a node of the given rank in the order of
+ * succession. */
 static void
 answer_store_unavailable(struct watch *w, uint32_t rank)
 {
@@ -56,7 +59,7 @@
 	watch_hello_answered(w, now, &status);
 }
 
-/** Delivers an owner's row whose serial never grows: no owner renews it. */
+/** Delivers an owner's row whose serial never grows, as no owner renews it. */
 static void
 deliver_row(struct watch *w, const char *addr, uint64_t epoch)
 {
@@ -73,9 +76,9 @@
 	read_duration = 5 * GB_MSEC;
 	row_addr = OWNER;
 	row_epoch = 1;
-	watch_init(w, SELF, 250, now, 1);
+	watch_init(w, SELF, NODE_CPU_MILLI, now, 1);
 	deliver_row(w, OWNER, 1);
-	w->largest_milli = 250;
+	w->largest_milli = NODE_CPU_MILLI;
 	answer_hello(w, false, 0);
 }
 
@@ -143,7 +146,7 @@
 }
 
 /** A vote that the owner is reachable must not count as an answer of the owner:
- * members that don't reach it would reassure each other for ever. */
+ * members that don't reach it would keep each other from taking over. */
 static void
 test_vote_is_no_answer_of_the_owner(void **state)
 {
@@ -223,8 +226,8 @@
 	assert_int_equal(next_action(&w, GB_SEC), WATCH_TAKE_OVER);
 }
 
-/** What an owner reported of its store must not count against its successor, or
- * each node takes the pool from the one before it. */
+/** What an owner reported about its store must not count against its successor,
+ * or each new owner is succeeded at once as well. */
 static void
 test_new_owner_starts_without_doubt(void **state)
 {
@@ -257,9 +260,9 @@
 }
 
 /** The store rejects the owner's writes and serves the other nodes.  The first
- * successors read the row to check that it serves them, and one takes over in
- * well under the 1.3 s of silence after which an owner counts as cut off from
- * the store. */
+ * successors read the row to check that the store serves them, and one takes
+ * over well before the owner has had no answer from the store for 1.3 s, after
+ * which it counts as cut off from the store. */
 static void
 test_rejected_owner_is_succeeded_soon(void **state)
 {
@@ -335,8 +338,8 @@
 }
 
 /** The whole store was unavailable for 4 s and answers a successor before the
- * owner retries.  Guards against a takeover at the end of each outage, because
- * the owner alone seems to have lost the store. */
+ * owner retries.  Guards against a takeover at the end of each outage because
+ * only the owner seems to be cut off from the store. */
 static void
 test_store_outage_causes_no_takeover(void **state)
 {
@@ -379,7 +382,7 @@
 	(void)state;
 	setup(&w);
 	status.vacating = true;
-	status.largest_milli = 250;
+	status.largest_milli = NODE_CPU_MILLI;
 	status.place = (struct succession){15, 16, 34};
 	watch_hello_answered(&w, now, &status);
 	now += 200 * GB_MSEC;
@@ -411,7 +414,7 @@
 	assert_false(watch_store_is_fast(&w, now));
 }
 
-/** A restarted node that the row still names takes the pool at once. */
+/** A restarted node that the owner's row still names takes over at once. */
 static void
 test_restarted_owner_takes_pool_again(void **state)
 {
@@ -421,7 +424,7 @@
 	now = 100 * GB_SEC;
 	row_addr = SELF;
 	row_epoch = 4;
-	watch_init(&w, SELF, 250, now, 1);
+	watch_init(&w, SELF, NODE_CPU_MILLI, now, 1);
 	deliver_row(&w, row_addr, row_epoch);
 	assert_int_equal(watch_next(&w, now), WATCH_TAKE_OVER);
 	assert_int_equal(w.epoch, 4);
