--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -1,8 +1,8 @@
 /**
  * @file test_capacity.c
- * Workers whose capacity shrinks and grows while they run. The owner must not
- * start tasks beyond what is left, also where it has reserved capacity before,
- * retries lost orders or has just taken over.
+ * Guards against starts beyond the capacity of workers that shrink and grow
+ * while they run. They come about when an owner still uses capacity that it has
+ * reserved before, retries lost orders, or has just taken over.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,13 +13,15 @@
 
 #include "pool_cell.h"
 
+/** 16 workers with 16 processors and 64 GB each, without advice service. */
 static const struct pool_cell_setup plain = {
     21, 16, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
+/** 24 workers, of which the advice service approves half. */
 static const struct pool_cell_setup advised = {22, 24, {16000, 64000, 0, 0, 0},
     50, 100 * GB_MSEC, 1500 * GB_MSEC, 200, 0, 0};
 
-/** Submits small flows, wide steps and gangs, more than the pool can do at
- * once. */
+/** Submits the flows of one tenth of a second: small ones, wide steps and
+ * gangs, together more than the pool can run at once. */
 static void
 submit_tenth(struct pool_cell *cell, unsigned int tenth)
 {
@@ -61,6 +63,11 @@
 		world_worker_resize(cell->world, i, capacity);
 }
 
+/** Submits flows for 20 s while workers are resized, and asserts that accepted
+ * flows succeed.
+ * @param dropped percentage of orders that are dropped
+ * @param takeovers replaces the owner every 2.5 s
+ */
 static void
 run_resizes(
     const struct pool_cell_setup *setup, unsigned int dropped, bool takeovers)
@@ -162,10 +169,10 @@
 }
 
 /** Asserts that all accepted flows of a queue have succeeded, nine tenths of
- * them within `most`. */
+ * them within `duration_max`. */
 static void
 assert_done_in_time(
-    const struct pool_cell *cell, const char *queue, gb_time most)
+    const struct pool_cell *cell, const char *queue, gb_time duration_max)
 {
 	unsigned int all = 0;
 	unsigned int in_time = 0;
@@ -178,13 +185,13 @@
 			continue;
 		assert_int_equal(flow->status, GB_FLOW_SUCCEEDED);
 		all++;
-		in_time += flow->finished_at - flow->submitted <= most;
+		in_time += flow->finished_at - flow->submitted <= duration_max;
 	}
 	assert_true(in_time * 10 >= all * 9);
 }
 
-/** Load: the capacity of a quarter of the workers shrinks for 14 s, below what
- * they run, and for 6 s of these half as many flows more are submitted. The
+/** The capacity of a quarter of the workers shrinks to a percentage for 14 s,
+ * below what they run, and submissions grow by half for 6 s of these. The
  * capacity that is left must be used and not exceeded. */
 static void
 run_shrunk_with_burst(int percent, bool takeover)
@@ -217,13 +224,13 @@
 static void
 test_capacity_shrinks_during_burst(void **state)
 {
-	static const int shares[] = {30, 55, 80};
+	static const int percentages[] = {30, 55, 80};
 	size_t i;
 
 	(void)state;
-	for (i = 0; i < sizeof(shares) / sizeof(shares[0]); i++) {
-		run_shrunk_with_burst(shares[i], false);
-		run_shrunk_with_burst(shares[i], true);
+	for (i = 0; i < sizeof(percentages) / sizeof(percentages[0]); i++) {
+		run_shrunk_with_burst(percentages[i], false);
+		run_shrunk_with_burst(percentages[i], true);
 	}
 }
 
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -1,8 +1,8 @@
 /**
  * @file test_quota.c
- * Quotas of organisations, and the ownership of flows. The owner must keep a
- * quota at every start, also while it does not know yet what runs after a
- * takeover, and must show a flow only to the organisation that submitted it.
+ * Guards against organisations that get more than their quota, or see flows of
+ * others. A quota is exceeded when an owner starts tasks although it does not
+ * know yet, after a takeover or a lost call, what runs for the organisation.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,11 +15,14 @@
 
 #define QUOTA_LARGE_CPU_MILLI 40000
 #define QUOTA_SMALL_CPU_MILLI 6000
+/** Number of seeds that the test with random faults runs with by default. */
 #define SEED_COUNT 60
 
+/** 16 workers with 16 processors and 64 GB each, without advice service. */
 static const struct pool_cell_setup plain = {
     1, 16, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
+/** Selects the organisation that submits the next flows. */
 static void
 org_select(struct pool_cell *cell, const char *org)
 {
@@ -199,6 +202,7 @@
 	pool_cell_replace_owner(cell, number);
 }
 
+/** Runs random rounds with faults that the seed selects. */
 static void
 run_seed(uint64_t seed)
 {
@@ -221,9 +225,10 @@
 	pool_cell_free(cell);
 }
 
-/** Load: an organisation is at its quota while orders and heartbeats are lost
- * or late, workers crash, owners are killed, a quota is lowered, and keys are
- * removed and added. GB_POOL_SEED and GB_POOL_RUNS select other seeds. */
+/** An organisation is at its quota while orders and heartbeats are lost or
+ * late, workers crash, owners are killed, a quota is lowered, and keys are
+ * removed and added. The environment variables GB_POOL_SEED and GB_POOL_RUNS
+ * select the first seed and the number of seeds. */
 static void
 test_quota_with_faults_and_takeovers(void **state)
 {
@@ -238,9 +243,9 @@
 		run_seed(seed);
 }
 
-/** Load: 60% of the heartbeats of a new owner are lost at first. What runs on
- * workers that have not answered yet counts against the quota, although the
- * owner does not know to which organisation it belongs. */
+/** 60% of the heartbeats of a new owner are lost at first. Runs on workers that
+ * have not answered yet count against the quota, although the owner does not
+ * know to which organisation they belong. */
 static void
 test_unknown_runs_count(void **state)
 {
@@ -271,8 +276,8 @@
 	}
 }
 
-/** Load: the orders to stop a cancelled flow are late. It counts until its runs
- * have ended. */
+/** The orders to stop a cancelled flow are late. The flow counts against the
+ * quota until its runs have ended. */
 static void
 test_runs_being_stopped_count(void **state)
 {
@@ -298,6 +303,8 @@
 
 /* Ownership of flows ------------------------------------------------------ */
 
+/** Asks about a flow as a caller with the key of an organisation, through a
+ * node with the given version of the configuration. */
 static gb_flow_answer
 ask_as(struct pool_cell *cell, size_t number, gb_flow_op op, const char *org,
     uint64_t config)
@@ -317,7 +324,7 @@
 	return flow->answer;
 }
 
-/** Other organisations neither see nor cancel a flow, also after it has
+/** Other organisations can neither see nor cancel a flow, even after it has
  * finished and after a takeover that loaded it from the store. */
 static void
 test_flow_is_hidden_from_other_orgs(void **state)
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -1,8 +1,9 @@
 /**
  * @file test_restarts.c
- * Workers that restart under the same id. What the owner knows of one worker
- * incarnation (numbers of ends, start time, capacity, orders in flight) must
- * not be applied to another, or tasks are lost or run twice.
+ * Guards against tasks that are lost or run twice because a worker restarts
+ * under the same id. This comes about when the owner applies what it knows of
+ * one worker incarnation (the numbers of ended runs, start time, capacity,
+ * orders in flight) to another.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,6 +14,7 @@
 
 #include "pool_random.h"
 
+/** 6 workers with 16 processors and 64 GB each, without advice service. */
 static const struct pool_cell_setup plain = {
     1, 6, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
@@ -30,7 +32,7 @@
 }
 
 /** Asserts that every flow has succeeded, and that no task ran again after it
- * was done. */
+ * had ended. */
 static void
 assert_succeeded_once(struct pool_cell *cell)
 {
@@ -46,8 +48,9 @@
 	pool_cell_assert_no_violation(cell);
 }
 
-/** A restarted worker numbers its ends from 1 again. They must not be taken for
- * acknowledged ends of the incarnation before, or their tasks run twice. */
+/** A restarted worker numbers the ends of its runs from 1 again. They must not
+ * be taken for acknowledged ends of the previous incarnation, or their tasks
+ * run twice. */
 static void
 test_ends_after_restart_are_applied(void **state)
 {
@@ -66,8 +69,8 @@
 	pool_cell_free(cell);
 }
 
-/** The ends of a step on restarted workers must be applied; otherwise the step
- * is started again without limit, and the one after it never. */
+/** The ends of a step's runs on restarted workers must be applied; otherwise
+ * the step is started again without limit, and the next step never. */
 static void
 test_next_step_starts_after_restarts(void **state)
 {
@@ -107,8 +110,8 @@
 	pool_cell_free(cell);
 }
 
-/** A later incarnation may report an earlier start time. What ran on the one
- * before is lost with it and started again at once. */
+/** A later incarnation may report an earlier start time. What ran on the
+ * previous one is lost with it and started again at once. */
 static void
 test_restart_ends_runs(void **state)
 {
@@ -132,8 +135,8 @@
 	pool_cell_free(cell);
 }
 
-/** The capacity and service of one worker incarnation do not hold for the next:
- * nothing is started there before its own entry is known. */
+/** The capacity and service of one worker incarnation are not assumed for the
+ * next: nothing is started there before its own entry is known. */
 static void
 test_entry_of_earlier_incarnation(void **state)
 {
@@ -146,7 +149,7 @@
 	cell = pool_cell_begin(&one);
 	submit_lookups(cell, 10);
 	pool_cell_run(cell, 2 * GB_SEC);
-	/* For 1 s the list still names the incarnation before. */
+	/* For 1 s the list still names the previous incarnation. */
 	cell->listed_at = cell->now + GB_SEC;
 	world_worker_resize(cell->world, 0, &small);
 	world_shrink_grace_set(cell->world, 0);
@@ -158,8 +161,11 @@
 	pool_cell_free(cell);
 }
 
-/** Load: calls without an answer are carried out 2 s later, many of them by the
- * next incarnation, which has had a heartbeat of its own by then. */
+/** Calls without an answer are carried out 2 s later, many of them by the next
+ * incarnation, which has received a heartbeat of its own by then.
+ * @param orders percentage of orders that are late
+ * @param heartbeats percentage of heartbeats that are late
+ */
 static void
 run_late_calls(unsigned int orders, unsigned int heartbeats)
 {
@@ -196,8 +202,8 @@
 	run_late_calls(0, 20);
 }
 
-/** A task that crashes its workers fails also if these restart under their ids
- * and each owner is killed before it notices the loss of a worker. */
+/** A task that crashes its workers fails even if these restart under their ids
+ * and owners are killed before they notice the loss of a worker. */
 static void
 test_crashes_count_over_restarts(void **state)
 {
@@ -230,8 +236,8 @@
 	pool_cell_free(cell);
 }
 
-/** Another worker answers at the address, and then the ended id is used
- * again. */
+/** Another worker answers at the address of a worker that has ended, and later
+ * the ended worker's id is used again there. */
 static void
 test_ended_id_is_used_again(void **state)
 {
