--- a/tests/large_gang.c
+++ b/tests/large_gang.c
@@ -1,6 +1,6 @@
 /**
  * @file large_gang.c
- * A large gang beside a stream of small ones.
+ * Runs a large gang beside a stream of small ones.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,7 +12,8 @@
 #include "large_gang.h"
 #include "pool_cell.h"
 
-/** Time within which a gang of 3 s should finish. */
+/** Time within which a gang of 3 s should finish: 2.2 times its work and 1 s,
+ * as configured for the queue rebuild. */
 #define OBJECTIVE (7600 * GB_MSEC)
 
 void
--- a/tests/test_contention.c
+++ b/tests/test_contention.c
@@ -1,9 +1,10 @@
 /**
  * @file test_contention.c
- * Contention: repeated takeovers from owners that were still working. The owner
- * keeps their count in its row, and members wait longer for an owner the higher
- * it is. A takeover that is counted wrongly, or a row that is not renewed,
- * makes them take over too early or too late.
+ * Guards against members that take over too early or too late because takeovers
+ * are counted wrongly or an owner does not renew its row. Contention is
+ * repeated takeovers from owners that were still working: the owner keeps their
+ * count in its row, and the higher it is, the longer members wait for a silent
+ * owner.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,6 +20,7 @@
 #define SELF_INCARNATION 7
 #define OTHER_INCARNATION 9
 
+/** Virtual time at which each test begins. */
 static const gb_time now = 100 * GB_SEC;
 
 static void
@@ -62,8 +64,8 @@
 	assert_false(contention_process_alive(&c, now, OTHER_INCARNATION));
 }
 
-/** A deposed owner that takes the pool back counts 1 s later, but not 60 s
- * later. */
+/** A takeover by a deposed owner counts 1 s after it was deposed, but not 60 s
+ * after. */
 static void
 test_deposed_owner_returning_counts(void **state)
 {
@@ -116,8 +118,8 @@
 	assert_int_equal(c.count, 0);
 }
 
-/** Rows of older versions have no count; instances are upgraded one after
- * another. */
+/** Rows written by older versions of the program have no count; a newer one
+ * reads them, as instances are upgraded one after another. */
 static void
 test_row_without_a_count_is_read(void **state)
 {
@@ -161,8 +163,8 @@
 	free(body.gb_body_val);
 }
 
-/** An owner that writes all the time must renew its row nevertheless, or
- * members cannot tell it from one that has terminated. */
+/** An owner that writes all the time must still renew its row, or members
+ * cannot tell it from one that has terminated. */
 static void
 test_busy_owner_renews_its_row(void **state)
 {
--- a/tests/test_large_gang.c
+++ b/tests/test_large_gang.c
@@ -1,8 +1,8 @@
 /**
  * @file test_large_gang.c
- * A large gang beside a stream of small ones, on a pool that is not full.
- * Capacity that becomes free goes to the small gangs, so that the large one may
- * wait too long.
+ * Guards against a large gang that waits too long on a pool that is not full.
+ * This comes about when all capacity that becomes free goes to a stream of
+ * small gangs.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,7 +13,7 @@
 
 #include "large_gang.h"
 
-/** Load: the small gangs keep 83% of the pool busy. */
+/** The small gangs keep 83% of the pool busy. */
 static void
 test_large_gang_at_83_percent_load(void **state)
 {
@@ -21,7 +21,7 @@
 	large_gang_assert_finishes(3);
 }
 
-/** Load: the small gangs keep 62% of the pool busy. */
+/** The small gangs keep 62% of the pool busy. */
 static void
 test_large_gang_at_62_percent_load(void **state)
 {
--- a/tests/test_org.c
+++ b/tests/test_org.c
@@ -1,8 +1,8 @@
 /**
  * @file test_org.c
- * Organisations of a configuration. Keys must identify exactly the callers of
- * their organisation, an entry with an error must not affect the others, and no
- * key may be kept in clear.
+ * Guards against callers that are taken for those of another organisation, and
+ * against keys that are stored or sent in plaintext. They come about when keys
+ * are matched or digested wrongly, or an entry with an error affects others.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,6 +15,7 @@
 #include "platform.h"
 
 #define KEY_COUNT 10000
+/** Number of mutated configurations that are decoded. */
 #define MUTATIONS 20000
 
 static const char config_text[] =
@@ -84,10 +85,10 @@
 	gb_pool_config_unref(config);
 }
 
-/** Load: a node is cut off from the store while keys are removed and added. By
- * default it checks keys by the version that it has. With a strict setting it
- * checks none by a version that has not been confirmed for longer than the time
- * set, and still serves callers that need no key. */
+/** A node is cut off from the store, so that keys may have been removed and
+ * added meanwhile. By default it checks keys by the version that it has. With a
+ * maximum age set, it checks no key by a version that has not been confirmed
+ * for longer, but still serves callers that need no key. */
 static void
 test_strict_keys_need_current_version(void **state)
 {
@@ -202,7 +203,7 @@
 	}
 }
 
-/** A text without a version or without routes is no configuration. */
+/** A text without a version or without routes is rejected. */
 static void
 test_invalid_texts_are_rejected(void **state)
 {
@@ -215,8 +216,9 @@
 	assert_null(decode("{\"Version\":7,\"Routes\":{}}"));
 }
 
-/** A configuration is stored and sent between nodes as a text. The text must
- * contain no key, and must have the same meaning. */
+/** A configuration is stored and sent between nodes as a text in which digests
+ * replace the keys. The text must contain no key, and must have the same
+ * meaning. */
 static void
 test_no_key_is_kept_in_clear(void **state)
 {
@@ -230,16 +232,16 @@
 	struct gb_pool_config *config;
 	struct gb_caller caller;
 	size_t len;
-	char *concealed = plat_config_digest_keys(text, strlen(text), &len);
+	char *digested = plat_config_digest_keys(text, strlen(text), &len);
 	int i;
 
 	(void)state;
-	assert_non_null(concealed);
-	assert_null(strstr(concealed, "gkcuyj8pjbvk"));
-	assert_null(strstr(concealed, "ex5wa5xwyhks"));
-	assert_null(strstr(concealed, "m68k7b2pjbvk"));
-	assert_null(strstr(concealed, "nobodyskey12"));
-	config = plat_config_decode(concealed, len);
+	assert_non_null(digested);
+	assert_null(strstr(digested, "gkcuyj8pjbvk"));
+	assert_null(strstr(digested, "ex5wa5xwyhks"));
+	assert_null(strstr(digested, "m68k7b2pjbvk"));
+	assert_null(strstr(digested, "nobodyskey12"));
+	config = plat_config_decode(digested, len);
 	assert_non_null(config);
 	assert_int_equal(identify(config, "keyed", "ex5wa5xwyhks", &caller),
 	    GB_CALLER_KNOWN);
@@ -254,12 +256,12 @@
 	    gb_pool_config_key_count(config), gb_pool_config_key_count(plain));
 	for (i = 0; i < GB_POOL_ORG_ERRORS; i++)
 		assert_int_equal(config->org_errors[i], plain->org_errors[i]);
-	free(concealed);
+	free(digested);
 	gb_pool_config_unref(config);
 	gb_pool_config_unref(plain);
 }
 
-/** Load: 140 organisations with 10,000 keys. */
+/** 140 organisations have 10,000 keys. */
 static void
 test_many_keys_are_found(void **state)
 {
@@ -292,21 +294,23 @@
 	gb_pool_config_unref(config);
 }
 
-/** Asserts that a text and its concealed form have the same number of keys and
- * organisations. */
+/** Asserts that a text in which digests replace the keys has the same number of
+ * keys and organisations as the text itself.
+ * @param plain the decoded text, or null if it is invalid
+ */
 static void
-assert_conceals(const char *text, const struct gb_pool_config *plain)
+assert_digests_keep_orgs(const char *text, const struct gb_pool_config *plain)
 {
 	struct gb_pool_config *config;
 	size_t len;
-	char *concealed = plat_config_digest_keys(text, strlen(text), &len);
+	char *digested = plat_config_digest_keys(text, strlen(text), &len);
 
-	if (concealed == NULL) {
+	if (digested == NULL) {
 		assert_null(plain);
 		return;
 	}
-	config = plat_config_decode(concealed, len);
-	free(concealed);
+	config = plat_config_decode(digested, len);
+	free(digested);
 	assert_int_equal(config == NULL, plain == NULL);
 	if (config == NULL || plain == NULL)
 		return;
@@ -339,7 +343,7 @@
 			assert_true(config->orgs[i].quota.cpu >= 0);
 			assert_true(config->orgs[i].quota.mem >= 0);
 		}
-		assert_conceals(text, config);
+		assert_digests_keep_orgs(text, config);
 		gb_pool_config_unref(config);
 	}
 }
--- a/tests/test_rank.c
+++ b/tests/test_rank.c
@@ -1,8 +1,8 @@
 /**
  * @file test_rank.c
- * Order of waiting gangs when more is submitted than can be done in time. If
- * large gangs go first, many small ones finish late; if small ones always go
- * first, a large one starves.
+ * Guards against a wrong order of waiting gangs when more is submitted than can
+ * finish in time: if large gangs go first, many small ones finish late; if
+ * small ones always go first, a large one starves.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,7 +19,8 @@
 #define WIDTH_COUNT (sizeof(widths) / sizeof(widths[0]))
 #define ROUNDS 7
 
-/** Time within which a gang of 3 s should finish. */
+/** Time within which a gang of 3 s should finish: 2.2 times its work and 1 s,
+ * as configured for the queue rebuild. */
 #define OBJECTIVE (7600 * GB_MSEC)
 
 static bool
@@ -56,8 +57,8 @@
 	return count;
 }
 
-/** Load: a burst of gangs on a full pool. Ordered by size as well as by time,
- * at least two more finish in time than by time alone. */
+/** A burst of gangs on a full pool. If they are ordered by size as well as by
+ * time, at least two more finish in time than if ordered by time alone. */
 static void
 test_small_gangs_start_first(void **state)
 {
@@ -70,8 +71,8 @@
 	assert_true(by_size >= by_time + 2);
 }
 
-/** Load: small gangs, each of which fits, keep half of the pool busy. A gang
- * that needs two thirds of it must finish as well, within three times its
+/** Small gangs, each of which fits, keep half of the pool busy. A gang that
+ * needs two thirds of it must finish as well, within three times its
  * objective. */
 static void
 test_large_gang_does_not_starve(void **state)
