--- a/tests/pool_random.c
+++ b/tests/pool_random.c
@@ -1,7 +1,7 @@
 /**
  * @file pool_random.c
- * Random load and random faults, several at a time, on pool cores against the
- * model of the platform.
+ * Runs pool cores against the model of the platform, with random load and
+ * several random faults at a time.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,11 +13,15 @@
 
 #include "pool_random.h"
 
+/** For even seeds; the number of workers is changed. */
 static const struct pool_cell_setup plain = {
     1, 48, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
+/** For odd seeds, with an advice service; the number of workers and the share
+ * of approved ones are changed. */
 static const struct pool_cell_setup advised = {
     2, 48, {16000, 64000, 0, 0, 0}, 30, 100 * GB_MSEC, 1500 * GB_MSEC, 0, 0, 0};
 
+/** Submits a random flow; one in 29 crashes its workers. */
 static void
 random_submit(struct pool_cell *cell)
 {
@@ -41,8 +45,9 @@
 	pool_cell_submit(cell, n % 3 == 0 ? "rebuild" : "lookup", spec);
 }
 
-/** Starts a worker again, under a new id or, with `restarts`, its own. In the
- * latter case the time of day may jump, and heartbeats may arrive late. */
+/** Starts a worker again: under its own id if the cell has `restarts` set, in
+ * which case the time of day may jump and heartbeats may arrive late, otherwise
+ * under a new id. `n` is random. */
 static void
 worker_start_again(struct pool_cell *cell, unsigned int worker, uint64_t n)
 {
@@ -57,6 +62,7 @@
 	world_worker_restart(cell->world, worker);
 }
 
+/** Changes one fault, makes a node take over, or cancels a flow. */
 static void
 random_fault(struct pool_cell *cell)
 {
@@ -134,7 +140,8 @@
 	}
 }
 
-/** Asserts that every accepted flow has finished. */
+/** Asserts that every accepted flow has finished, and that it has failed only
+ * if a task used up its attempts or crashed two workers. */
 static void
 assert_all_finished(struct pool_cell *cell)
 {
--- a/tests/test_lost_holds.c
+++ b/tests/test_lost_holds.c
@@ -1,7 +1,8 @@
 /**
  * @file test_lost_holds.c
- * Answers to heartbeats that are lost. The owner learns of the ends that they
- * listed only from a later heartbeat, which delays the flows.
+ * Guards against flows that finish late because answers to heartbeats are lost.
+ * The owner learns of the ended runs that such an answer listed only from a
+ * later heartbeat.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,10 +13,12 @@
 
 #include "pool_cell.h"
 
+/** 16 workers with 16 processors and 64 GB each, without advice service. */
 static const struct pool_cell_setup plain = {
     1, 16, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
 #define SEED_COUNT 40
+/** Number of lookups with each seed. */
 #define LOOKUP_COUNT 100
 
 /** Runs lookups with one seed; returns how many finish late. */
@@ -45,7 +48,7 @@
 	return late;
 }
 
-/** Load: one in five answers to heartbeats is lost while lookups of 1 s are
+/** One in five answers to heartbeats is lost while lookups of 1 s are
  * submitted. Five of six must still finish within the objective of a lookup,
  * 1.75 s. */
 static void
--- a/tests/test_lost_holds_seed.c
+++ b/tests/test_lost_holds_seed.c
@@ -1,8 +1,8 @@
 /**
  * @file test_lost_holds_seed.c
- * Answers to heartbeats that are lost, with a single seed. The owner learns of
- * the ends that they listed only from a later heartbeat, which delays the
- * flows.
+ * Guards, with a single seed, against flows that finish late because answers to
+ * heartbeats are lost. The owner learns of the ended runs that such an answer
+ * listed only from a later heartbeat.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,10 +13,11 @@
 
 #include "pool_cell.h"
 
+/** 16 workers with 16 processors and 64 GB each, without advice service. */
 static const struct pool_cell_setup plain = {
     1, 16, {16000, 64000, 0, 0, 0}, 0, 0, 0, 0, 0, 0};
 
-/** Load: one in five answers to heartbeats is lost while lookups of 1 s are
+/** One in five answers to heartbeats is lost while lookups of 1 s are
  * submitted. Four of five must still finish within the objective of a lookup,
  * 1.75 s. */
 static void
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -90,8 +90,8 @@
 	assert_bounded(100, 400 * GB_MSEC);
 }
 
-/** Nodes that have no ranks, for example after all of them were lost, but know
- * their number: few of them begin a claim before the first one is visible. */
+/** Nodes have no ranks, for example after all of them were lost, but know how
+ * many they are. Few of them begin a claim before the first one is visible. */
 static void
 test_unranked_nodes_spread_by_their_number(void **state)
 {
