--- a/tests/test_entry.c
+++ b/tests/test_entry.c
@@ -1,8 +1,8 @@
 /**
  * @file test_entry.c
  * Guards against workers that are used although their entry in the list of
- * workers is incomplete or invalid, and against values out of range.  It comes
- * about when others than the workers write entries.
+ * workers is incomplete or invalid, and against values out of range.  They come
+ * about when something other than the worker writes its entry.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,7 +21,8 @@
     "\"Gpus\":0},\"Labels\":[\"a\",\"r1-3\"],\"ClockMs\":482113,\"Seq\":4,"
     "\"born\":1778839491459}";
 
-/** Decodes an entry and returns what is wrong with it. */
+/** Decodes an entry; returns its error, GB_POOL_ENTRY_VALID if there is
+ * none. */
 static enum gb_pool_entry_error
 error_of(const char *text)
 {
@@ -31,7 +32,7 @@
 	return entry.error;
 }
 
-/** Error of the valid entry with one field changed.
+/** Returns the error of the valid entry with one field changed.
  * @param value JSON text, or null to remove the field
  */
 static enum gb_pool_entry_error
@@ -183,8 +184,8 @@
 	assert_string_equal(entry.id, id);
 }
 
-/** The query for the next page of the list contains the last key of the page
- * before, which may hold any characters, so they are escaped. */
+/** The query for the next page of the list contains the last key of the
+ * previous page.  As this may contain any characters, they are escaped. */
 static void
 test_keys_in_queries(void **state)
 {
--- a/tests/test_feed.c
+++ b/tests/test_feed.c
@@ -1,8 +1,9 @@
 /**
  * @file test_feed.c
  * Guards against a changed configuration that takes effect late or never.  This
- * comes about when the feed's connection to the store goes silent while a query
- * waits on it, or when the store drops the history of changes.
+ * comes about when the feed, which reads a table and then waits for changes,
+ * has a connection to the store that goes silent while a query waits on it, or
+ * when the store drops the history of changes.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,8 +19,9 @@
 #define DELIVERY_MAX (2 * GB_SEC)
 /** The same where every connection works. */
 #define DELIVERY_MAX_QUICK (500 * GB_MSEC)
+/** Largest number of connections of a test. */
 #define CONNS_MAX 16
-/** Interval at which the store answers waiting queries. */
+/** Interval at which the store answers waiting queries, in milliseconds. */
 #define TIMER_MS 5
 
 struct store;
@@ -32,7 +34,7 @@
 	bool open;
 	bool silent;	/**< gets no answer */
 	bool waits;	/**< the query waits for a change */
-	gb_time until;	/**< when it is answered without one */
+	gb_time until;	/**< when it is answered without a change */
 	uint64_t after; /**< newest version that the feed has */
 	char text[1024];
 };
@@ -49,10 +51,11 @@
 	char addr[GB_NAME_MAX + 1];
 	struct plat plat;
 	struct plat_feed *feed;
-	uint64_t seen; /**< newest version that the feed has delivered */
+	uint64_t delivered; /**< newest version that the feed has delivered */
 };
 
-/** A feed can't be freed before the process ends, so that its store stays. */
+/** A feed can't be freed before the process ends, so its store stays; one for
+ * each test. */
 static struct store stores[3];
 static unsigned int store_count;
 
@@ -183,7 +186,7 @@
 
 	(void)len;
 	assert_string_equal(key, "config");
-	store->seen = strtoull(value, NULL, 10);
+	store->delivered = strtoull(value, NULL, 10);
 }
 
 static void
@@ -236,7 +239,7 @@
 	plat_feed_start(store->feed);
 	while (!store_has_query(store))
 		uv_run(&store->loop, UV_RUN_ONCE);
-	assert_int_equal(store->seen, 1);
+	assert_int_equal(store->delivered, 1);
 	return store;
 }
 
@@ -258,10 +261,10 @@
 	gb_time began = gb_clock_boot();
 
 	store->version++;
-	while (store->seen < store->version &&
+	while (store->delivered < store->version &&
 	       gb_clock_boot() - began < 2 * DELIVERY_MAX)
 		uv_run(&store->loop, UV_RUN_ONCE);
-	assert_int_equal(store->seen, store->version);
+	assert_int_equal(store->delivered, store->version);
 	return gb_clock_boot() - began;
 }
 
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -1,8 +1,8 @@
 /**
  * @file test_http_client.c
  * Guards against answers that the adapter's HTTP client loses or misreads, and
- * against too many connections to a worker.  It comes about when a server sends
- * no length, closes early, sends malformed text or does not answer.
+ * against too many connections to a worker.  They come about when a server
+ * sends no length, closes early, sends malformed text or does not answer.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -22,10 +22,11 @@
 	uv_tcp_t conn;
 	uv_write_t write;
 	const char *answer;
-	bool closes; /**< the connection after the answer */
+	bool closes; /**< closes the connection after the answer */
 	char addr[GB_NAME_MAX + 1];
 };
 
+/** Outcome of a call, copied from its result. */
 struct outcome {
 	bool done;
 	unsigned int status;
@@ -108,7 +109,8 @@
 	    (int)res->body_len, res->body);
 }
 
-/** Sends a request to a new server and returns the outcome. */
+/** Sends a request to a new server that gives an answer and may then close the
+ * connection; returns the outcome. */
 static struct outcome
 call(const char *answer, bool closes)
 {
@@ -142,7 +144,8 @@
 	assert_string_equal(outcome.body, "{}");
 }
 
-/** Guards against answers without a length that always count as lost. */
+/** An answer without a length ends with its connection, and must not count as
+ * lost. */
 static void
 test_answer_without_length(void **state)
 {
@@ -187,6 +190,7 @@
 
 /* Many orders for a worker that does not answer --------------------------- */
 
+/** Number of orders to start runs that are sent at once. */
 #define ORDERS 20
 /** Largest number of connections to one worker. */
 #define CONNS_MAX 6
@@ -210,9 +214,9 @@
 	server->count++;
 }
 
-/** The number of connections to one worker is bounded, however many orders
- * there are.  An order that timed out while it waited for a connection counts
- * as not sent, so it is certain that it was not carried out. */
+/** The number of connections to one worker is bounded, however many orders to
+ * start runs there are.  An order that timed out while it waited for a
+ * connection counts as not sent, so it was certainly not carried out. */
 static void
 test_connections_to_a_worker_are_few(void **state)
 {
@@ -247,7 +251,7 @@
 	assert_in_range(sent, 1, CONNS_MAX);
 }
 
-/** Mark that the test puts on a connection. */
+/** Mark that the test puts on a connection; the value has no meaning. */
 #define MARK 1790000000001
 
 static void
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -1,8 +1,9 @@
 /**
  * @file test_link.c
- * Guards against an owner behind a link of low bandwidth that accepts flows it
- * can't run, loses or repeats them, or never finishes loading the tables.  This
- * comes about when it disregards the time for which messages queue on the link.
+ * Guards against an owner behind a link of low bandwidth (a thin link) that
+ * accepts flows it can't run, loses or repeats them, or never finishes loading
+ * the tables.  This comes about when it disregards the time for which messages
+ * queue on the link.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,6 +17,7 @@
 
 /** Bandwidth of a link of 2 Mbit/s. */
 #define THIN_LINK_BYTES_PER_SEC 250000
+/** Size of a message to start a run. */
 #define MESSAGE_BYTES 920
 
 static void
@@ -53,9 +55,11 @@
 
 /* 85 workers over a link of 2 Mbit/s -------------------------------------- */
 
+/** Largest size of a specification, without the end of the string. */
 #define SPEC_BYTES_MAX 1300
 
-/** Returns a specification of the given size that begins with `work`. */
+/** Returns a specification of the given size that begins with `work`; it is
+ * valid until the next call. */
 static const char *
 spec_of(const char *work, size_t bytes)
 {
@@ -91,16 +95,18 @@
 	}
 }
 
-/** Submits flows for 20 s.  Checks that no lease lapses, that no run counts as
- * crashed and that accepted flows are not lost or run twice.
- * @param in_time percentage of flows that succeeded within their objective
- * @param refused percentage of flows that were rejected
+/** Submits flows for 20 s.  Asserts that no lease lapses, that no run counts
+ * as lost with a crashed worker and that no guarantee is violated.
+ * @param in_time receives the percentage of flows that succeeded within their
+ * objective
+ * @param refused receives the percentage of flows that were rejected
  */
 static void
 thin_link_run(const struct pool_cell_setup *setup, unsigned int *in_time,
     unsigned int *refused)
 {
-	/* Of the queues lookup, rebuild and import. */
+	/* Of the queues lookup, rebuild and import, as pool_cell.c configures
+	 * them for the durations in submit_tenth(). */
 	static const gb_time objectives[] = {
 	    1750 * GB_MSEC, 14200 * GB_MSEC, 16600 * GB_MSEC};
 	struct pool_cell *cell = pool_cell_begin(setup);
@@ -136,6 +142,7 @@
 	pool_cell_free(cell);
 }
 
+/** 85 workers, of which the advice service approves half. */
 static const struct pool_cell_setup thin = {3, 85, {16000, 64000, 0, 0, 0}, 50,
     30 * GB_MSEC, 1500 * GB_MSEC, 400, THIN_LINK_BYTES_PER_SEC, 0};
 
@@ -165,9 +172,9 @@
 	assert_true(refused >= 40);
 }
 
-/** A node behind a link of 0.5 Mbit/s takes over a pool with 150 open flows,
- * which take seconds to read.  Guards against reads that are all in flight at
- * once, time out and are retried for ever. */
+/** A node behind a link of 0.5 Mbit/s takes over a pool with 150 unfinished
+ * flows, which take seconds to read.  Guards against reads that are all in
+ * flight at once, time out and are retried forever. */
 static void
 test_successor_behind_thin_link_loads(void **state)
 {
--- a/tests/test_share.c
+++ b/tests/test_share.c
@@ -2,7 +2,8 @@
  * @file test_share.c
  * Guards against an organisation that is served late although it stays within
  * its share.  This comes about when another organisation submits far more than
- * the pool can run, or when a new owner does not know the shares in use.
+ * the pool can run and is not put behind it, or when a new owner does not know
+ * which flows are beyond their organisation's share.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,16 +14,17 @@
 
 #include "pool_cell.h"
 
-/** Time within which an import that runs for a second is to be finished. */
+/** Time within which an import of 1 s should finish: 4 times its work and 3 s,
+ * as configured for the queue import. */
 #define OBJECTIVE (7 * GB_SEC)
-/** Rounds of submissions, 0.1 s apart. */
+/** Number of rounds of submissions, 0.1 s apart. */
 #define ROUNDS 60
 
 /** Runs a pool for 6 s at twice the load that it can carry: the organisation
  * `hot` submits five imports each 0.1 s, and `other` one each 0.2 s.  Returns
  * how many imports of `other` finish within the objective.
- * @param disabled_features of the owner, as bits
- * @param takeover replaces the owner after half of the rounds
+ * @param disabled_features bitmask of features that are disabled
+ * @param takeover whether the owner is replaced after half of the rounds
  */
 static unsigned int
 overload_run(uint32_t disabled_features, bool takeover)
--- a/tests/test_shed.c
+++ b/tests/test_shed.c
@@ -2,7 +2,8 @@
  * @file test_shed.c
  * Guards against members that send an owner more flows than its link carries,
  * and against members that reject flows while the link has capacity.  Either
- * comes about when the share to be rejected does not follow the received bytes.
+ * comes about when the percentage of flows that members reject does not follow
+ * the bytes that the owner receives.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,9 +19,9 @@
 /** Interval of calls of shed_tick(). */
 #define TICK (50 * GB_MSEC)
 
-/** Simulates an owner's link.  It receives the flows that members do not reject
- * and all other messages, up to its bandwidth.  Returns the largest share of
- * rejected flows, in percent.
+/** Simulates an owner's link.  It carries the flows that members do not reject
+ * and all other messages, up to its bandwidth.  Returns the largest percentage
+ * of rejected flows.
  * @param rate bandwidth in bytes a second, 0: unlimited
  * @param offered bytes a second of all flows that members receive
  * @param fixed bytes a second of other messages
@@ -65,14 +66,14 @@
 test_full_link_sheds_until_it_is_free(void **state)
 {
 	struct shed shed = {0};
-	uint32_t share;
+	uint32_t percent;
 
 	(void)state;
 	/* Flows are three times the free capacity of the link. */
 	link_run(&shed, LINK_BYTES_PER_SEC, LINK_BYTES_PER_SEC * 3 / 2,
 	    LINK_BYTES_PER_SEC / 2, 10 * GB_SEC);
-	share = shed.percent;
-	assert_in_range(share, 55, 80);
+	percent = shed.percent;
+	assert_in_range(percent, 55, 80);
 	/* No flow is rejected any more once callers send fewer. */
 	link_run(&shed, LINK_BYTES_PER_SEC, LINK_BYTES_PER_SEC / 10,
 	    LINK_BYTES_PER_SEC / 4, 10 * GB_SEC);
@@ -80,7 +81,7 @@
 }
 
 /** However many flows are offered, some are accepted, and each of these is
- * accepted at a smaller share as well. */
+ * accepted at a smaller percentage of rejected flows as well. */
 static void
 test_some_flows_are_always_accepted(void **state)
 {
