--- a/tests/pool_cell.h
+++ b/tests/pool_cell.h
@@ -2,13 +2,14 @@
  * @file pool_cell.h
  * Harness that runs pool cores against the model of the platform in virtual
  * time. Calls take time, get lost or arrive late, owners are killed, and the
- * store becomes unavailable.
+ * store becomes unavailable. Times are in microseconds of virtual time.
  */
 #ifndef TESTS_POOL_CELL_H
 #define TESTS_POOL_CELL_H
 
 #include "world.h"
 
+/** Number of nodes, each of which runs a pool core. */
 #define CELL_NODES 3
 /** Largest number of organisations. */
 #define CELL_ORGS 8
@@ -76,18 +77,18 @@
 
 struct pool_cell {
 	gb_time now;
-	uint64_t seed;
+	uint64_t seed; /**< state of the random numbers */
 	struct pool_cell_setup setup;
 	struct world *world;
 	struct gb_pool *nodes[CELL_NODES];
 	uint64_t incarnations[CELL_NODES];
-	struct gb_link *links[CELL_NODES];
+	struct gb_link *links[CELL_NODES]; /**< outbound */
 	struct pool_cell_faults faults;
 	struct pool_cell_flow *flows;
 	size_t flow_count;
 	size_t flow_size;
 	uint64_t next_token;
-	struct pool_event *events;
+	struct pool_event *events; /**< calls in flight */
 	size_t event_count;
 	size_t event_size;
 	struct gb_pool_config *config;
@@ -102,7 +103,7 @@
 	/** For each node and worker: the process that the node has a connection
 	 * to. */
 	unsigned int (*connected)[CELL_WORKERS_MAX];
-	unsigned int starts;
+	unsigned int starts; /**< orders to start a run that nodes have sent */
 	unsigned int advice_calls;
 	/** When the owner last got the list of workers. A time in the future
 	 * puts off the next list. */
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -347,7 +347,7 @@
 }
 
 /** Makes a new version of the configuration with one queue more, without
- * sending it to any node. */
+ * sending it to any node; to be released with gb_pool_config_unref(). */
 static struct gb_pool_config *
 config_with_queue(const struct pool_cell *cell, const char *name)
 {
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -102,6 +102,7 @@
 
 	(void)state;
 	submit_lookups(cell, 60);
+	/* Back to the time of day at which the workers started. */
 	world_clock_step(cell->world, 100 * GB_SEC - cell->now);
 	world_worker_restart(cell->world, 0);
 	submit_lookups(cell, 60);
--- a/tests/test_shed.c
+++ b/tests/test_shed.c
@@ -21,7 +21,7 @@
 
 /** Simulates an owner's link.  It carries the flows that members do not reject
  * and all other messages, up to its bandwidth.  Returns the largest percentage
- * of rejected flows.
+ * of rejected flows.  Time and received bytes continue from the previous call.
  * @param rate bandwidth in bytes a second, 0: unlimited
  * @param offered bytes a second of all flows that members receive
  * @param fixed bytes a second of other messages
