--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -592,8 +592,8 @@
 	pool_cell_free(cell);
 }
 
-/** With most partitions unavailable no node can own the pool, and an attempt
- * does no harm. */
+/** While a majority of the partitions is unavailable no node can own the pool.
+ * An attempt that fails does not prevent a later takeover. */
 static void
 test_takeover_needs_most_partitions(void **state)
 {
@@ -616,8 +616,8 @@
 	pool_cell_free(cell);
 }
 
-/** Several nodes claim the pool at once. One of them gets most partitions and
- * keeps them. */
+/** Several nodes claim the pool at once. One of them gets a majority of the
+ * partitions and keeps them. */
 static void
 test_rival_claims_give_one_owner(void **state)
 {
