--- a/libgooseberry/gooseberry.h
+++ b/libgooseberry/gooseberry.h
@@ -66,9 +66,11 @@
 
 /** Callbacks that every handle of the library carries. */
 struct gb_env {
-	/** Logs one short sentence of the named module. */
-	void (*log)(void *, enum gb_level, const char *part, const char *text);
-	/** Records one finished span, given as a line of JSON; or null. */
+	/** Logs one short sentence of the named module; null: not logged. */
+	void (*log)(
+	    void *, enum gb_level, const char *module, const char *text);
+	/** Records one finished span, given as a line of JSON; null: not
+	 * recorded. */
 	void (*trace)(void *, const char *json);
 	void *data;	      /**< first argument of the callbacks */
 	struct gb_link *link; /**< counts the traffic; null: not counted */
@@ -76,9 +78,10 @@
 
 /** The link of an environment, or null.  The environment may be null. */
 struct gb_link *gb_env_link(const struct gb_env *);
-/** Format a log line and pass it to the environment's log callback. */
-void gb_env_log(const struct gb_env *, enum gb_level, const char *,
-    const char *, ...) __attribute__((format(printf, 4, 5)));
+/** Format a log line and pass it to the environment's log callback.  The
+ * environment may be null. */
+void gb_env_log(const struct gb_env *, enum gb_level, const char *module,
+    const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
 /* Verdict ---------------------------------------------------------------- */
 
@@ -98,6 +101,8 @@
 	uint64_t seed;	 /**< state of the random numbers for the jitter */
 };
 
+/** Start a budget with the maximum credit.  Both amounts are in thousandths of
+ * a retry. */
 void gb_retry_init(
     struct gb_retry *, int64_t per_try, int64_t limit, uint64_t seed);
 /** Add the credit that a first try earns. */
@@ -182,8 +187,9 @@
 	char name[GB_DCS_MAX][GB_NAME_MAX + 1];
 };
 
-/** Parse and check the JSON text of a document.  On failure the text of the
- * error has the form "line:column: path: reason". */
+/** Parse and check the JSON text of a document.  On failure the error is
+ * GB_E_INVALID with a text of the form "line:column: path: reason", and the
+ * document must not be used. */
 bool gb_doc_parse(struct gb_doc *, const struct gb_dcs *, const char *, size_t,
     struct gb_error *);
 const char *gb_doc_kind_name(enum gb_kind);
@@ -236,7 +242,7 @@
 	GB_OUTCOME_FAILED,
 	GB_OUTCOME_CANCELLED,
 	GB_OUTCOME_MAYBE_RUN,
-	GB_OUTCOME_RETURNED /**< lent task: not started, back to its home */
+	GB_OUTCOME_RETURNED /**< lent task: not started, given back */
 };
 
 /** Parameters of a core.  Times are microseconds. */
@@ -296,6 +302,8 @@
 
 struct gb_core;
 
+/** Create a core with one reference.  The parameters and their strings are
+ * copied. */
 struct gb_core *gb_core_new(const struct gb_core_config *, gb_time now);
 struct gb_core *gb_core_ref(struct gb_core *);
 void gb_core_unref(struct gb_core *);
@@ -303,16 +311,20 @@
 /** Do what is due by now; call at least every 5 ms.  Time must not go
  * backwards. */
 void gb_core_tick(struct gb_core *, gb_time now);
+/** Result of a GB_ACT_TXN with this id; unknown ids are ignored. */
 void gb_core_txn_done(
-    struct gb_core *, gb_time now, uint64_t op, const gb_txn_res *);
+    struct gb_core *, gb_time now, uint64_t id, const gb_txn_res *);
+/** Result of a GB_ACT_SCAN with this id; unknown ids are ignored. */
 void gb_core_scan_done(
-    struct gb_core *, gb_time now, uint64_t op, const gb_scan_res *);
+    struct gb_core *, gb_time now, uint64_t id, const gb_scan_res *);
 /** A newer copy of the platform's list of instances. */
 void gb_core_instances(struct gb_core *, gb_time now, const gb_instance_list *);
-/** End of a sync; the result is null when no answer came. */
+/** End of a GB_ACT_SYNC to a worker; seq is its id.  The result is null when no
+ * answer came. */
 void gb_core_sync_done(struct gb_core *, gb_time now, uint32_t worker,
     uint64_t seq, const gb_sync_res *);
-/** End of an exec; unknown ids are ignored. */
+/** End of a GB_ACT_EXEC; rid is the one in its message.  Unknown ones are
+ * ignored. */
 void gb_core_exec_done(
     struct gb_core *, gb_time now, uint64_t rid, const gb_exec_res *);
 /** A heartbeat from a peer; gb_core_beat_make makes the answer. */
@@ -341,6 +353,7 @@
 
 /** Take the next action; false when there is none. */
 bool gb_core_next_action(struct gb_core *, struct gb_action *);
+/** Release what an action owns. */
 void gb_action_clear(struct gb_action *);
 
 /** Set the offset from a core's time to the wall clock, for timestamps in
@@ -349,6 +362,7 @@
 
 /* State of a core for tests, metrics and status pages */
 
+/** Counts since the start of the core; the last line has present numbers. */
 struct gb_core_stats {
 	uint64_t starts, ends, requests, answers, refused, retries;
 	uint64_t log_writes, log_records, log_bytes, snapshots;
@@ -363,6 +377,7 @@
 bool gb_core_fresh(const struct gb_core *, gb_time now);
 /** Sequence number of the last change of configuration applied. */
 uint64_t gb_core_config_seq(const struct gb_core *);
+/** Whether this core schedules on the workers of a shard. */
 bool gb_core_owns(const struct gb_core *, uint32_t shard);
 /** Version of a document that this core acts on; 0: none, or the view is not
  * fresh. */
@@ -372,7 +387,8 @@
 /* Shard map -------------------------------------------------------------- */
 
 uint32_t gb_shard_count(const struct gb_core_config *);
-/** Shard that a worker belongs to, by data centre and rack. */
+/** Shard that a worker belongs to, by data centre and rack; GB_NONE if the data
+ * centre is unknown. */
 uint32_t gb_shard_of_rack(
     const struct gb_core_config *, const char *dc, const char *rack);
 /** Home shard of a job. */
@@ -380,7 +396,8 @@
 
 /* Counters --------------------------------------------------------------- */
 
-/** Bucket n counts up to 2^n microseconds, the last one all above as well. */
+/** Number of buckets.  Bucket n counts durations of up to 2^n microseconds, the
+ * last bucket all longer ones as well. */
 #define GB_HISTOGRAM_BUCKETS 28
 
 /** Latency histogram with buckets of powers of two microseconds. */
@@ -391,8 +408,9 @@
 };
 
 void gb_histogram_add(struct gb_histogram *, gb_time);
-/** Upper bound of the bucket that contains a quantile, given in per mille. */
-gb_time gb_histogram_quantile(const struct gb_histogram *, unsigned int);
+/** Upper bound of the bucket that contains a quantile. */
+gb_time gb_histogram_quantile(
+    const struct gb_histogram *, unsigned int per_mille);
 
 struct gb_counter {
 	const char *name;
@@ -413,17 +431,18 @@
 /** Add counters in the Prometheus text format. */
 void gb_counter_print(struct gb_text *, const struct gb_counter *, size_t);
 /** Add a histogram in the Prometheus text format. */
-void gb_histogram_print(
-    struct gb_text *, const char *, const char *, const struct gb_histogram *);
+void gb_histogram_print(struct gb_text *, const char *name, const char *help,
+    const struct gb_histogram *);
 
 /* Settings --------------------------------------------------------------- */
 
+/** Types of settings, and of the fields that they are stored in. */
 enum gb_setting_type {
-	GB_SET_STRING,
-	GB_SET_INT,
-	GB_SET_ADDR,
-	GB_SET_LIST,
-	GB_SET_TOKENS
+	GB_SET_STRING, /**< char array of max + 1 bytes */
+	GB_SET_INT,    /**< int64_t */
+	GB_SET_ADDR,   /**< IP:port, in a char array of GB_NAME_MAX + 1 bytes */
+	GB_SET_LIST,   /**< JSON list of names or addresses: struct gb_list */
+	GB_SET_TOKENS  /**< JSON object of teams: struct gb_tokens */
 };
 
 /** One field of a program's settings: the checks, the error texts and
@@ -432,9 +451,9 @@
 	const char *name;
 	enum gb_setting_type type;
 	const char *unit;
-	int64_t least;	      /**< minimum of a number */
-	int64_t most;	      /**< maximum of a number */
-	const char *fallback; /**< default as JSON text, null: required */
+	int64_t min; /**< minimum of a number, a length or a count */
+	int64_t max; /**< maximum of a number, a length or a count */
+	const char *default_json; /**< default as JSON text, null: required */
 	const char *help;
 	size_t offset; /**< of the field in the program's settings struct */
 };
@@ -445,8 +464,9 @@
 	char item[GB_DCS_MAX][GB_NAME_MAX + 1];
 };
 
+/** Bearer token of a team. */
 struct gb_token {
-	char team[GB_NAME_MAX + 1];
+	char team[GB_NAME_MAX + 1]; /**< "*": operators, for all teams */
 	char token[GB_NAME_MAX + 1];
 };
 
@@ -470,7 +490,7 @@
     struct gb_text *, struct gb_error *);
 /** Add the table as a section of docs/SETTINGS.md. */
 void gb_settings_document(
-    const struct gb_setting *, size_t, const char *, struct gb_text *);
+    const struct gb_setting *, size_t, const char *program, struct gb_text *);
 
 /** Settings of gooseberry-sched. */
 struct gb_sched_settings {
@@ -614,6 +634,9 @@
  * GB_RUN, and is freed when the function returns. */
 typedef void (*gb_rpc_done)(void *, gb_verdict, void *res);
 
+/** Listen on an address IP:port, port 0: any free one.  The environment must
+ * outlive the server.  Returns null with the error set to GB_E_INVALID if the
+ * address is malformed, or GB_E_IO if it cannot be listened on. */
 struct gb_rpc_server *gb_rpc_server_new(struct uv_loop_s *,
     const struct gb_env *, const char *addr, gb_rpc_serve, void *,
     struct gb_error *);
@@ -631,6 +654,8 @@
 /** Answer that the procedure is not served here, and end the call. */
 void gb_rpc_call_refuse(struct gb_rpc_call *);
 
+/** Create a client for a peer at IP:port; it connects at the first call.  The
+ * environment must outlive the client. */
 struct gb_rpc_client *gb_rpc_client_new(
     struct uv_loop_s *, const struct gb_env *, const char *addr);
 /** End all calls in flight with an error, and free the client once the event
@@ -645,7 +670,8 @@
 
 /* XDR -------------------------------------------------------------------- */
 
-/** Encode a message into a body; the caller frees it. */
+/** Encode a message into a body; the caller frees its bytes.  False if the
+ * message cannot be encoded. */
 bool gb_xdr_encode(xdrproc_t, const void *, gb_body *);
 /** Decode a body into a zeroed message.  The caller releases the message with
  * xdr_free if this succeeds. */
@@ -653,9 +679,10 @@
 /** Decode a row that may lack the last fields of its type, as older programs
  * wrote it.  At most missing_max XDR units may be missing; they read as zero
  * or empty. */
-bool gb_xdr_decode_older(
-    xdrproc_t, const gb_body *row, void *out, size_t, unsigned int missing_max);
-/** Deep copy of a message. */
+bool gb_xdr_decode_older(xdrproc_t, const gb_body *row, void *out, size_t size,
+    unsigned int missing_max);
+/** Make a deep copy of a message of the given size; the caller releases it with
+ * xdr_free.  False if the message cannot be encoded. */
 bool gb_xdr_copy(xdrproc_t, const void *from, void *to, size_t size);
 
 /* Allocations; they abort the process when memory is exhausted */
@@ -667,6 +694,7 @@
 /** Clients by address, created on first use. */
 struct gb_rpc_pool;
 
+/** The environment must outlive the pool. */
 struct gb_rpc_pool *gb_rpc_pool_new(struct uv_loop_s *, const struct gb_env *);
 /** Client for an address; it belongs to the pool. */
 struct gb_rpc_client *gb_rpc_pool_get(struct gb_rpc_pool *, const char *addr);
@@ -702,7 +730,8 @@
 };
 
 /** Fill in a platform that calls the stand-in programs through remote
- * procedure calls; store is the address of the table service. */
+ * procedure calls; store is the address of the table service.  The pool must
+ * outlive the platform. */
 void gb_standin_platform(
     struct gb_platform *, struct gb_rpc_pool *, const char *store);
 
@@ -739,16 +768,22 @@
 struct gb_sched;
 struct gb_entry;
 
+/** Start a scheduler; the environment and the settings are copied.  Returns
+ * null with the error set if it cannot listen. */
 struct gb_sched *gb_sched_new(struct uv_loop_s *, const struct gb_env *,
     const struct gb_sched_settings *, struct gb_error *);
+/** TCP port that the scheduler listens on. */
 int gb_sched_port(const struct gb_sched *);
 /** Apply the settings that may change while running. */
 void gb_sched_reload(struct gb_sched *, const struct gb_sched_settings *);
 /** Start a planned stop; done is called when all shards are handed over. */
 void gb_sched_stop(struct gb_sched *, void (*done)(void *), void *);
 
+/** Start an entry; the environment and the settings are copied.  Returns null
+ * with the error set if it cannot listen. */
 struct gb_entry *gb_entry_new(struct uv_loop_s *, const struct gb_env *,
     const struct gb_entry_settings *, struct gb_error *);
+/** TCP port that the entry listens on. */
 int gb_entry_port(const struct gb_entry *);
 /** Apply the settings that may change while running. */
 void gb_entry_reload(struct gb_entry *, const struct gb_entry_settings *);
@@ -769,9 +804,10 @@
 };
 
 struct gb_usage gb_usage_read(void);
-/** Write a line "<priority>part: sentence" to standard error.  Repeats within
+/** Write a line "<priority>module: sentence" to standard error.  Repeats within
  * a second are counted and reported once. */
-void gb_logger_line(void *, enum gb_level, const char *, const char *);
+void gb_logger_line(
+    void *, enum gb_level, const char *module, const char *text);
 /** Set the most verbose level that is written. */
 void gb_logger_level(enum gb_level);
 
--- a/libgooseberry/process/env.c
+++ b/libgooseberry/process/env.c
@@ -17,7 +17,7 @@
 }
 
 void
-gb_env_log(const struct gb_env *env, enum gb_level level, const char *part,
+gb_env_log(const struct gb_env *env, enum gb_level level, const char *module,
     const char *fmt, ...)
 {
 	char line[LINE_MAX_LEN];
@@ -28,5 +28,5 @@
 	va_start(ap, fmt);
 	vsnprintf(line, sizeof(line), fmt, ap);
 	va_end(ap);
-	env->log(env->data, level, part, line);
+	env->log(env->data, level, module, line);
 }
--- a/libgooseberry/process/logger.c
+++ b/libgooseberry/process/logger.c
@@ -9,12 +9,13 @@
 
 /** A line that repeats the last one within this time is only counted. */
 #define REPEAT_WINDOW GB_SEC
-/** Parts of the program whose repeats are counted apart; others share one. */
+/** Modules whose repeats are counted separately.  Any further ones share the
+ * entry of the first. */
 #define LAST_LINES 16
 
-/** Last line of a part of the program, to count its repeats. */
+/** Last line of a module, to count its repeats. */
 struct last_line {
-	const char *part;
+	const char *module;
 	char text[256];
 	gb_time since;
 	unsigned int repeats; /**< not printed yet */
@@ -23,16 +24,16 @@
 static enum gb_level logger_level = GB_LOG_INFO;
 static struct last_line logger_last[LAST_LINES];
 
-/** Last line of a part, which is added if it is new. */
+/** Last line of a module, which is added if it is new. */
 static struct last_line *
-last_line_find(const char *part)
+last_line_find(const char *module)
 {
 	size_t i;
 
 	for (i = 0; i < LAST_LINES; i++) {
-		if (logger_last[i].part == NULL)
-			logger_last[i].part = part;
-		if (strcmp(logger_last[i].part, part) == 0)
+		if (logger_last[i].module == NULL)
+			logger_last[i].module = module;
+		if (strcmp(logger_last[i].module, module) == 0)
 			return &logger_last[i];
 	}
 	return &logger_last[0];
@@ -46,9 +47,9 @@
 
 void
 gb_logger_line(
-    void *data, enum gb_level level, const char *part, const char *text)
+    void *data, enum gb_level level, const char *module, const char *text)
 {
-	struct last_line *last = last_line_find(part);
+	struct last_line *last = last_line_find(module);
 	gb_time now = gb_clock_boot();
 
 	(void)data;
@@ -61,10 +62,10 @@
 	}
 	if (last->repeats > 0) {
 		fprintf(stderr, "<%d>%s: Last line repeated %u times.\n",
-		    (int)level, part, last->repeats);
+		    (int)level, module, last->repeats);
 	}
 	snprintf(last->text, sizeof(last->text), "%s", text);
 	last->since = now;
 	last->repeats = 0;
-	fprintf(stderr, "<%d>%s: %s\n", (int)level, part, text);
+	fprintf(stderr, "<%d>%s: %s\n", (int)level, module, text);
 }
--- a/libgooseberry/process/settings.c
+++ b/libgooseberry/process/settings.c
@@ -159,14 +159,14 @@
 {
 	char what[128];
 
-	if (json_is_integer(value) && json_integer_value(value) >= set->least &&
-	    json_integer_value(value) <= set->most) {
+	if (json_is_integer(value) && json_integer_value(value) >= set->min &&
+	    json_integer_value(value) <= set->max) {
 		*out = json_integer_value(value);
 		return true;
 	}
 	snprintf(what, sizeof(what),
 	    "must be a whole number from %" PRId64 " to %" PRId64 " (%s)",
-	    set->least, set->most, set->unit);
+	    set->min, set->max, set->unit);
 	setting_error(check, set->name, what);
 	return false;
 }
@@ -179,17 +179,16 @@
 	char what[128];
 
 	if (json_is_string(value) &&
-	    (int64_t)json_string_length(value) >= set->least &&
-	    (int64_t)json_string_length(value) <= set->most &&
-	    (set->most != GB_NAME_MAX ||
-		name_valid(json_string_value(value)))) {
+	    (int64_t)json_string_length(value) >= set->min &&
+	    (int64_t)json_string_length(value) <= set->max &&
+	    (set->max != GB_NAME_MAX || name_valid(json_string_value(value)))) {
 		snprintf(
-		    out, (size_t)set->most + 1, "%s", json_string_value(value));
+		    out, (size_t)set->max + 1, "%s", json_string_value(value));
 		return true;
 	}
 	snprintf(what, sizeof(what),
 	    "must be a %s of %" PRId64 " to %" PRId64 " characters", set->unit,
-	    set->least, set->most);
+	    set->min, set->max);
 	setting_error(check, set->name, what);
 	return false;
 }
@@ -203,13 +202,13 @@
 	size_t i;
 
 	if (!json_is_array(value) ||
-	    (int64_t)json_array_size(value) < set->least ||
-	    (int64_t)json_array_size(value) > set->most) {
+	    (int64_t)json_array_size(value) < set->min ||
+	    (int64_t)json_array_size(value) > set->max) {
 		char what[96];
 
 		snprintf(what, sizeof(what),
-		    "must be a list of %" PRId64 " to %" PRId64 " %s",
-		    set->least, set->most, set->unit);
+		    "must be a list of %" PRId64 " to %" PRId64 " %s", set->min,
+		    set->max, set->unit);
 		setting_error(check, set->name, what);
 		return false;
 	}
@@ -239,7 +238,7 @@
 
 	out->count = 0;
 	if (!json_is_object(value) ||
-	    (int64_t)json_object_size(value) > set->most) {
+	    (int64_t)json_object_size(value) > set->max) {
 		setting_error(
 		    check, set->name, "must be an object of team and token");
 		return false;
@@ -300,11 +299,11 @@
 	json_t *value;
 	bool ok;
 
-	if (set->fallback == NULL) {
+	if (set->default_json == NULL) {
 		setting_error(check, set->name, "is missing");
 		return false;
 	}
-	value = json_loads(set->fallback, JSON_DECODE_ANY, NULL);
+	value = json_loads(set->default_json, JSON_DECODE_ANY, NULL);
 	ok = setting_read(check, set, value, settings);
 	json_decref(value);
 	return ok;
@@ -414,7 +413,7 @@
 		gb_text_add(out, "%s = %s (%s, from %s)\n", table[i].name,
 		    shown != NULL   ? shown
 		    : value != NULL ? "hidden"
-				    : table[i].fallback,
+				    : table[i].default_json,
 		    table[i].unit, value != NULL ? file : "the default");
 		free(shown);
 	}
@@ -440,9 +439,10 @@
 			gb_text_add(out, "an address");
 		else
 			gb_text_add(
-			    out, "%" PRId64 " to %" PRId64, s->least, s->most);
+			    out, "%" PRId64 " to %" PRId64, s->min, s->max);
 		gb_text_add(out, " | %s | %s |\n",
-		    s->fallback == NULL ? "required" : s->fallback, s->help);
+		    s->default_json == NULL ? "required" : s->default_json,
+		    s->help);
 	}
 	gb_text_add(out, "\n");
 }
