--- a/libgooseberry/process/core.c
+++ b/libgooseberry/process/core.c
@@ -10,6 +10,10 @@
 /** After a pause of the process, the list of instances counts as stale until a
  * new one arrives, at most for this long. */
 #define LIST_STALE_TIMEOUT (5 * GB_SEC)
+/** Retry budget of a core: one retry for ten first tries, and at most ten at
+ * once.  In thousandths of a retry. */
+#define RETRY_CREDIT_PER_TRY 100
+#define RETRY_CREDIT_MAX 10000
 
 bool
 core_list_stale(const struct gb_core *core)
@@ -34,7 +38,8 @@
 	core->now = now;
 	core->seed = cfg->seed;
 	core->next_rid = 1;
-	gb_retry_init(&core->retry, 100, 10000, cfg->seed ^ 1);
+	gb_retry_init(&core->retry, RETRY_CREDIT_PER_TRY, RETRY_CREDIT_MAX,
+	    cfg->seed ^ 1);
 	TAILQ_INIT(&core->changes);
 	core->shard_count = gb_shard_count(cfg);
 	core->shards = gb_calloc(core->shard_count, sizeof(struct shard));
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -27,7 +27,7 @@
 #define KEY_PREFIX "key/"
 /** Rows that one scan of the table service asks for. */
 #define SCAN_PAGE 500
-/** The rates of two clocks differ by at most one part in this. */
+/** The rates of two clocks differ by at most 1 / CLOCK_DRIFT_PART. */
 #define CLOCK_DRIFT_PART 100
 
 struct store_op;
@@ -67,11 +67,12 @@
 	bool listed; /**< is in the current view, as the store has it */
 	uint64_t listed_incarnation;
 	bool previous;	 /**< was in the view before the current one */
-	bool gone;	 /**< its instance has terminated, says the platform */
+	bool terminated; /**< the platform lists its instance as terminated */
 	bool leaving;	 /**< it is stopping */
 	bool informed;	 /**< has read the store since it started */
-	uint64_t seen;	 /**< version of the head row that it read last */
-	uint64_t config; /**< last configuration change that it applied */
+	/** Version of the head row that it read last. */
+	uint64_t head_seen;
+	uint64_t config_seq; /**< last configuration change that it applied */
 	/** Version of the row in which it asks to join, 0: none. */
 	uint64_t wait_vers;
 	uint64_t wait_incarnation; /**< incarnation in that row */
@@ -83,7 +84,7 @@
 	u_int claim_count;
 };
 
-/** How many members have read a write to the cell's rows. */
+/** How far a write to the cell's rows has spread among the members. */
 struct spread {
 	uint64_t vers; /**< version that the write gave the head row */
 	/** Time at which enough members had read it, 0: not yet. */
@@ -96,7 +97,7 @@
 	gb_change change;
 };
 
-/** Document of a team for one service, with its history. */
+/** Document of a team for one service, with its last versions. */
 struct doc {
 	UT_hash_handle hh;
 	char key[2 * GB_NAME_MAX + 2]; /**< team/service */
@@ -228,8 +229,8 @@
 
 /* Workers */
 
-/** What is known about the tasks that earlier owners of the shard started on a
- * worker. */
+/** What is known about a worker's tasks that earlier owners of the shard
+ * started. */
 enum evidence {
 	EVIDENCE_UNKNOWN,   /**< they may still run */
 	EVIDENCE_FENCED,    /**< it reported to this owner, earlier ones are
@@ -417,11 +418,11 @@
 	gb_time handover_retry_at;
 	struct request_queue waiting;
 	uint32_t waiting_count;
-	uint32_t sent_count; /**< requests in flight to workers */
-	uint32_t free_slots; /**< of all usable workers, at the last digest */
-	uint32_t usable;     /**< workers that may get work, at that digest */
-	uint64_t drained;    /**< requests answered since drain_from */
-	gb_time drain_from;
+	uint32_t sent_count;  /**< requests in flight to workers */
+	uint32_t free_slots;  /**< of all usable workers, at the last digest */
+	uint32_t usable;      /**< workers that may get work, at that digest */
+	uint64_t answered;    /**< requests answered since rate_from */
+	gb_time rate_from;    /**< time of the last update of answer_rate */
 	uint32_t answer_rate; /**< requests answered per second, smoothed */
 };
 
@@ -437,7 +438,7 @@
 struct gb_core {
 	unsigned int refs;
 	struct gb_core_config cfg;
-	char *strings[3];
+	char *strings[3]; /**< copies of the strings of cfg, to be freed */
 	gb_time now;
 	gb_time wall_minus_now;	  /**< wall clock minus the core's time */
 	gb_time last_tick;	  /**< time of the last tick, 0: none */
@@ -453,7 +454,7 @@
 	bool joined;		/**< this incarnation is in the view */
 	bool leaving;		/**< a planned stop has begun */
 	bool exited;		/**< GB_ACT_EXIT has been issued */
-	bool previous;		/**< this member was in the view before */
+	bool previous;		/**< this member was in the previous view */
 	uint64_t view_number;
 	uint64_t view_vers;	   /**< version of the view's row */
 	struct spread view_spread; /**< members that know of the view */
@@ -537,7 +538,8 @@
 void member_beats(struct gb_core *);
 /** Make a heartbeat to every member due at once. */
 void member_beat_now(struct gb_core *);
-/** Whether a member was heard within suspect_us and is not leaving. */
+/** Whether a message of a member arrived within suspect_us, and it neither
+ * leaves nor has terminated. */
 bool member_live(const struct gb_core *, const struct member *);
 struct member *member_find(struct gb_core *, const char *);
 struct member *member_add(struct gb_core *, const char *);
@@ -604,6 +606,7 @@
  * its commit, 0: none. */
 void log_append(struct gb_core *, struct shard *, gb_record *, uint64_t answer);
 void log_tick(struct gb_core *, struct shard *);
+/** Drop all records and the state of a shard's log. */
 void log_clear(struct gb_core *, struct shard *);
 /** Drop the record that this caller waits for, if it has not been sent.
  * Returns whether it may have been written. */
@@ -654,6 +657,7 @@
 void worker_prior_leases_bound(struct gb_core *, struct shard *);
 /** Called when the snapshot and log of a shard have been read. */
 void worker_shard_loaded(struct gb_core *, struct shard *);
+/** Reset what is known of the workers of a shard that was lost. */
 void worker_shard_lost(struct gb_core *, struct shard *);
 /** Free capacity; negative where more is used than the worker has. */
 gb_res worker_free(const struct worker *);
@@ -759,8 +763,12 @@
     struct gb_core *, struct shard *, uint32_t team, const gb_res *, bool add);
 
 /* request.c */
+/** Send waiting requests of a shard to workers with free capacity. */
 void request_dispatch(struct gb_core *, struct shard *);
+/** Answer requests whose deadline has passed. */
 void request_tick(struct gb_core *);
+/** Answer the requests of a lost shard that have not been sent, and drop the
+ * execs that were given up. */
 void request_shard_lost(struct gb_core *, struct shard *);
 /** Number of this process's requests that a worker lists, but that were sent
  * before this process lost and acquired its shard again. */
--- a/libgooseberry/process/report.c
+++ b/libgooseberry/process/report.c
@@ -86,7 +86,7 @@
 		gb_text_add(out,
 		    ", {\"name\": \"%s\", \"dc\": \"%s\", \"change\": %" PRIu64
 		    ", \"live\": %s}",
-		    m->name, m->dc, m->config,
+		    m->name, m->dc, m->config_seq,
 		    member_live(core, m) ? "true" : "false");
 	}
 	gb_text_add(out, "]");
--- a/libgooseberry/process/shard.c
+++ b/libgooseberry/process/shard.c
@@ -187,7 +187,7 @@
 	if (strcmp(shard->member, core->cfg.member) == 0)
 		return true;
 	m = member_find(core, shard->member);
-	if (m == NULL || m->gone || m->incarnation != shard->row.owner)
+	if (m == NULL || m->terminated || m->incarnation != shard->row.owner)
 		return true;
 	return core->now - m->last_heard > core->cfg.suspect_us;
 }
--- a/libgooseberry/request/relay.c
+++ b/libgooseberry/request/relay.c
@@ -10,8 +10,9 @@
 
 #include "process/entry.h"
 
+/** Maximum number of tries of a call, including the first. */
 #define TRIES_MAX 4
-/** How long after the deadline a scheduler's answer is still awaited. */
+/** A scheduler's answer is awaited this long after the deadline. */
 #define ANSWER_GRACE (100 * GB_MSEC)
 #define RETRY_DELAY_BASE (20 * GB_MSEC)
 #define RETRY_DELAY_MAX (400 * GB_MSEC)
@@ -159,7 +160,8 @@
 	relay_timer_start(relay, (uint64_t)(wait / GB_MSEC) + 1, retry_fire);
 }
 
-/** Whether another try may succeed and is allowed.  Status 0: no answer. */
+/** Whether another try may succeed and is allowed; takes its credit from the
+ * retry budget.  Status 0: no answer. */
 static bool
 relay_retry_allowed(
     struct relay *relay, gb_verdict verdict, unsigned int status)
--- a/libgooseberry/request/request.c
+++ b/libgooseberry/request/request.c
@@ -10,20 +10,24 @@
 
 #include "process/core.h"
 
-/** Execs sent for one request, with the first. */
+/** Maximum number of execs for one request, including the first. */
 #define TRIES_MAX 4
+/** Bounds of the delay after which a caller may retry a request that did not
+ * fit into the queue. */
 #define RETRY_AFTER_MIN_MS 50
 #define RETRY_AFTER_MAX_MS 5000
-/** When a caller may retry after the table service was unavailable. */
+/** Delay after which a caller may retry while the table service is
+ * unavailable. */
 #define STORE_RETRY_MS 1000
-/** When a caller may retry while the shard has no usable owner or worker. */
+/** Delay after which a caller may retry while the shard has no usable owner or
+ * worker. */
 #define OWNER_RETRY_MS 200
 /** Largest answer that is stored under an idempotency key, in bytes. */
 #define KEPT_ANSWER_MAX 65536
 #define TIMEOUT_MAX (600 * GB_SEC)
-/** Latest time after its caller's deadline at which an exec may begin. */
+/** An exec may begin at most this long after its caller's deadline. */
 #define EXEC_MARGIN (50 * GB_MSEC)
-/** Waiting requests without a fitting worker after which a dispatch stops. */
+/** A dispatch stops after this many waiting requests that fit no worker. */
 #define DISPATCH_BLOCKED_MAX 8
 
 static struct request *
@@ -66,7 +70,8 @@
 	}
 }
 
-/** When a caller may retry: the time in which the queue drains. */
+/** Delay after which a caller may retry: the time in which the queue is worked
+ * off. */
 static unsigned int
 retry_after_ms(const struct shard *shard)
 {
@@ -89,8 +94,8 @@
 	snprintf(out, size, KEY_PREFIX "%s/%s", r->spec.team, r->spec.key);
 }
 
-/** Ignores the result of a removed or finished key: the caller has its answer
- * already. */
+/** Ignores the result of the write that removes or finishes a key: the caller
+ * already has its answer. */
 static void
 key_updated(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
@@ -198,7 +203,7 @@
 	r->shard->waiting_count++;
 }
 
-/* Write of the key, which precedes the first exec */
+/* Write of the key, before the first exec */
 
 static void key_write(struct gb_core *, struct request *);
 
@@ -430,11 +435,11 @@
 /** Whether a worker of the shard is in the request's pool, and not the one
  * whose try failed. */
 static bool
-request_filter_allows(void *data, uint32_t at)
+request_filter_allows(void *data, uint32_t position)
 {
 	const struct request_filter *context = data;
 	const struct worker *w =
-	    worker_at(context->core, context->request->shard, at);
+	    worker_at(context->core, context->request->shard, position);
 
 	if (w->handle == context->request->avoid)
 		return false;
@@ -515,7 +520,8 @@
 
 /* Answers of workers */
 
-/** Drop an exec and free its capacity, unless the shard was lost since. */
+/** Drop an exec, and free its capacity unless the shard has been lost since it
+ * was sent. */
 static void
 exec_release(struct gb_core *core, struct exec *e)
 {
@@ -551,22 +557,23 @@
 	w->given_up++;
 }
 
-/** Count an ended request in the rate at which the shard's queue drains. */
+/** Count an answered request; updates the shard's answer rate about once a
+ * second. */
 static void
-drain_rate_update(struct gb_core *core, struct shard *shard)
+answer_rate_update(struct gb_core *core, struct shard *shard)
 {
-	gb_time span = core->now - shard->drain_from;
+	gb_time span = core->now - shard->rate_from;
 
-	shard->drained++;
+	shard->answered++;
 	if (span < GB_SEC)
 		return;
 	shard->answer_rate =
 	    (uint32_t)((shard->answer_rate +
-			   shard->drained * GB_SEC / (uint64_t)span) /
+			   shard->answered * GB_SEC / (uint64_t)span) /
 			   2 +
 		       1);
-	shard->drained = 0;
-	shard->drain_from = core->now;
+	shard->answered = 0;
+	shard->rate_from = core->now;
 }
 
 /** A try failed: retry on another worker if that is allowed, else fail. */
@@ -615,7 +622,7 @@
 		exec_release(core, e);
 	if (r == NULL)
 		return;
-	drain_rate_update(core, r->shard);
+	answer_rate_update(core, r->shard);
 	if (res->verdict == GB_RUN)
 		request_answer(core, r, res);
 	else
--- a/libgooseberry/version/config.c
+++ b/libgooseberry/version/config.c
@@ -15,8 +15,9 @@
 /** Versions of a document that a snapshot contains. */
 #define SNAPSHOT_VERSIONS 4
 #define CHANGE_RETRY_DELAY (50 * GB_MSEC)
-/** When a caller may retry after the table service did not take a change. */
+/** Delay after which a caller may retry a change that was not written. */
 #define STORE_RETRY_MS 1000
+/** Longest time that a command waits until its change is in force. */
 #define COMMAND_TIMEOUT_MAX (30 * GB_SEC)
 
 /** A worker that an operator drains, whether it is known or not. */
@@ -27,7 +28,6 @@
 
 /* Teams */
 
-/** Index of a team; adds the team if it is new. */
 uint32_t
 config_team_index(struct gb_core *core, const char *name)
 {
@@ -189,7 +189,8 @@
 	}
 }
 
-/** Set the last change applied and the version of its row. */
+/** Set the last change applied and the version of its row, and let all shards
+ * dispatch again. */
 static void
 config_advance(struct gb_core *core, uint64_t seq, uint64_t vers)
 {
@@ -439,7 +440,7 @@
 	struct change_wait *wait = wait_find_sent(core);
 	gb_change found;
 	gb_body body;
-	bool mine;
+	bool own;
 
 	(void)op;
 	if (wait == NULL)
@@ -460,9 +461,9 @@
 	body = result->rows[0].value;
 	if (!gb_xdr_decode((xdrproc_t)xdr_gb_change, &body, &found))
 		return;
-	mine = found.nonce == wait->change.nonce;
+	own = found.nonce == wait->change.nonce;
 	change_clear(&found);
-	if (mine)
+	if (own)
 		change_committed(core, wait, result->rows[0].vers);
 	else
 		change_retry(core, wait);
--- a/libgooseberry/version/member.c
+++ b/libgooseberry/version/member.c
@@ -74,7 +74,7 @@
 bool
 member_live(const struct gb_core *core, const struct member *m)
 {
-	return !m->gone && !m->leaving &&
+	return !m->terminated && !m->leaving &&
 	       core->now - m->last_heard <= core->cfg.suspect_us;
 }
 
@@ -84,7 +84,7 @@
 	struct member *m = member_find(core, instance->name);
 
 	if (m != NULL && instance->state == GB_INSTANCE_GONE)
-		m->gone = true;
+		m->terminated = true;
 }
 
 /* Freshness */
@@ -102,7 +102,7 @@
 member_confirms(const struct gb_core *core, const struct member *m, gb_time now)
 {
 	return m->informed && now - m->acked_beat_sent <= core->cfg.fresh_us &&
-	       m->seen <= core->head_seen;
+	       m->head_seen <= core->head_seen;
 }
 
 bool
@@ -121,7 +121,7 @@
 	if (now - core->confirmed > core->cfg.outage_us)
 		return false;
 	for (m = core->members; m != NULL; m = m->hh.next) {
-		if (m->seen > core->head_seen)
+		if (m->head_seen > core->head_seen)
 			return false;
 		all += m->listed;
 		confirming += m->listed && member_confirms(core, m, now);
@@ -151,7 +151,8 @@
 	count->previous = count->previous_know = core->previous;
 	for (m = core->members; m != NULL; m = m->hh.next) {
 		/* A terminated instance cannot confirm an older view. */
-		bool know = (m->informed && m->seen >= vers) || m->gone;
+		bool know =
+		    (m->informed && m->head_seen >= vers) || m->terminated;
 
 		count->listed += m->listed;
 		count->listed_know += m->listed && know;
@@ -247,8 +248,8 @@
 	snprintf(m->dc, sizeof(m->dc), "%s", beat->dc);
 	m->leaving = beat->leaving;
 	m->informed = beat->informed;
-	m->seen = beat->seen;
-	m->config = beat->config;
+	m->head_seen = beat->seen;
+	m->config_seq = beat->config;
 	m->last_heard = core->now;
 	m->claim_count = beat->claims.claims_len;
 	m->claims = gb_realloc(m->claims, m->claim_count * sizeof(gb_claim));
@@ -257,7 +258,7 @@
 		    m->claim_count * sizeof(gb_claim));
 	for (i = 0; i < m->claim_count; i++)
 		shard_claim_apply(core, &m->claims[i], m->name);
-	if (m->seen > core->head_seen)
+	if (m->head_seen > core->head_seen)
 		view_poll_now(core);
 	return m;
 }
@@ -299,7 +300,7 @@
 	for (m = core->members; m != NULL; m = m->hh.next) {
 		struct gb_action *action;
 
-		if (m->gone || m->addr[0] == '\0' ||
+		if (m->terminated || m->addr[0] == '\0' ||
 		    core->now - m->sent < core->cfg.beat_us)
 			continue;
 		m->sent = core->now;
@@ -332,7 +333,7 @@
 		beat->incarnation = m->incarnation;
 		beat->addr = gb_strdup(m->addr);
 		beat->dc = gb_strdup(m->dc);
-		beat->config = m->config;
+		beat->config = m->config_seq;
 		beat->claims.claims_len = m->claim_count;
 		beat->claims.claims_val =
 		    gb_calloc(m->claim_count, sizeof(gb_claim));
--- a/libgooseberry/version/view.c
+++ b/libgooseberry/version/view.c
@@ -4,8 +4,8 @@
  * and the owners of shards.  A process that starts writes a row of its own and
  * waits.  A member writes the next view, which adds the waiting processes and
  * removes the members that have left or are silent.  A new view is written
- * only when the current one is known to so many members that none acts on the
- * one before it.
+ * only once the current one is in force, which means that no member can act on
+ * the one before it any more.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -15,7 +15,7 @@
 
 /** Silence, in multiples of fresh_us, after which a member is removed. */
 #define SILENCE_FACTOR 4
-/** Pause after a write of the view or of the own row. */
+/** Time between two writes of the view or of the row that asks to join. */
 #define ROW_WRITE_INTERVAL (200 * GB_MSEC)
 /** Time after which any member may write a view that is due. */
 #define VIEW_WRITER_TIMEOUT (3 * GB_SEC)
@@ -60,7 +60,7 @@
 		snprintf(m->dc, sizeof(m->dc), "%s", row->dc);
 }
 
-/** Apply the view's row, if it is a new version. */
+/** Apply the view's row, if its version is new. */
 static void
 view_row_apply(struct gb_core *core, const gb_row *row)
 {
@@ -137,7 +137,7 @@
 			      SILENCE_FACTOR * core->cfg.fresh_us;
 
 		if (!m->listed && !m->previous && m->wait_vers == 0 &&
-		    (silent || m->gone || m->leaving))
+		    (silent || m->terminated || m->leaving))
 			member_free(core, m);
 	}
 }
@@ -380,7 +380,7 @@
 {
 	gb_time silence = core->now - m->last_heard;
 
-	if (m->gone)
+	if (m->terminated)
 		return true;
 	if (!core->joined)
 		return silence > core->cfg.outage_us +
@@ -474,7 +474,7 @@
 static void
 view_write(struct gb_core *core, enum view_reason reason)
 {
-	unsigned int most = HASH_COUNT(core->members) + 1;
+	unsigned int count_max = HASH_COUNT(core->members) + 1;
 	struct next_view next;
 	struct member *m;
 	gb_body body;
@@ -483,8 +483,9 @@
 	memset(&next, 0, sizeof(next));
 	next.reason = reason;
 	next.row.number = core->view_number + 1;
-	next.row.members.members_val = gb_calloc(most, sizeof(gb_member_row));
-	next.row.previous.previous_val = gb_calloc(most, sizeof(char *));
+	next.row.members.members_val =
+	    gb_calloc(count_max, sizeof(gb_member_row));
+	next.row.previous.previous_val = gb_calloc(count_max, sizeof(char *));
 	next_previous(&next, core->cfg.member, core->named, core->previous);
 	next_add(&next, core->cfg.member, core->cfg.incarnation, core->cfg.addr,
 	    core->cfg.dc);
