--- a/libgooseberry/process/dispatch.c
+++ b/libgooseberry/process/dispatch.c
@@ -10,8 +10,8 @@
 
 #include "core.h"
 
-/** Most attempts to start a task or gang in one run.  If they are used up, the
- * next tick runs dispatch again. */
+/** Maximum number of attempts to start a task or gang in one run.  If they are
+ * used up, the next tick runs dispatch again. */
 #define DECISIONS_PER_RUN 4096
 /** Jobs at the head of a team's queue of which one may start, so that jobs that
  * cannot start do not block those behind them. */
@@ -21,7 +21,7 @@
 /** Tasks with a run time up to this may still start while capacity is reserved
  * for a gang. */
 #define BACKFILL_RUN_MAX (2 * GB_SEC)
-/** Usable workers that are compared for one preemption. */
+/** Maximum number of usable workers that are compared for one preemption. */
 #define PREEMPT_SAMPLE 64
 /** A share of 1, as an integer. */
 #define SHARE_WHOLE 1000000
@@ -376,8 +376,8 @@
 
 /* Order */
 
-/** Start a task of a job, or a gang.  If it cannot start, try to lend its
- * tasks, to reserve capacity or to preempt. */
+/** Start a task of a job, or a gang; returns whether it started.  If not, try
+ * to lend its tasks, to reserve capacity or to preempt. */
 static bool
 job_start(struct gb_core *core, struct shard *shard, struct job *job)
 {
@@ -405,7 +405,8 @@
 	return started;
 }
 
-/** Start one of a team's first jobs in a band. */
+/** Start a task of one of a team's first jobs in a band; false if none of them
+ * can start. */
 static bool
 team_start(struct gb_core *core, struct shard *shard, struct team_queue *tq,
     unsigned int band)
--- a/libgooseberry/process/entry.c
+++ b/libgooseberry/process/entry.c
@@ -11,8 +11,13 @@
 #include "process/entry.h"
 
 #define VIEW_TIMEOUT GB_SEC
+/** Segments of a path that are parsed; further ones are ignored. */
 #define PATH_SEGMENTS 8
 #define STOP_POLL_MS 20
+/** Retry budget of an entry: one retry for ten first tries, and at most twenty
+ * at once.  In thousandths of a retry. */
+#define RETRY_CREDIT_PER_TRY 100
+#define RETRY_CREDIT_MAX 20000
 
 /** Segments of an HTTP path. */
 struct path {
@@ -407,7 +412,8 @@
 	if (uv_random(NULL, NULL, &entry->seed, sizeof(entry->seed), 0, NULL) !=
 	    0)
 		entry->seed = (uint64_t)gb_clock_wall();
-	gb_retry_init(&entry->retry, 100, 20000, entry->seed ^ 1);
+	gb_retry_init(&entry->retry, RETRY_CREDIT_PER_TRY, RETRY_CREDIT_MAX,
+	    entry->seed ^ 1);
 	dcs.count = settings->dcs.count;
 	for (i = 0; i < dcs.count; i++)
 		memcpy(dcs.name[i], settings->dcs.item[i], sizeof(dcs.name[i]));
@@ -442,8 +448,8 @@
 	entry->settings.log_level = settings->log_level;
 }
 
-/** Close a leaving entry once it may, and report when its last call has been
- * answered. */
+/** Close a leaving entry once leave_ms have passed, and call stopped when its
+ * last call has been answered. */
 static void
 stop_poll(uv_timer_t *timer)
 {
--- a/libgooseberry/process/entry.h
+++ b/libgooseberry/process/entry.h
@@ -10,7 +10,7 @@
 #include "connection/http.h"
 #include "gooseberry.h"
 
-/** When a caller should retry a call that the entry itself refused. */
+/** Delay after which a caller may retry a call that the entry refused. */
 #define RETRY_AFTER_MS 200
 
 struct gb_entry {
@@ -24,12 +24,13 @@
 	struct gb_route *route;
 	struct gb_retry retry;
 	uint64_t seed;
-	/** Scheduler to ask for the next view, as a growing number: first the
-	 * configured ones, then one of the view, and so on. */
+	/** Number of failed calls for a view.  It selects the scheduler to ask
+	 * next: the configured ones in turn, then one of the last view. */
 	unsigned int view_next;
 	bool view_pending;     /**< a view has been asked for */
-	gb_time view_received; /**< time of the last view */
-	gb_time accept_until;  /**< a leaving entry accepts until then */
+	gb_time view_received; /**< time at which the last view arrived */
+	/** Time until which a leaving entry accepts new connections. */
+	gb_time accept_until;
 	void (*stopped)(void *);
 	void *stopped_data;
 	uint64_t requests, commands, refused, retries, hedges, unauthorized;
@@ -50,7 +51,9 @@
 	bool gather;	     /**< a list of which every shard has a part */
 	struct gb_text list; /**< parts of that list received so far */
 	unsigned int tries;
-	unsigned int refs; /**< tries in flight, timers, and its own */
+	/** One for each try in flight and each timer, and one until the caller
+	 * has been answered. */
+	unsigned int refs;
 	bool may_have_run; /**< an earlier try may have run */
 	bool ended;	   /**< the caller has been answered */
 	bool hedged;	   /**< not used */
--- a/libgooseberry/process/job.c
+++ b/libgooseberry/process/job.c
@@ -11,6 +11,8 @@
 
 #include "core.h"
 
+/** Base and maximum of the delay before a job whose task failed is queued
+ * again. */
 #define RETRY_BASE (200 * GB_MSEC)
 #define RETRY_MAX (60 * GB_SEC)
 /** A job is removed this long after its end. */
--- a/libgooseberry/process/job_command.c
+++ b/libgooseberry/process/job_command.c
@@ -11,24 +11,26 @@
 
 #include "core.h"
 
-/** Most tasks of a job. */
+/** Maximum number of tasks of a job. */
 #define TASKS_MAX 100000
-/** Longest deadline of a command that waits for its record. */
-#define COMMAND_LIMIT (30 * GB_SEC)
+/** Longest time that a command waits for the commit of its record. */
+#define COMMAND_TIMEOUT_MAX (30 * GB_SEC)
+/** Delay after which a caller may retry while the table service is
+ * unavailable. */
 #define STORE_RETRY_MS 1000
 
-/** Remember a command until its record is committed. */
+/** Keep a command until its record is committed or its deadline passes. */
 static struct command_wait *
 command_wait_add(struct gb_core *core, uint64_t id, const gb_command *cmd,
     struct shard *shard)
 {
 	struct command_wait *wait = gb_calloc(1, sizeof(*wait));
-	gb_time limit = cmd->remaining_us;
+	gb_time timeout = cmd->remaining_us;
 
-	if (limit <= 0 || limit > COMMAND_LIMIT)
-		limit = COMMAND_LIMIT;
+	if (timeout <= 0 || timeout > COMMAND_TIMEOUT_MAX)
+		timeout = COMMAND_TIMEOUT_MAX;
 	wait->answer = id;
-	wait->deadline = core->now + limit;
+	wait->deadline = core->now + timeout;
 	wait->shard = shard->id;
 	HASH_ADD(hh, core->commands, answer, sizeof(wait->answer), wait);
 	return wait;
--- a/libgooseberry/process/json_text.c
+++ b/libgooseberry/process/json_text.c
@@ -7,7 +7,7 @@
 
 #include "json_text.h"
 
-/** Only this many bytes of a key are searched for. */
+/** Longest key that can be found, in bytes. */
 #define KEY_SEARCH_MAX 60
 
 void
--- a/libgooseberry/process/log.c
+++ b/libgooseberry/process/log.c
@@ -21,7 +21,7 @@
 #define LOG_BATCH_MAX 4096
 /** Shortest time for which records are collected. */
 #define LOG_WINDOW_MIN (2 * GB_MSEC)
-/** Most log rows that the write of a snapshot removes. */
+/** Maximum number of log rows that the write of a snapshot removes. */
 #define SNAPSHOT_TRIM_MAX 2000
 
 void
@@ -191,7 +191,7 @@
 		shard_lose(core, shard, "another owner wrote its log");
 }
 
-/** Read the row of a write with an unknown result or a conflict back. */
+/** Read back the row of a write that had an unknown result or a conflict. */
 static void
 log_check(struct gb_core *core, struct shard *shard, gb_store_status status)
 {
--- a/libgooseberry/process/sched.c
+++ b/libgooseberry/process/sched.c
@@ -21,7 +21,7 @@
 	UT_hash_handle hh;
 	uint64_t id;
 	struct gb_rpc_call *call;
-	gb_body body; /**< of the request; the core gets it without */
+	gb_body body; /**< of the request; the core does not keep it */
 	gb_time started;
 	char parent[GB_TRACE_MAX]; /**< trace context of the caller */
 	char own[GB_TRACE_MAX];	   /**< trace context of the span here */
@@ -130,8 +130,8 @@
 	free(op);
 }
 
-/** Messages about loans are answered by other such messages; the result of the
- * call carries nothing. */
+/** Ignores the result of the call: messages about loans are answered by other
+ * such messages. */
 static void
 lend_done(void *data, gb_verdict verdict, void *res)
 {
@@ -408,7 +408,7 @@
 	sched_run_actions(sched);
 }
 
-/** Answer a call that only stand-ins serve: the injection of a fault. */
+/** Reject a call that injects a fault, which only stand-ins serve. */
 static void
 serve_reject(struct gb_rpc_call *call)
 {
--- a/libgooseberry/process/store_op.c
+++ b/libgooseberry/process/store_op.c
@@ -7,7 +7,7 @@
 
 #include "core.h"
 
-/** Remember an operation until its result arrives or it times out. */
+/** Keep an operation until its result arrives or it times out. */
 static struct store_op *
 op_add(struct gb_core *core, store_done_fn done, uint32_t shard, uint64_t ref)
 {
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -14,7 +14,7 @@
 
 #include "core.h"
 
-/** A worker is quarantined after consecutive failures of so many jobs. */
+/** A worker is quarantined after consecutive failures of this many jobs. */
 #define QUARANTINE_FAILURES 3
 /** After this time a quarantined worker gets work again; one more failure
  * quarantines it again. */
@@ -30,10 +30,11 @@
 }
 
 struct worker *
-worker_at(const struct gb_core *core, const struct shard *shard, uint32_t place)
+worker_at(
+    const struct gb_core *core, const struct shard *shard, uint32_t position)
 {
-	return place < shard->worker_count
-		   ? core->workers[shard->workers[place]]
+	return position < shard->worker_count
+		   ? core->workers[shard->workers[position]]
 		   : NULL;
 }
 
@@ -185,9 +186,9 @@
 	       w->next_sync.acks.acks_len == 0;
 }
 
-/** None of the tasks attached to a worker run there any more.  Starts from the
- * sync number unsent on were not sent.  With crashed, the tasks that were sent
- * may have crashed the worker. */
+/** Drop all tasks attached to a worker, since none runs there any more.  Starts
+ * in syncs numbered unsent or above have not been sent.  With crashed, the
+ * tasks that were sent may have crashed the worker. */
 static void
 worker_tasks_lost(
     struct gb_core *core, struct worker *w, uint64_t unsent, bool crashed)
@@ -526,7 +527,7 @@
 		xdr_free((xdrproc_t)xdr_gb_start,
 		    (char *)&w->next_sync.starts.starts_val[i]);
 	w->next_sync.starts.starts_len = 0;
-	/* Backwards, because the last task moves into a lost one's place. */
+	/* Backwards, because a task that is removed is replaced by the last. */
 	for (i = w->task_count; i > 0; i--) {
 		struct task_ref ref;
 		struct task *task;
@@ -551,8 +552,8 @@
 }
 
 /** Compare the tasks that a report lists with those attached to the worker.
- * Listed tasks that are not attached are stopped or acknowledged; attached
- * tasks that should be listed and are not are lost. */
+ * Listed tasks that are not attached are stopped or acknowledged.  Attached
+ * tasks that are missing from the report count as lost. */
 static void
 worker_report(struct gb_core *core, struct worker *w, const gb_sync_res *res)
 {
@@ -581,7 +582,7 @@
 	foreign.slots += requests;
 	foreign.conns += requests;
 	w->foreign = foreign;
-	/* Backwards, because the last task moves into a lost one's place. */
+	/* Backwards, because a task that is removed is replaced by the last. */
 	for (i = w->task_count; i > 0; i--) {
 		struct task_ref ref;
 		struct task *task;
