--- a/libgooseberry/connection/http.c
+++ b/libgooseberry/connection/http.c
@@ -12,6 +12,7 @@
 #include "http.h"
 #include "rpc.h"
 
+/** Connections that may wait to be accepted. */
 #define HTTP_BACKLOG 1024
 /** Estimated bytes of an answer before its body: status, date, type and
  * length. */
@@ -36,8 +37,9 @@
 	struct http_server *server;
 };
 
-/** Detaches a call from its h2o request.  It is allocated from the pool of that
- * request, which is freed when the connection is closed early. */
+/** Clears a call's pointer to its h2o request when that is freed before the
+ * answer, because the connection was closed.  It is allocated from the pool of
+ * the h2o request, so that it is disposed of together with it. */
 struct http_guard {
 	struct http_call *call; /**< null once it is answered */
 };
--- a/libgooseberry/connection/http.h
+++ b/libgooseberry/connection/http.h
@@ -9,7 +9,8 @@
 
 struct http_server;
 
-/** A request that is to be answered.  It may outlive its connection. */
+/** A request that is to be answered.  It may outlive its connection, but its
+ * method, path, query and body are valid only while req is not null. */
 struct http_call {
 	struct http_server *server;
 	void *req; /**< h2o_req_t, null once the connection is closed */
@@ -25,8 +26,12 @@
 /** Handles a request; it is answered now or later with http_call_answer. */
 typedef void (*http_handler)(void *, struct http_call *);
 
+/** Listen on an address IP:port, port 0: any free one.  Bodies longer than
+ * body_limit bytes are rejected.  Returns null with the error set to GB_E_IO if
+ * the address cannot be listened on. */
 struct http_server *http_server_new(struct uv_loop_s *, const char *addr,
     size_t body_limit, http_handler, void *, struct gb_error *);
+/** TCP port that the server listens on. */
 int http_server_port(const struct http_server *);
 /** Count the bytes of answers in a link, as traffic to callers. */
 void http_server_set_link(struct http_server *, struct gb_link *);
@@ -41,12 +46,13 @@
  * missing or the connection is closed. */
 const char *http_call_header(
     const struct http_call *, const char *name, char *out, size_t size);
-/** Copy the host of the request, without the port. */
+/** Copy the host of the request, without the port; empty when the connection
+ * is closed. */
 void http_call_host(const struct http_call *, char *out, size_t size);
 /** Add a header to the answer. */
 void http_call_add_header(
     struct http_call *, const char *name, const char *value);
-/** Send the answer and end the call. */
+/** Send the answer, unless the connection is closed, and free the call. */
 void http_call_answer(struct http_call *, unsigned int status, const char *type,
     const char *body, size_t len);
 
--- a/libgooseberry/connection/rpc.h
+++ b/libgooseberry/connection/rpc.h
@@ -18,6 +18,7 @@
 #define RPC_LAST_FRAGMENT 0x80000000u
 /** Length of a record mark, in bytes. */
 #define RPC_MARK_LEN 4
+/** Connections that may wait to be accepted. */
 #define RPC_CONNECTION_BACKLOG 512
 
 /** Bytes of a stream that are not a complete record yet. */
@@ -27,7 +28,8 @@
 	size_t size;
 };
 
-/** Called with each complete record; false ends the connection. */
+/** Called with each complete record, which is freed afterwards; false ends the
+ * connection. */
 typedef bool (*rpc_record_fn)(void *, char *, size_t);
 
 /** Add bytes received and call the function for each complete record.  False
--- a/libgooseberry/connection/rpc_client.c
+++ b/libgooseberry/connection/rpc_client.c
@@ -16,6 +16,7 @@
 
 #include "rpc.h"
 
+/** Interval at which expired calls are ended. */
 #define TIMEOUT_SCAN_MS 10
 /** Age at which a connection that never received anything is retired.  It is
  * doubled for each such connection in a row, so that a paused or unreachable
@@ -30,8 +31,8 @@
 	UT_hash_handle hh;
 	uint32_t xid;
 	uint32_t proc;
-	struct rpc_client_conn *conn; /**< it was written to, or null */
-	gb_time written;
+	struct rpc_client_conn *conn; /**< that it was written to, or null */
+	gb_time written;	      /**< time at which it was written */
 	gb_time deadline;
 	gb_rpc_done done;
 	void *data;
@@ -47,7 +48,7 @@
 	struct rpc_reader reader;
 	bool connected;
 	gb_time created;
-	gb_time last_heard; /**< when bytes were last received, 0: never */
+	gb_time last_heard; /**< time of the last bytes received, 0: none */
 };
 
 LIST_HEAD(rpc_client_conns, rpc_client_conn);
@@ -270,7 +271,9 @@
 	return NULL;
 }
 
-/** Whether a connection is silent, judged by an expired call on it. */
+/** Whether nothing was received on a connection since an expired call was
+ * written to it.  One that never received anything must also have its minimum
+ * age. */
 static bool
 conn_silent(const struct rpc_client_conn *conn, const struct rpc_pending *call)
 {
--- a/libgooseberry/connection/rpc_method.c
+++ b/libgooseberry/connection/rpc_method.c
@@ -8,8 +8,8 @@
 	[num] = {num, label, (xdrproc_t)xdr_##in, sizeof(in), \
 	    (xdrproc_t)xdr_##out, sizeof(out)}
 
-/** Older programs do not shed load and end the answer before the field shed:
- * the field then reads as 0. */
+/** Coder of the answer to a hello.  Older programs do not shed load and end the
+ * answer before the field shed, which then reads as 0. */
 static bool_t
 hello_res_code(XDR *xdrs, gb_hello_res *res)
 {
--- a/libgooseberry/connection/rpc_server.c
+++ b/libgooseberry/connection/rpc_server.c
@@ -27,7 +27,8 @@
 	int port;
 };
 
-/** Lives as long as its socket or a call received on it. */
+/** Connection of a peer; freed once its socket is closed and the calls received
+ * on it are answered. */
 struct rpc_connection {
 	uv_tcp_t tcp;
 	TAILQ_ENTRY(rpc_connection) next;
@@ -86,11 +87,10 @@
 	return TRUE;
 }
 
-/** Send the reply to a call.  The number is that of the procedure, proc codes
- * the result. */
+/** Send the reply to a call of a procedure; code is the coder of the result. */
 static void
-reply_send(struct rpc_connection *conn, uint32_t xid, uint32_t number,
-    enum accept_stat stat, xdrproc_t proc, void *res)
+reply_send(struct rpc_connection *conn, uint32_t xid, uint32_t proc,
+    enum accept_stat stat, xdrproc_t code, void *res)
 {
 	size_t before = conn->server->bytes;
 	struct rpc_msg msg;
@@ -104,12 +104,12 @@
 	msg.acpted_rply.ar_verf = _null_auth;
 	msg.acpted_rply.ar_stat = stat;
 	msg.acpted_rply.ar_results.where = res;
-	msg.acpted_rply.ar_results.proc = proc;
+	msg.acpted_rply.ar_results.proc = code;
 	if (!rpc_stream_write((uv_stream_t *)&conn->tcp, &msg, NULL, NULL,
 		&conn->server->bytes))
 		connection_close(conn);
 	gb_link_count_sent(gb_env_link(conn->server->env), gb_clock_boot(),
-	    GB_TRAFFIC_RPC + number, conn->server->bytes - before);
+	    GB_TRAFFIC_RPC + proc, conn->server->bytes - before);
 }
 
 /** Decode the argument of a call and pass it to the server's function. */
--- a/libgooseberry/connection/rpc_stream.c
+++ b/libgooseberry/connection/rpc_stream.c
@@ -35,7 +35,8 @@
 }
 
 /** Length of the first record with its marks: 0 when it is incomplete, SIZE_MAX
- * when it is malformed or too long.  Sets the payload's length. */
+ * when it is malformed or too long.  Sets the payload's length if the record is
+ * complete. */
 static size_t
 reader_record_len(struct rpc_reader *reader, size_t *payload)
 {
