--- a/cli/ctl.c
+++ b/cli/ctl.c
@@ -13,7 +13,7 @@
 
 #include "ctl.h"
 
-/** Size of the path of a request. */
+/** Size of the buffer for the path of a request, in bytes. */
 #define PATH_MAX_LEN 512
 /** Times that --watch prints the status, once a second. */
 #define WATCH_REPEATS 600
@@ -537,6 +537,7 @@
 	return CTL_OK;
 }
 
+/** Commands; args_min is the minimum number of their arguments. */
 static const struct {
 	const char *verb;
 	unsigned int args_min;
@@ -569,11 +570,11 @@
 
 /** Value of an environment variable, or a default. */
 static const char *
-env_get(const char *name, const char *fallback)
+env_get(const char *name, const char *default_value)
 {
 	const char *value = getenv(name);
 
-	return value == NULL ? fallback : value;
+	return value == NULL ? default_value : value;
 }
 
 int
--- a/cli/ctl.h
+++ b/cli/ctl.h
@@ -20,7 +20,8 @@
 	CTL_INVALID = 6
 };
 
-/** Most arguments of a command; trace takes a log file of each instance. */
+/** Maximum number of arguments of a command; trace takes a log file of each
+ * instance. */
 #define CTL_ARGS_MAX 64
 
 /** Command, arguments and options of a call of gooseberryctl. */
@@ -34,11 +35,11 @@
 	bool json;		/**< print the answer as JSON */
 	bool watch;		/**< repeat every second */
 	bool quiet;		/**< print no message for status 404 */
-	unsigned long deadline_ms;
-	unsigned int tasks;  /**< of a job to submit */
-	unsigned int shards; /**< of the cell, for home */
-	const char *service; /**< document of a job to submit, or null */
-	const char *verb;    /**< command */
+	unsigned long deadline_ms; /**< for each call */
+	unsigned int tasks;	   /**< of a job to submit */
+	unsigned int shards;	   /**< of the cell, for home */
+	const char *service;	   /**< document of a job to submit, or null */
+	const char *verb;	   /**< command */
 	const char *arg[CTL_ARGS_MAX];
 	unsigned int arg_count;
 };
@@ -53,11 +54,14 @@
 };
 
 /** Call an entry.  Returns CTL_OK when the status is 2xx; otherwise prints the
- * problem to standard error.  The answer is released with ctl_answer_clear. */
+ * problem to standard error and returns the exit code for it.  The header line
+ * and the body may be null.  The caller releases the answer with
+ * ctl_answer_clear in both cases. */
 enum ctl_exit ctl_call(const struct ctl *, const char *method, const char *path,
     const char *header, const char *body, struct ctl_answer *);
 void ctl_answer_clear(struct ctl_answer *);
-/** Read a file.  The caller frees the text; null after an error message. */
+/** Read a file as text, at most its first MiB.  The caller frees the text; null
+ * after an error message. */
 char *ctl_file_read(const char *file);
 
 /** Print a list of objects as a table; columns ends with null. */
@@ -69,12 +73,13 @@
 enum ctl_exit ctl_trace_flow(
     const char *flow, const char *const *files, unsigned int count);
 /** Read the organisations from the text of an instance's metrics, as a list of
- * objects. */
+ * objects that the caller releases. */
 json_t *ctl_orgs_read(const char *metrics);
 /** Print the organisations of the pool.  The server must be the address at
  * which the pool's owner serves its metrics. */
 enum ctl_exit ctl_show_orgs(const struct ctl *);
-/** Check a settings file or a document without a server. */
+/** Check a settings file or a document without a server, and print the
+ * result. */
 enum ctl_exit ctl_check(const struct ctl *, const char *file);
 /** Print the lines that are in only one of two texts. */
 void ctl_show_diff(const char *before, const char *after);
--- a/cli/ctl_http.c
+++ b/cli/ctl_http.c
@@ -11,7 +11,7 @@
 #include "ctl.h"
 
 #define URL_MAX 1024
-/** How much longer than the deadline an answer is awaited. */
+/** An answer is awaited this long after the deadline. */
 #define ANSWER_GRACE_MS 5000
 
 static size_t
--- a/cli/ctl_show.c
+++ b/cli/ctl_show.c
@@ -9,7 +9,9 @@
 #include "ctl.h"
 
 #define COLUMNS_MAX 12
+/** Spans of a trace that are printed; further ones are ignored. */
 #define SPANS_MAX 256
+/** Lines of a text that are compared; further ones are ignored. */
 #define LINES_MAX 2000
 
 /** Text of a value in a table; "-" when it is missing or empty. */
@@ -141,7 +143,7 @@
 	return value == NULL ? "" : value;
 }
 
-/** Print the spans with a parent, each followed by its children. */
+/** Print the spans that have this parent, each followed by its children. */
 static void
 spans_print(json_t **spans, size_t count, const char *parent, int depth)
 {
--- a/cli/ctl_trace.c
+++ b/cli/ctl_trace.c
@@ -148,7 +148,8 @@
 	printf("\n");
 }
 
-/** Last line that reports the end of the flow, or null. */
+/** Last line that reports the end of the flow, or null.  The kinds of ends are
+ * searched for in the order of the list. */
 static const struct trace_line *
 trace_end_line(const struct trace *trace)
 {
