--- a/libgooseberry/gooseberry.h
+++ b/libgooseberry/gooseberry.h
@@ -476,16 +476,17 @@
 	struct gb_token item[256];
 };
 
-/** Read and check a settings file.  On failure the text of the error has the
- * form "file:line:column: path: reason, allowed values", and out must not be
- * used. */
+/** Read and check a settings file into the program's settings struct.  Returns
+ * false with GB_E_MISSING if the file cannot be opened, or with GB_E_INVALID
+ * and a text of the form "file:line:column: setting: reason"; out must not be
+ * used then. */
 bool gb_settings_read(const struct gb_setting *, size_t, void *out,
     const char *file, struct gb_error *);
 /** Parse and check settings that are in memory; file is for the errors. */
 bool gb_settings_parse(const struct gb_setting *, size_t, void *out,
     const char *file, const char *text, size_t len, struct gb_error *);
-/** Add the settings in force and the source of each value.  Tokens are not
- * shown. */
+/** Add the settings of a file and the source of each value.  Tokens are not
+ * shown.  Returns false with GB_E_MISSING if the file cannot be opened. */
 bool gb_settings_print(const struct gb_setting *, size_t, const char *file,
     struct gb_text *, struct gb_error *);
 /** Add the table as a section of docs/SETTINGS.md. */
@@ -535,8 +536,9 @@
     int64_t per_mille);
 /** Whether a traceparent is valid and has the sampled flag. */
 bool gb_trace_sampled(const char *);
-/** Pass a finished span to the environment's trace callback, if it is
- * sampled. */
+/** Pass a finished span to the environment's trace callback, if it is sampled.
+ * own and parent are the traceparents of the span and of its parent, hop is the
+ * name of the span. */
 void gb_trace_span(const struct gb_env *, const char *own, const char *parent,
     const char *hop, gb_time start, gb_time end, const char *detail);
 
