--- a/libgooseberry/process/link.c
+++ b/libgooseberry/process/link.c
@@ -17,17 +17,17 @@
 /** Bytes of the TCP and IP headers and of the acknowledgement of a message that
  * fits into one packet. */
 #define LINK_OVERHEAD_BYTES 80
-/** Interval at which the use of the link is averaged. */
-#define LINK_USE_INTERVAL (200 * GB_MSEC)
-/** Weight of the use in the last interval in the moving average. */
-#define LINK_USE_WEIGHT 0.2
+/** Interval at which the utilisation of the link is averaged. */
+#define LINK_AVERAGE_INTERVAL (200 * GB_MSEC)
+/** Weight of the last interval in the moving average of the utilisation. */
+#define LINK_AVERAGE_WEIGHT 0.2
 
 struct gb_link {
 	uint64_t bytes_per_s; /**< 0: not limited */
 	gb_time free_at;      /**< the bytes sent so far have left by then */
-	gb_time use_at;	      /**< time at which the use is averaged next */
-	uint64_t use_bytes;   /**< sent since it was last averaged */
-	double use;	      /**< average share of the bandwidth in use */
+	gb_time average_at;   /**< time at which utilisation is updated next */
+	uint64_t unaveraged_bytes; /**< bytes sent since its last update */
+	double utilisation; /**< average fraction of the bandwidth in use */
 	struct gb_traffic traffic[GB_TRAFFIC_KINDS];
 };
 
@@ -40,7 +40,7 @@
 	return link;
 }
 
-/** Update the average use if an interval has passed.  After a pause in sending,
+/** Update the utilisation if an interval has passed.  After a pause in sending,
  * the bytes count as sent within the last second. */
 static void
 link_average(struct gb_link *link, gb_time now)
@@ -48,14 +48,15 @@
 	double span;
 	double share;
 
-	if (link->use_at > now)
+	if (link->average_at > now)
 		return;
-	span = (double)(now - link->use_at + LINK_USE_INTERVAL) / GB_SEC;
-	share = (double)link->use_bytes /
+	span =
+	    (double)(now - link->average_at + LINK_AVERAGE_INTERVAL) / GB_SEC;
+	share = (double)link->unaveraged_bytes /
 		((double)link->bytes_per_s * (span > 1 ? 1 : span));
-	link->use += LINK_USE_WEIGHT * (share - link->use);
-	link->use_bytes = 0;
-	link->use_at = now + LINK_USE_INTERVAL;
+	link->utilisation += LINK_AVERAGE_WEIGHT * (share - link->utilisation);
+	link->unaveraged_bytes = 0;
+	link->average_at = now + LINK_AVERAGE_INTERVAL;
 }
 
 void
@@ -74,7 +75,7 @@
 	from = link->free_at > now ? link->free_at : now;
 	link->free_at =
 	    from + (gb_time)(bytes * GB_SEC / (gb_time)link->bytes_per_s);
-	link->use_bytes += bytes;
+	link->unaveraged_bytes += bytes;
 	link_average(link, now);
 }
 
@@ -103,7 +104,7 @@
 double
 gb_link_utilisation(const struct gb_link *link)
 {
-	return link == NULL ? 0 : link->use;
+	return link == NULL ? 0 : link->utilisation;
 }
 
 const struct gb_traffic *
