--- a/libgooseberry/process/json_text.c
+++ b/libgooseberry/process/json_text.c
@@ -11,7 +11,7 @@
 #define KEY_SEARCH_MAX 60
 
 void
-json_text_place(
+json_text_position(
     const char *text, size_t len, const char *key, int *line, int *col)
 {
 	char quoted[KEY_SEARCH_MAX + 3];
--- a/libgooseberry/process/json_text.h
+++ b/libgooseberry/process/json_text.h
@@ -9,7 +9,7 @@
 
 /** Get the line and column, from 1, at which a quoted key first occurs in a
  * text; 1:1 if it does not occur. */
-void json_text_place(
+void json_text_position(
     const char *text, size_t len, const char *key, int *line, int *col);
 
 #endif
--- a/libgooseberry/process/settings.c
+++ b/libgooseberry/process/settings.c
@@ -133,7 +133,7 @@
 	int line;
 	int col;
 
-	json_text_place(check->text, check->len, name, &line, &col);
+	json_text_position(check->text, check->len, name, &line, &col);
 	gb_error_set(check->err, GB_E_INVALID, "%s:%d:%d: %s: %s", check->file,
 	    line, col, name, what);
 }
--- a/libgooseberry/version/document.c
+++ b/libgooseberry/version/document.c
@@ -118,7 +118,7 @@
 	int line;
 	int col;
 
-	json_text_place(
+	json_text_position(
 	    check->text, check->len, dot == NULL ? path : dot + 1, &line, &col);
 	gb_error_set(
 	    check->err, GB_E_INVALID, "%d:%d: %s: %s", line, col, path, what);
