--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -35,10 +35,10 @@
 /** Result of a store operation. */
 struct store_result {
 	gb_store_status status;
-	uint64_t vers;
-	const gb_row *rows;
+	uint64_t vers;	    /**< version that a transaction gave its rows */
+	const gb_row *rows; /**< that a scan read */
 	u_int count;
-	bool more;
+	bool more; /**< more rows follow than the scan asked for */
 };
 
 typedef void (*store_done_fn)(
@@ -52,7 +52,7 @@
 	store_done_fn done;
 	uint32_t shard;	 /**< shard that it belongs to, or GB_NONE */
 	uint64_t serial; /**< serial of that shard when it was sent */
-	uint64_t ref;	 /**< value that the caller may use as it likes */
+	uint64_t ref;	 /**< value for the use of the caller */
 };
 
 /* Members */
@@ -313,7 +313,7 @@
 	gb_time started;
 	char pool[GB_NAME_MAX + 1];
 	uint64_t fingerprint; /**< hash of team, service and body */
-	uint64_t key_nonce;   /**< tells its key row from another request's */
+	uint64_t key_nonce;   /**< in its key row; differs for each request */
 	uint64_t key_vers;    /**< version of its key row */
 	bool key_written;
 };
@@ -442,7 +442,7 @@
 	gb_time now;
 	gb_time wall_minus_now;	  /**< wall clock minus the core's time */
 	gb_time last_tick;	  /**< time of the last tick, 0: none */
-	gb_time list_stale_until; /**< until then core_list_stale holds */
+	gb_time list_stale_until; /**< until then core_list_stale is true */
 	uint64_t seed;
 	struct gb_retry retry;
 	struct gb_action *actions; /**< ring of actions to carry out */
@@ -565,8 +565,8 @@
 /** Add a write of the head row, so that all members read the rows again. */
 void view_touch_head(gb_txn *);
 /** Add a write of the head row and the condition that the view is still the
- * one that this member knows: a member that joins later has then read what the
- * transaction writes. */
+ * one that this member knows.  A member that joins with a later view then reads
+ * what the transaction writes before it acts. */
 void view_bind(const struct gb_core *, gb_txn *);
 
 /* config.c */
--- a/libgooseberry/process/index.c
+++ b/libgooseberry/process/index.c
@@ -10,6 +10,8 @@
 #include "gooseberry.h"
 
 #define STEPS_PER_POWER 4
+/** Steps of processors, in thousandths, and of memory, in MiB.  The last one
+ * also has all greater amounts. */
 #define CPU_STEPS 96
 #define MEM_STEPS 128
 #define MEM_WORDS (MEM_STEPS / 64)
@@ -167,8 +169,8 @@
 	unsigned int scored; /**< workers that fit and have been scored */
 };
 
-/** Score the workers of one cell that fit.  Returns true when enough have been
- * scored. */
+/** Score the workers of one cell that fit.  Returns true when CANDIDATES have
+ * been scored. */
 static bool
 search_cell(struct search *s, const struct cell *cell)
 {
@@ -199,7 +201,8 @@
 	return s->scored >= CANDIDATES;
 }
 
-/** Search the cells of one processor step, in the order of their memory. */
+/** Search the cells of one processor step, in the order of their memory.
+ * Returns true when CANDIDATES have been scored. */
 static bool
 search_row(struct search *s, unsigned int class, unsigned int cpu,
     unsigned int mem_min)
@@ -225,7 +228,8 @@
 }
 
 /** Search a class: the processor step with the least free first, or the one
- * with the most free if the scorer wants that. */
+ * with the most free if the scorer wants that.  Returns true when CANDIDATES
+ * have been scored. */
 static bool
 search_class(struct search *s, unsigned int class)
 {
--- a/libgooseberry/process/loan.c
+++ b/libgooseberry/process/loan.c
@@ -231,7 +231,8 @@
 		    job->tasks[index].state != TASK_ENDED)
 			job->tasks[index].state = TASK_LENT;
 	}
-	/* Counted anew, because when recovering the tasks were not lending. */
+	/* Recounted, because after a takeover no task was in state
+	 * TASK_LENDING before, so that lent does not include them. */
 	for (i = 0; i < job->spec.tasks; i++)
 		job->lent += job->tasks[i].state == TASK_LENDING ||
 			     job->tasks[i].state == TASK_LENT;
--- a/libgooseberry/version/view.c
+++ b/libgooseberry/version/view.c
@@ -3,9 +3,9 @@
  * The rows of the cell in the table service: the head row, the view of members
  * and the owners of shards.  A process that starts writes a row of its own and
  * waits.  A member writes the next view, which adds the waiting processes and
- * removes the members that have left or are silent.  A new view is written
- * only once the current one is in force, which means that no member can act on
- * the one before it any more.
+ * removes the members that have left or are silent.  It does so only once the
+ * current view is in force, which means that no member can act on the one
+ * before it any more.
  */
 #include <inttypes.h>
 #include <stdlib.h>
