--- a/libgooseberry/version/config.c
+++ b/libgooseberry/version/config.c
@@ -363,7 +363,7 @@
 }
 
 static void
-wait_free(struct gb_core *core, struct change_wait *wait)
+change_wait_free(struct gb_core *core, struct change_wait *wait)
 {
 	TAILQ_REMOVE(&core->changes, wait, next);
 	change_clear(&wait->change);
@@ -371,17 +371,17 @@
 }
 
 static void
-wait_reject(struct gb_core *core, struct change_wait *wait, gb_verdict verdict,
-    unsigned status, unsigned retry_ms, const char *reason)
+change_wait_reject(struct gb_core *core, struct change_wait *wait,
+    gb_verdict verdict, unsigned status, unsigned retry_ms, const char *reason)
 {
 	core_answer(core, wait->answer, verdict, status, retry_ms, reason);
-	wait_free(core, wait);
+	change_wait_free(core, wait);
 }
 
 /** Reject a change of an outdated version; the answer names the version in
  * force and its author. */
 static void
-wait_conflict(struct gb_core *core, struct change_wait *wait)
+change_wait_conflict(struct gb_core *core, struct change_wait *wait)
 {
 	struct doc *doc =
 	    config_doc(core, wait->change.team, wait->change.name);
@@ -395,12 +395,12 @@
 	    " is in force, by %s",
 	    wait->expected, last == NULL ? 0 : last->vers,
 	    last == NULL ? "nobody" : last->author);
-	wait_reject(core, wait, GB_NOT_RUN, 412, 0, reason);
+	change_wait_reject(core, wait, GB_NOT_RUN, 412, 0, reason);
 }
 
 /** The change whose write is sent but not confirmed, or null. */
 static struct change_wait *
-wait_find_sent(struct gb_core *core)
+change_wait_find_sent(struct gb_core *core)
 {
 	struct change_wait *wait;
 
@@ -437,7 +437,7 @@
 change_checked(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
-	struct change_wait *wait = wait_find_sent(core);
+	struct change_wait *wait = change_wait_find_sent(core);
 	gb_change found;
 	gb_body body;
 	bool own;
@@ -484,7 +484,7 @@
 change_written(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
-	struct change_wait *wait = wait_find_sent(core);
+	struct change_wait *wait = change_wait_find_sent(core);
 
 	(void)op;
 	if (wait == NULL)
@@ -515,7 +515,7 @@
 		if (wait->change.kind == GB_CHANGE_DOCUMENT &&
 		    change_current_version(core, &wait->change) !=
 			wait->expected) {
-			wait_conflict(core, wait);
+			change_wait_conflict(core, wait);
 			return;
 		}
 		wait->change.seq = core->config_seq + 1;
@@ -543,7 +543,8 @@
 /** Answer that a change is accepted, and whether it is in force: every member
  * either knows it or can no longer act on the state before it. */
 static void
-wait_accepted(struct gb_core *core, struct change_wait *wait, bool in_force)
+change_wait_accepted(
+    struct gb_core *core, struct change_wait *wait, bool in_force)
 {
 	struct gb_text body = {0};
 	struct gb_action *action;
@@ -555,27 +556,27 @@
 	action = core_answer_body(core, wait->answer, wait->change.vers, &body);
 	if (!in_force)
 		action->u.answer.status = 202;
-	wait_free(core, wait);
+	change_wait_free(core, wait);
 }
 
 /** Answer or reject a waiting change, if that is due. */
 static void
-wait_tick(struct gb_core *core, struct change_wait *wait)
+change_wait_tick(struct gb_core *core, struct change_wait *wait)
 {
 	bool late = core->now >= wait->deadline;
 
 	if (wait->committed && wait->answer == 0) {
-		wait_free(core, wait);
+		change_wait_free(core, wait);
 	} else if (wait->committed) {
 		bool in_force = member_write_in_force(core, &wait->spread);
 
 		if (in_force || late)
-			wait_accepted(core, wait, in_force);
+			change_wait_accepted(core, wait, in_force);
 	} else if (!wait->sent && !member_store_fresh(core)) {
-		wait_reject(core, wait, GB_NOT_RUN, 503, STORE_RETRY_MS,
+		change_wait_reject(core, wait, GB_NOT_RUN, 503, STORE_RETRY_MS,
 		    "the table service is unavailable");
 	} else if (!wait->sent && late) {
-		wait_reject(core, wait, GB_NOT_RUN, 503, STORE_RETRY_MS,
+		change_wait_reject(core, wait, GB_NOT_RUN, 503, STORE_RETRY_MS,
 		    "other changes went first");
 	} else if (late && wait->answer != 0) {
 		core_answer(core, wait->answer, GB_MAYBE_RUN, 503,
@@ -592,7 +593,7 @@
 
 	for (wait = TAILQ_FIRST(&core->changes); wait != NULL; wait = next) {
 		next = TAILQ_NEXT(wait, next);
-		wait_tick(core, wait);
+		change_wait_tick(core, wait);
 	}
 	if (core->joined && !core->config_saving && member_store_fresh(core) &&
 	    core->config_loaded &&
@@ -601,7 +602,7 @@
 	if (core->change_busy || !core->joined ||
 	    core->now < core->change_retry_at || !member_store_fresh(core))
 		return;
-	wait = wait_find_sent(core);
+	wait = change_wait_find_sent(core);
 	if (wait != NULL) {
 		change_write(core, wait);
 		return;
@@ -616,7 +617,7 @@
 }
 
 static struct change_wait *
-wait_new(struct gb_core *core, uint64_t id, const gb_command *cmd)
+change_wait_new(struct gb_core *core, uint64_t id, const gb_command *cmd)
 {
 	struct change_wait *wait = gb_calloc(1, sizeof(*wait));
 	gb_time timeout = cmd->remaining_us;
@@ -653,7 +654,7 @@
 		    "team and service must match the path");
 		return;
 	}
-	wait = wait_new(core, id, cmd);
+	wait = change_wait_new(core, id, cmd);
 	wait->change.kind = GB_CHANGE_DOCUMENT;
 	gb_xdr_copy((xdrproc_t)xdr_gb_body, &cmd->body, &wait->change.body,
 	    sizeof(wait->change.body));
@@ -669,7 +670,7 @@
 		    core, id, GB_NOT_RUN, 400, 0, "not the name of a worker");
 		return;
 	}
-	wait = wait_new(core, id, cmd);
+	wait = change_wait_new(core, id, cmd);
 	wait->change.kind =
 	    cmd->verb == GB_VERB_DRAIN ? GB_CHANGE_DRAIN : GB_CHANGE_UNDRAIN;
 }
@@ -796,7 +797,7 @@
 	u_int i;
 
 	while ((wait = TAILQ_FIRST(&core->changes)) != NULL)
-		wait_free(core, wait);
+		change_wait_free(core, wait);
 	HASH_ITER(hh, core->docs, doc, next_doc)
 	{
 		HASH_DEL(core->docs, doc);
--- a/libgooseberry/version/view.c
+++ b/libgooseberry/version/view.c
@@ -335,13 +335,13 @@
 }
 
 static void
-wait_key(char *out, size_t size, const char *name)
+wait_row_key(char *out, size_t size, const char *name)
 {
 	snprintf(out, size, WAIT_PREFIX "%s", name);
 }
 
 static void
-wait_written(struct gb_core *core, const struct store_op *op,
+wait_row_written(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
 	(void)op;
@@ -353,7 +353,7 @@
 
 /** Write this process's own row, which asks to be added to the view. */
 static void
-wait_write(struct gb_core *core)
+wait_row_write(struct gb_core *core)
 {
 	char key[GB_KEY_MAX + 1];
 	gb_member_row row;
@@ -364,11 +364,11 @@
 	member_row_fill(core, &row);
 	if (!gb_xdr_encode((xdrproc_t)xdr_gb_member_row, &row, &body))
 		return;
-	wait_key(key, sizeof(key), core->cfg.member);
+	wait_row_key(key, sizeof(key), core->cfg.member);
 	store_txn_put(&txn, key, body);
 	view_touch_head(&txn);
 	core->row_pending = true;
-	store_op_txn(core, &txn, wait_written, GB_NONE, 0);
+	store_op_txn(core, &txn, wait_row_written, GB_NONE, 0);
 }
 
 /** Whether a member may be removed from the view.  For a process in the view a
@@ -438,7 +438,7 @@
 
 	if (vers == 0)
 		return;
-	wait_key(key, sizeof(key), name);
+	wait_row_key(key, sizeof(key), name);
 	store_txn_cond(&next->txn, key, vers);
 	store_txn_remove(&next->txn, key);
 }
@@ -593,7 +593,7 @@
 	if (core->joined)
 		view_maintain(core);
 	else if (!core->wait_written)
-		wait_write(core);
+		wait_row_write(core);
 	else if (core->named)
 		view_write(core, VIEW_REPLACE);
 	else if (view_expired(core))
