--- a/libgooseberry/gooseberry.h
+++ b/libgooseberry/gooseberry.h
@@ -241,8 +241,8 @@
 	GB_OUTCOME_OK,
 	GB_OUTCOME_FAILED,
 	GB_OUTCOME_CANCELLED,
-	GB_OUTCOME_MAYBE_RUN,
-	GB_OUTCOME_RETURNED /**< lent task: not started, given back */
+	GB_OUTCOME_MAYBE_RUN, /**< may have run, and must not run twice */
+	GB_OUTCOME_RETURNED   /**< lent task: not started, given back */
 };
 
 /** Parameters of a core.  Times are microseconds. */
@@ -254,10 +254,9 @@
 	uint64_t seed;
 	uint32_t shards_per_dc;
 	struct gb_dcs dcs;
-	gb_time beat_us; /**< heartbeat and head poll interval */
-	gb_time
-	    suspect_us;	  /**< silence after which a peer counts as not live */
-	gb_time fresh_us; /**< how long a confirmed view may be acted on */
+	gb_time beat_us;    /**< heartbeat and head poll interval */
+	gb_time suspect_us; /**< silence after which a peer is not live */
+	gb_time fresh_us;   /**< how long a confirmed view may be acted on */
 	/** How long members may go on without the table service while a
 	 * majority of them confirms the view. */
 	gb_time outage_us;
@@ -278,7 +277,7 @@
 	GB_ACT_EXEC,   /**< send a request to a worker */
 	GB_ACT_ANSWER, /**< answer a request or command */
 	GB_ACT_BEAT,   /**< send a heartbeat to a peer */
-	GB_ACT_LEND,   /**< send a message about lent tasks */
+	GB_ACT_LEND,   /**< send a message about a loan of tasks to a peer */
 	GB_ACT_EXIT    /**< the planned stop is complete */
 };
 
@@ -807,7 +806,8 @@
 
 struct gb_usage gb_usage_read(void);
 /** Write a line "<priority>module: sentence" to standard error.  Repeats within
- * a second are counted and reported once. */
+ * a second are counted and reported once.  The pointer to the module's name is
+ * kept; the first argument is not used. */
 void gb_logger_line(
     void *, enum gb_level, const char *module, const char *text);
 /** Set the most verbose level that is written. */
--- a/libgooseberry/process/core.h
+++ b/libgooseberry/process/core.h
@@ -179,7 +179,7 @@
 	uint32_t *tasks; /**< indexes of the tasks in the job */
 	u_int count;
 	bool accepted;	     /**< the other shard has logged the child job */
-	bool result_pending; /**< the records of their ends are in flight */
+	bool result_pending; /**< the records of the result are in flight */
 	gb_time send_at;     /**< time of the next offer or cancellation */
 };
 
