--- a/libgooseberry/version/view.c
+++ b/libgooseberry/version/view.c
@@ -3,9 +3,9 @@
  * The rows of the cell in the table service: the head row, the view of members
  * and the owners of shards.  A process that starts writes a row of its own and
  * waits.  A member writes the next view, which adds the waiting processes and
- * removes the members that have left or are silent.  A new view is written
- * only when the current one is known to so many members that none acts on the
- * one before it.
+ * removes the members that have left or are silent.  It does so only once the
+ * current view is in force, which means that no member can act on the one
+ * before it any more.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -15,7 +15,7 @@
 
 /** Silence, in multiples of fresh_us, after which a member is removed. */
 #define SILENCE_FACTOR 4
-/** Pause after a write of the view or of the own row. */
+/** Time between two writes of the view or of the row that asks to join. */
 #define ROW_WRITE_INTERVAL (200 * GB_MSEC)
 /** Time after which any member may write a view that is due. */
 #define VIEW_WRITER_TIMEOUT (3 * GB_SEC)
@@ -60,7 +60,7 @@
 		snprintf(m->dc, sizeof(m->dc), "%s", row->dc);
 }
 
-/** Apply the view's row, if it is a new version. */
+/** Apply the view's row, if its version is new. */
 static void
 view_row_apply(struct gb_core *core, const gb_row *row)
 {
@@ -137,7 +137,7 @@
 			      SILENCE_FACTOR * core->cfg.fresh_us;
 
 		if (!m->listed && !m->previous && m->wait_vers == 0 &&
-		    (silent || m->gone || m->leaving))
+		    (silent || m->terminated || m->leaving))
 			member_free(core, m);
 	}
 }
@@ -335,13 +335,13 @@
 }
 
 static void
-wait_key(char *out, size_t size, const char *name)
+wait_row_key(char *out, size_t size, const char *name)
 {
 	snprintf(out, size, WAIT_PREFIX "%s", name);
 }
 
 static void
-wait_written(struct gb_core *core, const struct store_op *op,
+wait_row_written(struct gb_core *core, const struct store_op *op,
     const struct store_result *result)
 {
 	(void)op;
@@ -353,7 +353,7 @@
 
 /** Write this process's own row, which asks to be added to the view. */
 static void
-wait_write(struct gb_core *core)
+wait_row_write(struct gb_core *core)
 {
 	char key[GB_KEY_MAX + 1];
 	gb_member_row row;
@@ -364,11 +364,11 @@
 	member_row_fill(core, &row);
 	if (!gb_xdr_encode((xdrproc_t)xdr_gb_member_row, &row, &body))
 		return;
-	wait_key(key, sizeof(key), core->cfg.member);
+	wait_row_key(key, sizeof(key), core->cfg.member);
 	store_txn_put(&txn, key, body);
 	view_touch_head(&txn);
 	core->row_pending = true;
-	store_op_txn(core, &txn, wait_written, GB_NONE, 0);
+	store_op_txn(core, &txn, wait_row_written, GB_NONE, 0);
 }
 
 /** Whether a member may be removed from the view.  For a process in the view a
@@ -380,7 +380,7 @@
 {
 	gb_time silence = core->now - m->last_heard;
 
-	if (m->gone)
+	if (m->terminated)
 		return true;
 	if (!core->joined)
 		return silence > core->cfg.outage_us +
@@ -438,7 +438,7 @@
 
 	if (vers == 0)
 		return;
-	wait_key(key, sizeof(key), name);
+	wait_row_key(key, sizeof(key), name);
 	store_txn_cond(&next->txn, key, vers);
 	store_txn_remove(&next->txn, key);
 }
@@ -474,7 +474,7 @@
 static void
 view_write(struct gb_core *core, enum view_reason reason)
 {
-	unsigned int most = HASH_COUNT(core->members) + 1;
+	unsigned int count_max = HASH_COUNT(core->members) + 1;
 	struct next_view next;
 	struct member *m;
 	gb_body body;
@@ -483,8 +483,9 @@
 	memset(&next, 0, sizeof(next));
 	next.reason = reason;
 	next.row.number = core->view_number + 1;
-	next.row.members.members_val = gb_calloc(most, sizeof(gb_member_row));
-	next.row.previous.previous_val = gb_calloc(most, sizeof(char *));
+	next.row.members.members_val =
+	    gb_calloc(count_max, sizeof(gb_member_row));
+	next.row.previous.previous_val = gb_calloc(count_max, sizeof(char *));
 	next_previous(&next, core->cfg.member, core->named, core->previous);
 	next_add(&next, core->cfg.member, core->cfg.incarnation, core->cfg.addr,
 	    core->cfg.dc);
@@ -592,7 +593,7 @@
 	if (core->joined)
 		view_maintain(core);
 	else if (!core->wait_written)
-		wait_write(core);
+		wait_row_write(core);
 	else if (core->named)
 		view_write(core, VIEW_REPLACE);
 	else if (view_expired(core))
