--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -6,8 +6,12 @@
  * The core does no I/O and reads no clock.  Events come in as calls that carry
  * the time; requests go out through struct gb_pool_ops.  Each request ends
  * later with exactly one call of a gb_pool_*_done function, never from within
- * the request itself.  Times are in microseconds of a clock that counts
- * suspended time, unless a name says otherwise.
+ * the request itself.  The core ignores the result of a request that it doesn't
+ * know or that was made in an earlier ownership.  Times are in microseconds of
+ * a clock that counts suspended time, unless a name says otherwise.
+ *
+ * Functions allocate with gb_calloc, which aborts when memory runs out, so that
+ * a constructor never returns null.
  */
 #ifndef GB_POOL_H
 #define GB_POOL_H
@@ -34,10 +38,11 @@
 	char service[GB_NAME_MAX + 1];
 	uint32_t priority; /**< 0 is the most urgent */
 	uint32_t max_attempts;
-	double objective_factor;   /**< factor of the objective: applied to the
-			     run time of   the longest chain of steps */
-	gb_time objective_base_us; /**< constant part of the objective, added to
-				      that */
+	/** Objective of a flow, counted from its submission:
+	 * objective_base_us + objective_factor * (run time of its longest chain
+	 * of steps). */
+	double objective_factor;
+	gb_time objective_base_us;
 	struct gb_pool_advice advice;
 	bool anonymous; /**< callers need no key */
 };
@@ -67,12 +72,13 @@
 /** An organisation: its callers share keys, a quota and a weight. */
 struct gb_pool_org {
 	char name[GB_NAME_MAX + 1];
-	uint32_t weight; /**< its share of a full pool */
+	/** Its share of a full pool: submissions per second, 0: no limit. */
+	uint32_t weight;
 	/** Limit of what it runs at once, 0: no limit. */
 	struct gb_pool_amount quota;
 };
 
-/** Digest of an API key; the key itself is not kept. */
+/** SHA-256 digest of an API key; the key itself is not kept. */
 struct gb_pool_key_digest {
 	unsigned char bytes[GB_KEY_DIGEST];
 };
@@ -91,8 +97,7 @@
 	size_t queue_count;
 	char (*services)[GB_NAME_MAX + 1]; /**< names of worker pools */
 	size_t service_count;
-	/** It names organisations, so that callers need keys.  False in
-	 * deployments without organisations. */
+	/** The configuration names organisations, so that callers need keys. */
 	bool keyed;
 	struct gb_pool_org *orgs; /**< in the order in which they were added */
 	size_t org_count;
@@ -100,45 +105,58 @@
 	unsigned int org_errors[GB_POOL_ORG_ERRORS];
 };
 
+/** Creates a configuration with one reference and that many zeroed queues and
+ * services, which the caller fills in. */
 struct gb_pool_config *gb_pool_config_new(size_t queues, size_t services);
 /** Sorts the queues once all are filled in; they can't be found before. */
 void gb_pool_config_seal(struct gb_pool_config *);
-/** Adds an organisation unless it is invalid.  gb_pool_config_orgs_alloc
- * allocates space for `max` organisations first. */
+/** Allocates space for `max` organisations, once and before the first is
+ * added. */
 void gb_pool_config_orgs_alloc(struct gb_pool_config *, size_t max);
+/** Adds a copy of an organisation unless it is invalid, and counts the result
+ * in org_errors. */
 enum gb_pool_org_error gb_pool_config_org_add(
     struct gb_pool_config *, const struct gb_pool_org *);
-/** Adds a key to the organisation that was added last. */
+/** Adds a key to the organisation that was added last, unless it is invalid,
+ * and counts errors in org_errors.  The text may be null. */
 enum gb_pool_org_error gb_pool_config_key_add(
     struct gb_pool_config *, const char *key);
 /** Adds a key by its digest to the organisation that was added last. */
 enum gb_pool_org_error gb_pool_config_digest_add(
     struct gb_pool_config *, const struct gb_pool_key_digest *);
+/** Computes the digest of a key. */
 void gb_pool_key_digest(const char *key, struct gb_pool_key_digest *);
-/** Converts a digest to text, and back.  Parsing returns false when the text is
- * no digest. */
+/** Converts a digest to lower-case hexadecimal text, and back.  Parsing returns
+ * false when the text is no digest. */
 void gb_pool_key_digest_text(
     const struct gb_pool_key_digest *, char out[GB_KEY_DIGEST_TEXT]);
 bool gb_pool_key_digest_parse(const char *, struct gb_pool_key_digest *);
 /** Returns the organisation that has a key, or null. */
 const struct gb_pool_org *gb_pool_config_key_org(
     const struct gb_pool_config *, const struct gb_pool_key_digest *);
+/** Returns the organisation of that name, or null; null as well when there is
+ * no configuration. */
 const struct gb_pool_org *gb_pool_config_org(
     const struct gb_pool_config *, const char *name);
 /** Number of keys of all organisations. */
 size_t gb_pool_config_key_count(const struct gb_pool_config *);
-/** Frees the organisations and keys of a configuration. */
+/** Frees the organisations and keys of a configuration; called by
+ * gb_pool_config_unref. */
 void gb_pool_config_orgs_free(struct gb_pool_config *);
 struct gb_pool_config *gb_pool_config_ref(struct gb_pool_config *);
+/** Releases a reference, and frees the configuration with the last one.  Null
+ * is allowed. */
 void gb_pool_config_unref(struct gb_pool_config *);
+/** Returns the queue of that name in a sealed configuration, or null; null as
+ * well when there is no configuration. */
 const struct gb_pool_queue *gb_pool_config_queue(
     const struct gb_pool_config *, const char *name);
 /** Whether the configuration names a service, in its list of services or in a
  * queue. */
 bool gb_pool_config_has_service(
     const struct gb_pool_config *, const char *service);
-/** Returns the queue of a request, by the longest prefix of the path for that
- * host; null if there is none. */
+/** Returns the queue of a request: of those for that host, the one with the
+ * longest prefix of the path; null if there is none. */
 const struct gb_pool_queue *gb_pool_config_route(
     const struct gb_pool_config *, const char *host, const char *path);
 
@@ -153,7 +171,7 @@
 	GB_POOL_ENTRY_UNREADABLE, /**< it is no valid JSON object */
 	GB_POOL_ENTRY_INCOMPLETE, /**< a field is missing or has another type */
 	GB_POOL_ENTRY_RANGE,	  /**< a value is out of range */
-	GB_POOL_ENTRY_STATE,	  /**< an unknown state */
+	GB_POOL_ENTRY_STATE,	  /**< the state is unknown */
 	GB_POOL_ENTRY_ERRORS
 };
 
@@ -181,10 +199,10 @@
 
 /** Identifies one run of a task. */
 struct gb_pool_run_id {
-	const char *flow;
-	uint32_t step;
-	uint32_t index;
-	uint64_t run;
+	const char *flow; /**< id of the flow */
+	uint32_t step;	  /**< index of the step in the flow */
+	uint32_t index;	  /**< of the task in the step */
+	uint64_t run;	  /**< run number */
 };
 
 /** An order to a worker: start or stop a run. */
@@ -201,16 +219,17 @@
 };
 
 enum gb_pool_order_status {
-	GB_POOL_ORDER_DONE,
+	GB_POOL_ORDER_DONE,   /**< carried out */
 	GB_POOL_ORDER_FENCED, /**< the worker knows a newer fencing token */
 	GB_POOL_ORDER_STALE,  /**< the run has ended or was stopped */
 	GB_POOL_ORDER_LEASE_EXPIRED, /**< the lease would have expired already
 				      */
 	GB_POOL_ORDER_NO_CAPACITY,
-	GB_POOL_ORDER_NO_TICKET,
+	GB_POOL_ORDER_NO_TICKET,    /**< no valid ticket of the advice service
+				     */
 	GB_POOL_ORDER_REFUSED,	    /**< unhealthy worker; nothing was done */
 	GB_POOL_ORDER_WRONG_WORKER, /**< a worker with another id answered */
-	GB_POOL_ORDER_MALFORMED,
+	GB_POOL_ORDER_MALFORMED,    /**< the worker couldn't read the order */
 	GB_POOL_ORDER_LOST /**< no answer; the order may be carried out, even
 			      later */
 };
@@ -230,7 +249,7 @@
 	const char *addr;
 	/** Expected incarnation, 0: the id has only one. */
 	int64_t incarnation;
-	/** It has just answered, so no other incarnation can. */
+	/** The incarnation has just answered, so no other one can. */
 	bool confirmed;
 	uint64_t token;
 	int64_t lease_end_ms; /**< on the worker's clock, 0: don't renew */
@@ -243,7 +262,7 @@
 	GB_POOL_DONE,
 	GB_POOL_FAILED,
 	GB_POOL_STOPPED,
-	GB_POOL_LAPSED,
+	GB_POOL_LAPSED,		/**< the worker's lease expired */
 	GB_POOL_GANG_BROKEN,	/**< another task of the gang ended */
 	GB_POOL_GANG_INCOMPLETE /**< the other tasks of the gang didn't start in
 				   time */
@@ -252,6 +271,8 @@
 /** A running task or the end of a run, as a worker reports it. */
 struct gb_pool_run_report {
 	char flow[GB_NAME_MAX + 1];
+	/** Number between flow and step in the names of tasks; 0 in the names
+	 * that this scheduler gives. */
 	uint32_t occurrence;
 	uint32_t step;
 	uint32_t index;
@@ -263,9 +284,10 @@
 	enum gb_pool_outcome outcome; /**< of an end */
 };
 
+/** Answer of a worker to a heartbeat. */
 struct gb_pool_report {
 	enum gb_pool_order_status status;
-	int64_t clock_ms;
+	int64_t clock_ms; /**< the worker's clock, 0: not reported */
 	/** Of the worker that answered, 0: not reported. */
 	int64_t incarnation;
 	/** The worker was only asked, without lease and cursor. */
@@ -288,12 +310,12 @@
 	GB_POOL_TABLES
 };
 
-/** Partitions of the tables.  The rows of a partition are written one
- * transaction after the other, and the store may lose some of its partitions
- * while others work.  Each has its own owner's row, worker set, flows and
- * states.  With five, the pool can be taken over while two of them are
- * unavailable; each further one costs a write of its own instead of sharing
- * one. */
+/** Number of partitions of the tables.  The rows of a partition are written one
+ * transaction after the other, and some partitions of the store may be
+ * unavailable while others work.  Each has its own owner's row, worker set,
+ * flows and states.  With five, the pool can be taken over while two of them
+ * are unavailable.  Each further partition costs writes of its own, since a
+ * transaction writes to one partition only. */
 #define GB_POOL_PARTITIONS 5
 /** Key of the owner's row. */
 #define GB_POOL_OWNER_KEY "owner"
@@ -301,16 +323,18 @@
  * partition, in the same table. */
 #define GB_POOL_WORKERS_KEY "workers-"
 
+/** Partition that has the rows of a flow, by a hash of its id. */
 uint32_t gb_pool_partition(const char *flow_id);
 
 struct gb_pool_row {
 	enum gb_pool_table table;
 	const char *key;
 	uint64_t vers; /**< version; in a condition 0: the row must be absent */
-	bool remove;
+	bool remove;   /**< in a put: remove the row */
 	gb_body value;
 };
 
+/** A transaction: writes all puts if all conditions hold, else nothing. */
 struct gb_pool_txn {
 	uint32_t partition;
 	struct gb_pool_row *conds;
@@ -366,7 +390,7 @@
 	    const gb_advice_ask *);
 	void (*txn)(void *, uint64_t call, const struct gb_pool_txn *);
 	void (*read)(void *, uint64_t call, const struct gb_pool_read *);
-	/** Answers a submission or a question. */
+	/** Answers the gb_pool_submit or gb_pool_ask of this token. */
 	void (*answer)(void *, uint64_t token, const gb_flow_answer *);
 	/** The ownership was gained or lost. */
 	void (*owner)(void *, bool owns, uint64_t epoch);
@@ -387,7 +411,8 @@
 /** Features that can be disabled by the setting `off`.  No guarantee depends on
  * them. */
 enum gb_feature {
-	GB_FEATURE_DEADLINE_ORDER, /**< what is due first starts first */
+	GB_FEATURE_DEADLINE_ORDER, /**< flows start by their latest start
+				      time, not by submission */
 	GB_FEATURE_PREEMPTION,	/**< work that can wait is stopped for gangs */
 	GB_FEATURE_RESERVATION, /**< capacity is reserved for waiting gangs */
 	GB_FEATURE_ADVICE_PREFETCH, /**< advice is requested before a step is
@@ -420,7 +445,8 @@
 	GB_FEATURES
 };
 
-/** Parses a list of feature names, separated by commas, to bits. */
+/** Parses a list of feature names, separated by commas, to bits.  Returns false
+ * with GB_E_INVALID when a name is unknown. */
 bool gb_features_parse(const char *list, uint32_t *out, struct gb_error *);
 
 struct gb_pool_settings {
@@ -429,80 +455,104 @@
 	uint64_t incarnation; /**< differs with each start of the process */
 	uint64_t seed;
 	struct gb_pool_limits limits;
-	uint32_t disabled_features; /**< disabled features, as bits */
-	struct gb_events *events;
+	uint32_t disabled_features; /**< bits by enum gb_feature */
+	struct gb_events *events;   /**< null: no log; must outlive the core */
 };
 
 struct gb_pool;
 
+/** Creates a core with one reference, which owns nothing.  Copies the settings
+ * and the callbacks. */
 struct gb_pool *gb_pool_new(
     const struct gb_pool_settings *, const struct gb_pool_ops *, gb_time now);
 struct gb_pool *gb_pool_ref(struct gb_pool *);
+/** Releases a reference, and frees the core with the last one.  Null is
+ * allowed. */
 void gb_pool_unref(struct gb_pool *);
 
-/** Does what is due; call it at least every GB_POOL_TICK_US. */
+/** Does what is due; call it at least every GB_POOL_TICK_US.  `wall` is the
+ * time of day in microseconds since 1970. */
 void gb_pool_tick(struct gb_pool *, gb_time now, gb_time wall);
 #define GB_POOL_TICK_US (5 * GB_MSEC)
 
-/** Number of partitions, the first ones, in which an owner renews its row
- * whatever else it writes: as many as make an owner, so that every possible
- * successor can read one of them. */
+/** Number of partitions, counted from the first, in which an owner renews its
+ * row regularly even when it writes nothing else.  They are a majority, and a
+ * successor reads a majority, so that it reads at least one of them. */
 #define GB_POOL_PARTITIONS_RENEWED (GB_POOL_PARTITIONS / 2 + 1)
 
 /** The owner's row of a partition, as it is stored. */
 struct gb_owner_record {
 	gb_owner_row row;
-	/** Contention: recent takeovers from working owners. */
+	/** Contention: count of recent takeovers from working owners. */
 	uint32_t contested;
 };
 
+/** Encodes a row; the caller frees the body. */
 bool gb_owner_record_encode(const struct gb_owner_record *, gb_body *);
-/** Returns false, with nothing to clear, when the row can't be read. */
+/** Decodes a row into a zeroed record, to be released with
+ * gb_owner_record_clear.  Returns false, with nothing to clear, when the row
+ * can't be read. */
 bool gb_owner_record_decode(struct gb_owner_record *, const gb_body *);
 void gb_owner_record_clear(struct gb_owner_record *);
 
 /** Tries to become the owner after the one of epoch `after`; gives up when the
- * store names a later one. */
+ * store names a later owner.  Has no effect while this node owns the pool or is
+ * taking it over. */
 void gb_pool_acquire(
     struct gb_pool *, gb_time now, uint64_t after, enum takeover_cause);
-/** Notes that the pool was lost to a process that this one had asked to take
- * over. */
+/** Records that this process lost the pool to one that it had asked to take
+ * over, which is no contention. */
 void gb_pool_handed_over(struct gb_pool *);
-/** Handles that another process was found alive and not stopping; it may have
- * owned the pool before. */
+/** Handles that the process of this incarnation was found alive and not
+ * stopping.  If it owned the pool before this node, that counts as
+ * contention. */
 void gb_pool_process_alive(struct gb_pool *, gb_time now, uint64_t incarnation);
-/** Writes what is pending, then gives up the ownership. */
+/** Writes what is pending, then gives up the ownership; ops.owner reports the
+ * end. */
 void gb_pool_release(struct gb_pool *, gb_time now);
 /** Handles that a later epoch of ownership was found; the ownership of this
  * node then ends. */
 void gb_pool_epoch_found(struct gb_pool *, gb_time now, uint64_t epoch);
+/** Whether this node owns the pool and works on its flows. */
 bool gb_pool_owns(const struct gb_pool *);
 /** Whether this node is taking over the pool. */
 bool gb_pool_acquiring(const struct gb_pool *);
 /** Whether this node has won the takeover and is loading the tables, so that
  * others should wait for it. */
 bool gb_pool_loading(const struct gb_pool *);
+/** Epoch of this owner, or the newest known one; 0: none known. */
 uint64_t gb_pool_epoch(const struct gb_pool *);
-/** Time since the store last confirmed the ownership. */
+/** Time since the newest of the store calls was sent to which the store has
+ * given a clear answer. */
 gb_time gb_pool_store_silent(const struct gb_pool *, gb_time now);
 /** Whether most partitions of the tables don't accept this owner's writes. */
 bool gb_pool_store_unavailable(const struct gb_pool *);
 
+/** Applies a configuration and takes a reference to it; ignores one that is not
+ * newer than the current one. */
 void gb_pool_configure(struct gb_pool *, gb_time now, struct gb_pool_config *);
-/** Applies entries of the worker list that are new or have changed; a whole
- * list has all workers. */
+/** Applies entries of the worker list that are new or have changed; with
+ * `whole`, the list has all workers, and those that it doesn't name are no
+ * longer listed. */
 void gb_pool_workers_update(struct gb_pool *, gb_time now,
     const struct gb_pool_entry *, size_t count, bool whole);
 /** Adds or updates a member through which the advice service may be called. */
 void gb_pool_member_update(
     struct gb_pool *, gb_time now, const char *addr, bool usable);
 
-/** Submits a flow; the answer comes through ops.answer. */
+/** Submits a flow, which is copied.  It must have passed gb_flow_check.  The
+ * answer comes through ops.answer with the token, perhaps before this function
+ * returns. */
 void gb_pool_submit(
     struct gb_pool *, gb_time now, uint64_t token, const gb_flow_submit *);
+/** Asks for the state of a flow, cancels it, or asks for the number of pending
+ * flows of a queue.  The answer comes as for gb_pool_submit. */
 void gb_pool_ask(
     struct gb_pool *, gb_time now, uint64_t token, const gb_flow_ask *);
 
+/* Results of the requests made through struct gb_pool_ops, by the number of the
+ * call.  The results are used only during the call. */
+
 void gb_pool_start_done(struct gb_pool *, gb_time now, uint64_t call,
     const struct gb_pool_order_res *);
 void gb_pool_stop_done(struct gb_pool *, gb_time now, uint64_t call,
@@ -516,7 +566,8 @@
 void gb_pool_read_done(struct gb_pool *, gb_time now, uint64_t call,
     const struct gb_pool_read_res *);
 
-/** Whether flows of this shape are supported; else fills in the error. */
+/** Whether flows of this shape are supported; if not, sets GB_E_INVALID with
+ * a text that says why. */
 bool gb_flow_check(const gb_flow *, struct gb_error *);
 
 /** Whether callers of an organisation may see and cancel a flow: it must be of
@@ -524,15 +575,18 @@
 bool gb_flow_visible(const char *flow_org, const char *caller_org);
 
 /** Decodes a row of the table of submitted flows, also of older programs; free
- * the flow with xdr_free.  Returns false when it can't be read. */
+ * the flow with xdr_free.  Returns false, with nothing to free, when the row
+ * can't be read. */
 bool gb_flow_decode(const gb_body *row, gb_flow_row *);
 
 /** Decodes a row of the table of states, also of older programs; free the state
- * with xdr_free.  Returns false when it can't be read. */
+ * with xdr_free.  Returns false, with nothing to free, when the row can't be
+ * read. */
 bool gb_flow_state_decode(const gb_body *row, gb_flow_state *);
 
-/** Counters of a core, for the metrics. */
+/** Counters of a core, for the metrics.  Histograms are in microseconds. */
 struct gb_pool_stats {
+	/** Submissions; repeated: of a flow that was known already. */
 	uint64_t submitted, accepted, refused, repeated;
 	uint64_t starts, starts_refused, starts_lost, stops, preempted,
 	    heartbeats;
@@ -540,7 +594,7 @@
 	 * GB_POOL_GANG_INCOMPLETE. */
 	uint64_t done, failed, stopped, lapsed, broken, alone;
 	uint64_t crashed;	/**< runs lost with a worker that crashed */
-	uint64_t gone;		/**< runs that a worker no longer lists */
+	uint64_t gone;		/**< runs that ended without a report */
 	uint64_t workers_ended; /**< ended worker incarnations */
 	uint64_t given_up;	/**< flows failed because they crash workers */
 	uint64_t advice_calls, advice_busy, advice_lost;
@@ -553,6 +607,7 @@
 	struct gb_histogram txn_us, start_us, takeover_us;
 };
 
+/** Returns the counters, which belong to the core and change with it. */
 const struct gb_pool_stats *gb_pool_stats(struct gb_pool *);
 
 /** Counters of an organisation, as this owner knows it. */
@@ -561,7 +616,7 @@
 	uint32_t weight;
 	struct gb_pool_amount used;
 	struct gb_pool_amount quota; /**< 0: no limit */
-	uint64_t accepted;	     /**< flows */
+	uint64_t accepted;	     /**< accepted flows */
 	uint64_t over_share;	     /**< of these, beyond its share */
 	uint64_t refused;	     /**< submissions that were not admitted */
 	uint32_t waiting;	     /**< flows that have not begun */
@@ -585,15 +640,23 @@
 	GB_EVENT_NORMAL	 /**< frequent lines, dropped beyond the budget */
 };
 
+/** Creates a log that writes to the descriptor, which becomes non-blocking and
+ * stays the caller's.  `lines_per_s` is the budget of GB_EVENT_NORMAL.  The
+ * name of the node must outlive the log.  The loop is not used and may be null.
+ */
 struct gb_events *gb_events_new(
     struct uv_loop_s *, int fd, uint32_t lines_per_s, const char *node);
+/** Writes what the descriptor accepts at once and frees the log.  Null is
+ * allowed. */
 void gb_events_free(struct gb_events *);
-/** Takes the time of lines from `clock`, for tests. */
+/** Takes the time of lines from `clock`, which must outlive the log; for
+ * tests. */
 void gb_events_clock(struct gb_events *, const gb_time *);
-/** Writes a line.  The format is that of json_pack, for the line's own
- * fields. */
+/** Writes a line.  The format is that of json_pack, for the line's own fields.
+ * Null as the log: nothing is written. */
 void gb_event(struct gb_events *, enum gb_event_class, const char *event,
     const char *fmt, ...);
+/** Number of lines dropped since the start. */
 uint64_t gb_events_dropped(const struct gb_events *);
 
 #endif
