--- a/libgooseberry/pool/call.c
+++ b/libgooseberry/pool/call.c
@@ -1,7 +1,7 @@
 /**
  * @file call.c
- * Calls in flight, by their number.  An answer from an earlier term of
- * ownership tells nothing about this one and is dropped.
+ * Calls in flight, by their number.  An answer to a call of an earlier term of
+ * ownership may no longer be true and is dropped.
  */
 #include <stdlib.h>
 
@@ -14,7 +14,7 @@
 
 	call->id = ++pool->next_call;
 	call->kind = kind;
-	call->epoch = pool->term;
+	call->term = pool->term;
 	call->sent = pool->now;
 	call->worker = GB_NONE;
 	HASH_ADD(hh, pool->calls, id, sizeof(call->id), call);
@@ -30,7 +30,7 @@
 	if (call == NULL)
 		return NULL;
 	HASH_DEL(pool->calls, call);
-	if (call->epoch == pool->term)
+	if (call->term == pool->term)
 		return call;
 	free(call);
 	return NULL;
--- a/libgooseberry/pool/contention.c
+++ b/libgooseberry/pool/contention.c
@@ -2,19 +2,20 @@
  * @file contention.c
  * Counts contention: takeovers from owners that were still working.
  *
- * Members can't reach an owner for as long as network paths are cut, or
- * everything is slow or paused for a second at a time.  Each takeover reads all
- * stored data again and discards what the previous owner has read; if no owner
- * lasts longer than a takeover takes, no task is placed.
+ * Members may get no answer from an owner that works: while network paths are
+ * cut, or while processes are slow or paused for a second at a time.  Each
+ * takeover reads all stored data again and discards what the previous owner has
+ * read; if no owner lasts longer than a takeover takes, no task is placed.
  *
- * A deposed owner that turns out to be alive is evidence that silence means
- * little for now.  One that has terminated is no such evidence, so that owners
- * that die one after the other are succeeded as quickly as the first.
+ * When a deposed owner turns out to be alive, a missing answer is weak evidence
+ * for now that an owner has terminated.  An owner that has terminated doesn't
+ * count, so that owners that terminate one after the other are succeeded as
+ * quickly as the first.
  */
 #include "contention.h"
 
-/** Maximum count.  More tells members nothing new, and a low maximum lets the
- * count return to 0 soon. */
+/** Maximum count.  Members act no differently at a higher one, and a low
+ * maximum lets the count return to 0 soon. */
 #define CONTENTION_COUNT_MAX 3
 /** The count falls by one when the owner has kept the pool for this long, which
  * is longer than the longest timeout of members. */
@@ -37,7 +38,8 @@
     enum takeover_cause cause)
 {
 	bool recently_deposed =
-	    c->lost_at != 0 && now - c->lost_at < CONTENTION_DEPOSED_RECENTLY;
+	    c->deposed_at != 0 &&
+	    now - c->deposed_at < CONTENTION_DEPOSED_RECENTLY;
 
 	c->count = previous->count < CONTENTION_COUNT_MAX
 		       ? previous->count
@@ -55,13 +57,13 @@
 void
 contention_owner_deposed(struct contention *c, gb_time now)
 {
-	c->lost_at = now;
+	c->deposed_at = now;
 }
 
 void
 contention_release(struct contention *c)
 {
-	c->lost_at = 0;
+	c->deposed_at = 0;
 }
 
 bool
--- a/libgooseberry/pool/owner.c
+++ b/libgooseberry/pool/owner.c
@@ -22,31 +22,33 @@
 #include "crash.h"
 #include "state.h"
 
-/** Time after the longest lease, counted on the slowest clock, until all leases
- * of earlier owners have expired.  An earlier owner learns of its loss with its
- * next write or the next answer of a worker, within half a second. */
+/** Time after the longest lease, counted on the slowest clock, by which all
+ * leases of earlier owners have expired.  An earlier owner may still renew
+ * leases until it learns of its loss, with its next write or the next answer of
+ * a worker, within half a second. */
 #define OWNER_RECONCILE_MARGIN (900 * GB_MSEC)
 /** Longest time for pending writes when the ownership is released. */
 #define OWNER_RELEASE_TIMEOUT (1500 * GB_MSEC)
-/** Interval at which flows that were stored without the owner are read; it is
- * shorter after some were found.  The most urgent flows have 0.75 s to
- * spare. */
+/** Interval at which the inbox is read, which names flows that were stored
+ * without the owner; it is shorter after some were found (see load.c).  The
+ * most urgent flows have 0.75 s to spare. */
 #define OWNER_INBOX_INTERVAL (GB_SEC)
 /** Number of partitions that an owner must hold. */
 #define OWNER_MAJORITY GB_POOL_PARTITIONS_RENEWED
 /** Timeout of a claim that doesn't hold most partitions.  Reads and a write
  * take 1.2 s when the store is a hundred times slower. */
 #define OWNER_CLAIM_TIMEOUT (4 * GB_SEC)
-/** Time after which a rival with the same epoch that has not given up has won.
- * A claim takes 15 ms at normal load. */
+/** Time after which a rival with the same epoch has won, if it has not given up
+ * by then.  A claim takes 15 ms at normal load. */
 #define OWNER_RIVAL_TIMEOUT (300 * GB_MSEC)
 /** Time for which an owner of most partitions waits for the others before it
  * begins to work.  A partition is read within 15 ms at normal load. */
 #define OWNER_ATTACH_WAIT (200 * GB_MSEC)
-/** Pause before the next try to attach a partition: after a rival was found,
- * which gives up within milliseconds; and after a failure, where it doubles
- * with each further one. */
+/** Pause before the next try to attach a partition whose row a rival wrote; a
+ * rival that loses gives up within milliseconds. */
 #define ATTACH_RIVAL_PAUSE (25 * GB_MSEC)
+/** Pause before the next try after a failure; it doubles with each further
+ * failure, at most ATTACH_RETRY_DOUBLINGS times. */
 #define ATTACH_RETRY_PAUSE (100 * GB_MSEC)
 #define ATTACH_RETRY_DOUBLINGS 2
 
@@ -87,6 +89,7 @@
 	       unavailable >= OWNER_MAJORITY;
 }
 
+/** Number of partitions that are attached at least as far as this. */
 static unsigned int
 partitions_at_least(const struct gb_pool *pool, enum pool_attach attach)
 {
@@ -115,7 +118,7 @@
 }
 
 /** Marks the rows that a failed claim has written as vacant, so that the next
- * claim needn't find out who wrote them. */
+ * claim doesn't take them for the rows of an owner. */
 static void
 owner_rows_vacate(struct gb_pool *pool)
 {
@@ -144,6 +147,7 @@
 	}
 }
 
+/** Ends a claim that has failed. */
 static void
 owner_give_up(struct gb_pool *pool, const char *why)
 {
@@ -211,8 +215,9 @@
 	partition->attach_at = pool->now + pause;
 }
 
-/** Handles a store call for a partition that failed or has an unknown
- * result. */
+/** Handles that a store call failed, or has an unknown result, while a
+ * partition was being attached.  Gives up the claim when too few partitions are
+ * left for a majority. */
 static void
 partition_attach_failed(struct gb_pool *pool, uint32_t number)
 {
@@ -237,6 +242,7 @@
 		owner_give_up(pool, "the store did not answer");
 }
 
+/** Loads a partition that was claimed.  The claim is won with the majority. */
 static void
 partition_claimed(struct gb_pool *pool, uint32_t number)
 {
@@ -289,7 +295,8 @@
 }
 
 /** Claims a partition whose row was read.  A node that holds most partitions
- * knows that no other node was or will be the owner under this epoch. */
+ * may overwrite a row of its epoch that another node wrote: no other node was
+ * or will be the owner under this epoch. */
 static void
 partition_claim(struct gb_pool *pool, uint32_t number)
 {
@@ -310,8 +317,9 @@
 		partition_claim_send(pool, number);
 }
 
-/** Chooses the new epoch once most rows are known: above all epochs that an
- * owner had. */
+/** Chooses the new epoch once most rows are known, above all epochs in them,
+ * and claims their partitions.  Claims that meet at the same rows decide by the
+ * first of these partitions: who loses it gives up. */
 static void
 owner_choose_epoch(struct gb_pool *pool)
 {
@@ -437,6 +445,7 @@
 
 /* Becoming the owner ------------------------------------------------------ */
 
+/** Begins to work on a partition that is loaded. */
 static void
 partition_attached(struct gb_pool *pool, uint32_t number)
 {
@@ -463,6 +472,7 @@
 		    (json_int_t)((pool->now - pool->claim_began_at) / GB_MSEC));
 }
 
+/** Whether a partition is likely to be attached soon but isn't yet. */
 static bool
 partitions_attach_pending(const struct gb_pool *pool)
 {
@@ -592,6 +602,8 @@
 	return true;
 }
 
+/** Marks a partition as reconciled once all workers have reported or all leases
+ * of earlier owners have expired. */
 static void
 partition_reconcile(struct gb_pool *pool, uint32_t number)
 {
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -2,13 +2,16 @@
  * @file state.h
  * Internal state of a pool core, shared by its source files.
  *
- * Files call only files that are named later in this list: pool.c, owner.c,
- * load.c, page.c, dispatch.c, advice.c, worker.c, listing.c and incarnation.c;
- * flow.c, report.c and run.c, which call each other when a run ends; crash.c,
- * health.c, worker_set.c, writer.c, flow_state.c, call.c, org.c; then the
- * decisions without side effects: rank.c, fit.c, reservation.c, quota.c,
- * contention.c, admit.c. preempt.c is the exception: it decides and also stops
- * runs through run.c. pace.c asks the node how busy its link is.
+ * The files, from the entry points down: pool.c; owner.c, rival.c, load.c and
+ * page.c (ownership and loading); dispatch.c and advice.c (starting work);
+ * worker.c, listing.c, incarnation.c, health.c and worker_set.c (workers);
+ * flow.c, flow_state.c, report.c, run.c and crash.c (flows and runs); writer.c
+ * (storing changes); call.c and org.c.  A lower file calls a higher one to look
+ * something up, or when a result ends a run, a worker or the ownership.
+ *
+ * Decisions without side effects are in rank.c, fit.c, reservation.c, quota.c,
+ * share.c, contention.c and admit.c.  preempt.c decides and also stops runs
+ * through run.c.  pace.c asks the node how busy its link is.
  */
 #ifndef GB_POOL_STATE_H
 #define GB_POOL_STATE_H
@@ -36,8 +39,8 @@
 #define POOL_RUNS_PER_EPOCH 100000
 
 /** Fencing tokens of an owner start at its epoch times this value.  The token
- * of a worker is increased when its earlier orders must no longer be carried
- * out. */
+ * for a worker is increased when orders sent to it before must no longer be
+ * carried out. */
 #define POOL_FENCES_PER_EPOCH (UINT64_C(1) << 20)
 /** Added to the end of a lease, for coarse clocks and for the time that killing
  * a process takes. */
@@ -73,8 +76,8 @@
 	uint64_t start_call; /**< start order in flight, 0: none */
 	unsigned int tries;  /**< start orders sent */
 	bool retry_pending;  /**< resend the start order once the link has
-			capacity and  the incarnation is known */
-	uint64_t stop_call;
+				capacity and the incarnation is confirmed */
+	uint64_t stop_call;  /**< stop order in flight, 0: none */
 	gb_time started;
 	gb_time confirmed; /**< when the worker first reported the run, 0: not
 			      yet */
@@ -82,15 +85,15 @@
 	gb_time stop_at;  /**< when to retry a stop without answer */
 	gb_time lapse_at; /**< after this, a start order without answer can no
 			     longer take effect */
-	uint32_t percent;
-	gb_time progress_at; /**< when the percent last changed */
+	uint32_t percent; /**< reported progress */
+	gb_time progress_at; /**< when percent last changed */
 	bool adopted;	     /**< started by an earlier owner */
 	bool suspect;	     /**< its task is a crash suspect */
 	/* For runs whose worker is lost: */
 	bool lost_early; /**< lost soon after the worker had started it */
-	bool lost_sole_suspect; /**< and no other flow had a start as recent
-				   there */
-	char checkpoint[GB_NAME_MAX + 1];
+	bool lost_sole_suspect; /**< lost early, and no other flow had a start
+				   as recent on that worker */
+	char checkpoint[GB_NAME_MAX + 1]; /**< newest one, empty: none */
 };
 
 TAILQ_HEAD(pool_runs, pool_run);
@@ -107,10 +110,10 @@
 	struct pool_plan *plan;
 	struct pool_runs runs; /**< one, or two if the step is speculative */
 	bool done;
-	bool preempted; /**< was stopped by preemption */
-	uint32_t failures;
-	uint64_t *failed_runs; /**< numbers of the failed runs */
-	char *checkpoint;
+	bool preempted;	       /**< was stopped by preemption */
+	uint32_t failures;     /**< number of failed runs */
+	uint64_t *failed_runs; /**< their run numbers */
+	char *checkpoint;      /**< that the next run continues from, or null */
 };
 
 /** A worker that the advice service approved for a step, with the ticket that
@@ -125,7 +128,7 @@
 
 enum pool_advice_state {
 	POOL_ADVICE_NONE, /**< no answer yet */
-	POOL_ADVICE_KNOWN
+	POOL_ADVICE_KNOWN /**< the service has answered */
 };
 
 struct pool_step {
@@ -133,10 +136,10 @@
 	struct pool_task *tasks;
 	uint32_t done;		 /**< tasks whose end was reported */
 	gb_time done_run_time;	 /**< total time of the runs that were done */
-	uint32_t done_runs;	 /**< number of runs in took */
-	gb_time failed_run_time; /**< longest failed run of a task */
+	uint32_t done_runs;	 /**< number of these runs */
+	gb_time failed_run_time; /**< time of the longest failed run */
 	bool not_started_before; /**< was not ready when this owner loaded it,
-		       so no earlier owner has started it */
+				    so no earlier owner has started it */
 	/** Change of the flow by which all tasks were done. */
 	uint64_t done_change;
 	uint32_t active;      /**< tasks with a run */
@@ -144,19 +147,20 @@
 	uint32_t suspects;    /**< tasks that are crash suspects */
 	uint32_t plans; /**< tasks whose start is stored before it is sent */
 	uint64_t run_number; /**< newest number given to a run */
-	gb_time preempt_at;  /**< no preemption for the step before then */
+	gb_time preempt_at;  /**< earliest time of the next preemption for
+				 the step */
 	enum pool_advice_state advice;
 	/** Advice calls in flight about workers not asked about before. */
 	uint32_t approval_calls_in_flight;
 	/** Advice calls in flight to renew tickets. */
 	uint32_t ticket_calls_in_flight;
-	gb_time advice_retry_at;
+	gb_time advice_retry_at; /**< when to ask again after no approval */
 	struct pool_approval *approved;
 	uint32_t approved_count;
 	/** By worker handle: whether advice was requested for it. */
 	uint8_t *asked;
-	uint32_t asked_size;
-	uint32_t asked_count;
+	uint32_t asked_size;  /**< allocated entries */
+	uint32_t asked_count; /**< workers for which it was requested */
 	/** Capacity claimed while tickets are renewed or while preempted runs
 	 * are being stopped: tasks for each worker. */
 	struct pool_claim *claims;
@@ -166,7 +170,7 @@
 };
 
 struct pool_claim {
-	uint32_t worker;
+	uint32_t worker; /**< handle */
 	uint32_t tasks;
 };
 
@@ -206,13 +210,13 @@
 	bool owned;
 	bool removing; /**< the write in flight removes what was submitted */
 	bool removed;  /**< what was submitted is no longer stored */
-	bool in_inbox;
-	bool dirty;
-	bool closed; /**< finished, stored and without runs: only the state is
-			kept */
+	bool in_inbox; /**< a row of the inbox names it */
+	bool dirty;    /**< waits to be written */
+	bool closed;   /**< finished, stored and without runs: only the state is
+			  kept */
 	bool remove_pending;	 /**< the next write removes its rows */
-	bool not_started_before; /**< first accepted by this owner: no earlier
-		    owner has started it */
+	bool not_started_before; /**< no earlier owner has started a task of it
+				  */
 	/** Earlier owners may have started it on workers that were lost, so its
 	 * starts are stored before they are sent. */
 	bool plan_starts;
@@ -223,26 +227,27 @@
 	uint64_t sending; /**< newest change sent to the store, 0: none */
 	bool write_lost;  /**< a write of it got no answer and may have been
 			     carried out */
-	uint32_t runs;
+	uint32_t runs;	  /**< of all its tasks */
 	gb_time submitted;
 	gb_time first_start;
 	gb_time ended;
-	bool begun;
+	bool begun; /**< one of its tasks was started, perhaps by an earlier
+		       owner */
 	/* Computed by rank.c: */
 	gb_time due;	   /**< latest end for full earnings */
 	gb_time late_due;  /**< latest end for any earnings */
 	gb_time remaining; /**< expected time of the longest chain of unfinished
 			      steps, with the wait */
-	gb_time start_by;  /**< latest start to end at due; the earliest goes
-			      first within a tier */
+	gb_time start_by;  /**< latest start to end at due, with size_delay; the
+			      earliest goes first within a tier */
 	gb_time wait;	   /**< expected wait for capacity for a gang, as last
 			      computed */
 	uint64_t ranked;   /**< change for which chain was computed */
-	gb_time ranked_at;
-	gb_time chain;	    /**< as remaining, without the wait */
+	gb_time ranked_at; /**< when it was computed */
+	gb_time chain;	   /**< as remaining, without the wait */
 	gb_time size_delay; /**< added to start_by to order it behind smaller
-			   flows of its queue */
-	int tier;
+			       flows of its queue; negative for a small one */
+	int tier;	    /**< enum rank_tier of rank.c; lower goes first */
 	/** Stored state, while the flow is being loaded. */
 	gb_flow_state *loading;
 	struct pool_waiters waiters;
@@ -255,9 +260,9 @@
 /** A reported end of a run that can't be acknowledged yet. */
 struct pool_end {
 	STAILQ_ENTRY(pool_end) next;
-	uint64_t number;
+	uint64_t number; /**< in the worker's list of ends */
 	char flow[GB_NAME_MAX + 1];
-	uint64_t change;
+	uint64_t change; /**< of the flow; it must be stored first */
 	/** The report, while the flow's partition is not attached; else
 	 * null. */
 	struct gb_pool_run_report *kept_report;
@@ -270,10 +275,11 @@
 
 struct pool_worker {
 	UT_hash_handle hh;
-	uint32_t handle;
+	uint32_t handle; /**< index in the workers of the pool */
+	/** Newest valid entry, with the error of the newest one. */
 	struct gb_pool_entry entry;
-	char rack[GB_NAME_MAX + 1];
-	gb_res used;	     /**< by runs */
+	char rack[GB_NAME_MAX + 1]; /**< empty: unknown */
+	gb_res used;		    /**< by runs */
 	gb_res claimed;	     /**< claimed while tickets are renewed or runs are
 				stopped */
 	gb_res reserved;     /**< reserved for gangs that wait for capacity */
@@ -283,7 +289,7 @@
 	int64_t incarnation; /**< that answered last, 0: not reported */
 	gb_time incarnation_since; /**< when that incarnation first answered */
 	int64_t ended_incarnation; /**< the ended one, when ended is set */
-	/** As read from the stored worker sets. */
+	/** Incarnation in the stored worker sets as they were read, 0: none. */
 	int64_t recorded_incarnation;
 	bool maybe_restarted; /**< may have restarted since it answered */
 	bool leaving;	/**< this incarnation has reported that it leaves */
@@ -300,15 +306,16 @@
 	bool has_unknown_runs; /**< runs tasks that this owner doesn't know */
 	gb_time
 	    report_sent_at; /**< when the newest answered heartbeat was sent */
-	uint64_t heartbeat_call;
+	uint64_t heartbeat_call; /**< heartbeat in flight, 0: none */
 	gb_time heartbeat_sent;
 	gb_time heartbeat_at; /**< when to send the next heartbeat */
 	gb_time answered;     /**< when the last answer to a heartbeat came */
 	unsigned int silent;  /**< consecutive heartbeats without answer */
 	unsigned int reports_without_lease; /**< consecutive answers to
-				   heartbeats that renewed no lease */
+					       heartbeats that renewed no lease
+					     */
 	gb_time first_missed_at; /**< when the first of the heartbeats counted
-			   by silent was missed */
+				    by silent was missed */
 	int64_t clock_ms;	 /**< its clock in the last answer */
 	gb_time clock_at;	 /**< when that answer came */
 	int64_t lease_end_ms;	 /**< latest lease end that was sent, on the
@@ -325,7 +332,7 @@
 	struct pool_losses losses; /**< runs lost while it was unreachable */
 	/* Health, judged by the outcome of its runs */
 	unsigned int failures; /**< consecutive failures of different flows */
-	uint64_t failed_flow;
+	uint64_t failed_flow;  /**< hash of the flow counted last, 0: none */
 	gb_time quarantined_until;
 	gb_time quarantine_length; /**< length of the last quarantine */
 	double slowness; /**< run time relative to similar runs, 1: equal */
@@ -354,19 +361,21 @@
 	POOL_ATTACH_DONE      /**< this owner works on its flows */
 };
 
-/** Rows of one partition, written one transaction at a time. */
+/** State of one partition: how far it is attached, and what is written to it,
+ * one transaction at a time. */
 struct pool_partition {
 	enum pool_attach attach;
-	gb_time attach_at;
+	gb_time attach_at;	      /**< when to try next */
 	unsigned int attach_failures; /**< consecutive failed tries */
-	/** Of loading; answers of earlier rounds are ignored. */
+	/** Number of this try to load it; answers of earlier tries are
+	 * ignored. */
 	uint32_t round;
-	uint32_t loads_in_flight; /**< reads in flight */
-	uint32_t inbox_in_flight; /**< inbox reads in flight */
+	uint32_t loads_in_flight; /**< reads that are queued or in flight */
+	uint32_t inbox_in_flight; /**< the same for reads of the inbox */
 	/** Epoch in the owner's row as it was read, 0: none. */
 	uint64_t row_epoch;
 	struct contention_row row_contention;
-	bool row_vacant;
+	bool row_vacant; /**< the row names no owner, or doesn't exist */
 	bool row_written_by_claim; /**< this process wrote the row for this
 				      claim */
 	gb_time attached_at;
@@ -384,8 +393,8 @@
 	enum pool_partition_phase phase;
 	uint64_t owner_vers; /**< version of the owner's row */
 	uint64_t serial;     /**< of the owner's row */
-	uint64_t call;
-	gb_time sent;
+	uint64_t call;	     /**< write in flight, 0: none */
+	gb_time sent;	     /**< when the last write was sent */
 	gb_time retry_at;
 	unsigned int tries; /**< consecutive writes that were refused or lost */
 	unsigned int refused; /**< consecutive writes that were refused */
@@ -398,10 +407,10 @@
 		      */
 	bool seal;   /**< a write got no answer: seal before the next write */
 	bool renew;  /**< write the owner's row */
-	bool renew_sent;
-	gb_time renewed; /**< when the owner's row was last sent */
-	struct pool_flows dirty;
-	struct pool_flow **sent_flows;
+	bool renew_sent;	 /**< the last write includes the owner's row */
+	gb_time renewed;	 /**< when the owner's row was last sent */
+	struct pool_flows dirty; /**< flows to write */
+	struct pool_flow **sent_flows; /**< flows in the write in flight */
 	size_t sent_count;
 };
 
@@ -411,8 +420,9 @@
 struct pool_channel {
 	char addr[GB_NAME_MAX + 1];
 	bool usable;
-	uint64_t call;
-	gb_time last_heard;
+	uint64_t call;	    /**< advice call in flight, 0: none */
+	gb_time last_heard; /**< when something was last received from the
+				member */
 	gb_time back_off_until;
 };
 
@@ -435,8 +445,9 @@
 	POOL_OWNER_CLAIMING, /**< the epoch is chosen; claiming most partitions
 			      */
 	POOL_OWNER_LOADING,  /**< most partitions are claimed, not yet loaded */
-	POOL_OWNER_ACTIVE,
-	POOL_OWNER_RELEASING
+	POOL_OWNER_ACTIVE,   /**< working as the owner */
+	POOL_OWNER_RELEASING /**< writing what is pending before it gives up the
+				ownership */
 };
 
 /** Kind of call that an answer belongs to. */
@@ -447,39 +458,39 @@
 	POOL_CALL_WRITE_TXN,  /**< transaction of the writer */
 	POOL_CALL_PROBE,      /**< read that checks whether the store answers */
 	POOL_CALL_OWNER_READ, /**< read of an owner's row */
-	POOL_CALL_OWNER_TXN,
+	POOL_CALL_OWNER_TXN,  /**< write of an owner's row by a claim */
 	POOL_CALL_LOAD_STATES,
 	POOL_CALL_LOAD_FLOWS,
 	POOL_CALL_LOAD_WORKERS,
-	POOL_CALL_INBOX_LIST,
-	POOL_CALL_INBOX_FLOW
+	POOL_CALL_INBOX_LIST, /**< read of the keys of the inbox */
+	POOL_CALL_INBOX_FLOW  /**< read of a flow that the inbox names */
 };
 
 struct pool_call {
 	UT_hash_handle hh;
 	uint64_t id;
 	enum pool_call_kind kind;
-	uint64_t epoch; /**< term of ownership in which it was made */
+	uint64_t term; /**< term of ownership in which it was made */
 	gb_time sent;
 	uint32_t partition;
-	uint32_t round; /**< of loading the partition */
-	uint32_t worker;
-	bool first;	/**< first heartbeat to a worker */
-	uint64_t token; /**< fencing token of the order */
-	bool lease;	/**< the order renews the worker's lease */
-	/** Configuration version of a flow read from the inbox. */
-	uint64_t config;
+	uint32_t round;	      /**< of loading the partition */
+	uint32_t worker;      /**< handle, GB_NONE: none */
+	bool first;	      /**< first heartbeat to a worker */
+	uint64_t token;	      /**< fencing token of the order */
+	bool lease;	      /**< the order renews the worker's lease */
+	uint64_t config;      /**< not used */
 	struct pool_run *run; /**< null once the run was removed */
 };
 
-/** What is learned about a queue from its runs. */
+/** What is learned about a queue from its flows and runs. */
 struct pool_queue_stat {
 	UT_hash_handle hh;
 	char name[GB_NAME_MAX + 1];
-	double ratio; /**< run time over declared run time, smoothed */
-	double run_us;
-	double cores;	  /**< that a flow asks for, in thousandths, smoothed */
-	uint32_t waiting; /**< flows that have not begun */
+	double ratio;	  /**< run time over declared run time, smoothed */
+	double run_us;	  /**< run time of a task, smoothed, 0: unknown */
+	double cores;	  /**< processors that a flow asks for, in thousandths,
+			     smoothed */
+	uint32_t waiting; /**< not used */
 };
 
 struct pool_page;
@@ -498,8 +509,8 @@
 	char *name;
 	char *addr;
 	struct gb_pool_ops ops;
-	gb_time now;
-	gb_time wall;
+	gb_time now;  /**< time of the event being handled */
+	gb_time wall; /**< time of day at the last tick */
 	uint64_t seed;
 	uint64_t next_call;
 	struct pool_call *calls;
@@ -509,8 +520,8 @@
 	/** Grows when a claim begins or the ownership is lost. */
 	uint64_t term;
 	gb_time claim_began_at;
-	gb_time confirmed; /**< when the last store call with a clear answer was
-			      sent */
+	gb_time confirmed;    /**< when the last store call was sent that got a
+				 clear answer */
 	uint64_t claim_epoch; /**< 0 until it is chosen */
 	enum takeover_cause claim_cause;
 	struct contention contention;
@@ -520,11 +531,11 @@
 	struct pool_rival rival;    /**< seen last since the claim began */
 	gb_time claim_won_at;	    /**< when most partitions were claimed */
 	gb_time release_timeout_at; /**< the ownership ends then, even with
-			       unwritten changes */
-	gb_time inbox_read_at;
+				       unwritten changes */
+	gb_time inbox_read_at;	    /**< when to read the inbox next */
 	/* Flows */
-	struct pool_flow *flows;
-	struct pool_flows open; /**< flows that are not finished */
+	struct pool_flow *flows; /**< by id */
+	struct pool_flows open;	 /**< flows that are not closed */
 	uint32_t open_count;
 	struct gb_pool_config *config;
 	struct pool_queue_stat *queues;
@@ -533,16 +544,16 @@
 	struct gb_pool_amount uncertain_use;
 	struct pool_partition partitions[GB_POOL_PARTITIONS];
 	/* Loading */
-	struct pool_pages pages; /**< pages not requested yet */
-	struct pool_pages pages_sent;
+	struct pool_pages pages;      /**< pages not requested yet */
+	struct pool_pages pages_sent; /**< pages in flight */
 	uint32_t pages_in_flight;
 	uint32_t row_bytes[GB_POOL_TABLES]; /**< mean size of the rows read
 					       last, 0: none read */
 	/* Workers */
 	struct pool_worker *workers_by_id;
-	struct pool_worker **workers;
+	struct pool_worker **workers; /**< by handle */
 	uint32_t worker_count;
-	uint32_t worker_size;
+	uint32_t worker_size; /**< allocated entries of workers */
 	/** When a worker last answered after missed heartbeats, so that an
 	 * answer may have been lost; 0: never. */
 	gb_time answer_lost_at;
@@ -556,7 +567,7 @@
 	size_t channel_count;
 	struct pool_advice_call *advice_calls;
 	/* Dispatch */
-	bool work_changed;
+	bool work_changed; /**< something may now start: dispatch soon */
 	struct pool_candidate *candidates; /**< scratch, one per worker */
 	uint32_t candidate_size;
 	uint32_t reservations; /**< made in the last dispatch */
@@ -568,8 +579,8 @@
 	uint64_t waiting_bytes;
 	struct pool_slot *slots; /**< scratch of reservation.c */
 	size_t slot_size;
-	gb_time dispatch_at;
-	gb_time sweep_at;
+	gb_time dispatch_at; /**< time of the last dispatch */
+	gb_time sweep_at;    /**< time of the last sweep of finished flows */
 	struct gb_pool_stats stats;
 };
 
@@ -582,10 +593,11 @@
 	(((pool)->cfg.disabled_features & (UINT32_C(1) << (feature))) == 0)
 
 /* call.c */
+/** Creates a call in flight with a new number, for the current term. */
 struct pool_call *pool_call_new(struct gb_pool *, enum pool_call_kind);
-/** Removes the call of an answer from the table and returns it; null when it
- * belongs to an earlier term of ownership, so that the answer must be
- * ignored. */
+/** Removes the call of an answer from the table and returns it, to be freed by
+ * the caller; null when it is unknown or belongs to an earlier term of
+ * ownership, so that the answer must be ignored. */
 struct pool_call *pool_call_remove(struct gb_pool *, uint64_t id);
 /** Clears the run of a call because the run is being freed; the answer is then
  * ignored. */
@@ -597,6 +609,7 @@
 /** Compares the start order of two flows: negative when the first goes
  * first. */
 int pool_rank_compare(const struct pool_flow *, const struct pool_flow *);
+/** Returns what is known of a queue; creates it if needed. */
 struct pool_queue_stat *pool_rank_queue_stat(
     struct gb_pool *, const char *name);
 /** Processors that the waiting gangs of a flow need, in thousandths. */
@@ -688,14 +701,17 @@
     struct gb_pool *, const struct pool_call *, const struct gb_pool_txn_res *);
 void pool_writer_probe_done(struct gb_pool *, const struct pool_call *,
     const struct gb_pool_read_res *);
+/** Drops everything to be written and clears the state of all partitions. */
 void pool_writer_reset(struct gb_pool *);
+/** Whether nothing is left to write in the partitions that accept writes. */
 bool pool_writer_idle(const struct gb_pool *);
-/** Whether writes of a partition fail for now. */
+/** Whether writes of a partition fail for now, or it is not attached. */
 bool pool_writer_unavailable(const struct gb_pool *, uint32_t partition);
 bool pool_writer_owner_body(const struct gb_pool *, uint64_t epoch,
     uint64_t serial, bool vacant, gb_body *);
 
 /* flow.c */
+/** Returns the flow of that id, or null. */
 struct pool_flow *pool_flow_find(struct gb_pool *, const char *id);
 /** Creates a flow; takes over the contents of the specification. */
 struct pool_flow *pool_flow_new(struct gb_pool *, gb_flow *);
@@ -710,6 +726,8 @@
 void pool_flow_stored(struct gb_pool *, struct pool_flow *, uint64_t change);
 /** Rejects a flow that was never sent to the store. */
 void pool_flow_reject(struct gb_pool *, struct pool_flow *, gb_time retry);
+/** Answers a caller with the status once the change is stored, at once if it
+ * already is. */
 void pool_flow_wait(struct gb_pool *, struct pool_flow *, uint64_t token,
     uint64_t change, gb_flow_status);
 /** Answers a caller with the state; if its last change is being stored, once it
@@ -739,6 +757,7 @@
 /** Releases finished flows, and fails flows with tasks that crashed too many
  * workers. */
 void pool_flow_sweep(struct gb_pool *);
+/** Status that callers may see: the end of a flow only once it is stored. */
 gb_flow_status pool_flow_visible_status(const struct pool_flow *);
 
 /* flow_state.c */
@@ -824,6 +843,7 @@
 void pool_worker_run_lost(struct gb_pool *, struct pool_run *, bool crashed);
 /** Handles the end of a worker's incarnation. */
 void pool_worker_ended(struct gb_pool *, struct pool_worker *, const char *why);
+/** Returns the worker of that handle or id, or null. */
 struct pool_worker *pool_worker_get(const struct gb_pool *, uint32_t handle);
 struct pool_worker *pool_worker_find(struct gb_pool *, const char *id);
 /** Longest lease that owners give. */
@@ -857,6 +877,9 @@
  * known. */
 void pool_worker_recorded(struct gb_pool *, uint32_t partition,
     const gb_worker_ref *, int64_t incarnation);
+
+/* worker.c */
+/** Drops what only the previous ownership knew of the workers. */
 void pool_workers_reset(struct gb_pool *);
 void pool_workers_free(struct gb_pool *);
 
@@ -879,6 +902,9 @@
     const struct gb_pool_order_res *);
 void pool_run_stop_done(struct gb_pool *, const struct pool_call *,
     const struct gb_pool_order_res *);
+
+/* worker.c */
+/** Applies the answer to a heartbeat, or its loss. */
 void pool_worker_heartbeat_done(
     struct gb_pool *, const struct pool_call *, const struct gb_pool_report *);
 
