--- a/libgooseberry/pool/load.c
+++ b/libgooseberry/pool/load.c
@@ -1,8 +1,8 @@
 /**
  * @file load.c
- * Loads what is stored of a partition: its states, its flows, the workers that
- * may run tasks of them, and the flows that were stored without an owner
- * (inbox).
+ * Loads what is stored in a partition: the states of its flows, the submitted
+ * flows, and the workers that may run tasks of them.  Later reads the inbox,
+ * which has the ids of flows that nodes stored without the owner.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -28,8 +28,8 @@
 
 /* Flows ------------------------------------------------------------------- */
 
-/** Creates a placeholder flow that holds the state, which is read before what
- * was submitted. */
+/** Creates a placeholder flow that holds the state until the submitted flow is
+ * read: all states are read first. */
 static void
 load_state(struct gb_pool *pool, const struct gb_pool_row *row)
 {
@@ -57,6 +57,7 @@
 	*flow->loading = state;
 }
 
+/** Replaces the placeholder by the submitted flow with its state. */
 static void
 load_flow(struct gb_pool *pool, const struct gb_pool_row *row)
 {
@@ -161,7 +162,8 @@
 	pool_pages_send(pool);
 }
 
-/** Requests the next page, or the first page of the next table. */
+/** Requests the next page of a table, or after the states the first page of the
+ * submitted flows. */
 static void
 load_next(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
@@ -184,7 +186,7 @@
 	}
 }
 
-/** Applies a page of a partition. */
+/** Applies the page of an answer. */
 static enum pool_load_result
 page_apply(struct gb_pool *pool, const struct pool_call *call,
     const struct gb_pool_read_res *res)
@@ -248,6 +250,8 @@
 	pool_pages_send(pool);
 }
 
+/** Requests the flows that the inbox names, except those known already, whose
+ * rows of the inbox are removed with their next write. */
 static void
 inbox_list_apply(struct gb_pool *pool, uint32_t partition,
     const struct gb_pool_read_res *res)
@@ -271,6 +275,7 @@
 	}
 }
 
+/** Adds a flow that a node stored without the owner. */
 static void
 inbox_flow_apply(struct gb_pool *pool, const struct gb_pool_read_res *res)
 {
--- a/libgooseberry/pool/page.c
+++ b/libgooseberry/pool/page.c
@@ -1,10 +1,11 @@
 /**
  * @file page.c
- * Reads the stored tables in pages while an owner takes over.
+ * Reads the stored tables in pages while an owner takes over, and the inbox
+ * later.
  *
  * On a slow link, loading takes seconds.  The number and size of the pages
  * requested at once depend on what the link can carry in a short time, so that
- * no answer comes after its timeout and members get their answers meanwhile.
+ * no answer comes after its timeout, and members are answered meanwhile.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,20 +14,23 @@
 
 /** Maximum number of rows in a page; the store returns at most 500. */
 #define PAGE_ROWS_MAX 500
-/** Time for which the pages in flight may keep the link busy.  The timeout of
- * each is ten times that, since its rows may be larger than earlier ones. */
+/** Time for which the pages in flight may keep the link busy. */
 #define PAGES_LINK_TIME (150 * GB_MSEC)
+/** Timeout of a page on a slow link: the rows may be larger than earlier
+ * ones. */
 #define PAGE_TIMEOUT (10 * PAGES_LINK_TIME)
 /** Maximum number of requests for a page without an answer, where the link may
  * be the cause. */
 #define PAGE_TRIES_MAX 4
-/** Maximum number of pages in flight, two for each partition; and minimum
- * number of rows of each, so that little is spent on what surrounds them. */
+/** Maximum number of pages in flight, two for each partition. */
 #define PAGES_MAX (2 * GB_POOL_PARTITIONS)
+/** Number of rows of each page for which the link must have capacity before
+ * more pages are requested at once: with fewer rows, headers would be a large
+ * part of what is sent. */
 #define PAGE_ROWS_MIN 4
-/** Size of a row, in bytes, before any was read; and bytes of a row besides its
- * value, which is sent in base64. */
+/** Size of a row in bytes that is assumed before any was read. */
 #define ROW_BYTES_DEFAULT 1500
+/** Bytes of a row besides its value, which is sent in base64. */
 #define ROW_OVERHEAD_BYTES 80
 
 /** A page to read. */
@@ -85,14 +89,15 @@
 	return count == 0 ? 1 : (uint32_t)count;
 }
 
-/** Whether loading fills the link: it can't carry the first rows of all
- * partitions at once. */
+/** Whether reads must wait for each other: the link can't carry PAGES_MAX pages
+ * at once. */
 static bool
 pages_paced(const struct gb_pool *pool)
 {
 	return pages_link_bytes(pool) > 0 && pages_max(pool) < PAGES_MAX;
 }
 
+/** Maximum number of rows to request in a page. */
 static uint32_t
 page_rows(const struct gb_pool *pool, enum gb_pool_table table)
 {
--- a/libgooseberry/pool/pool.c
+++ b/libgooseberry/pool/pool.c
@@ -181,9 +181,9 @@
 bool
 gb_pool_loading(const struct gb_pool *pool)
 {
-	/* The node that holds the partition which decides between rival claims
-	 * will get the others too, which takes a second when the store is
-	 * slow. */
+	/* A claim that has won the partition which decides between rival claims
+	 * will get the other partitions too; that takes a second when the store
+	 * is slow. */
 	return pool->phase == POOL_OWNER_LOADING ||
 	       (pool->phase == POOL_OWNER_CLAIMING &&
 		   pool->partitions[pool->claim_deciding_partition].attach >=
@@ -282,6 +282,7 @@
 	return false;
 }
 
+/** Accepts a submission; the caller is answered once the flow is stored. */
 static void
 pool_accept(struct gb_pool *pool, uint64_t token, const gb_flow_submit *submit)
 {
@@ -358,6 +359,7 @@
 	pool_accept(pool, token, submit);
 }
 
+/** Number of flows of a queue that wait for their first start. */
 static uint32_t
 pool_pending(struct gb_pool *pool, const char *queue)
 {
@@ -386,8 +388,8 @@
 		pool_answer(pool, token, GB_FLOW_NOT_OWNER, 0);
 		return;
 	}
-	/* The caller's node has a newer configuration and has authorised the
-	 * caller by it. */
+	/* With GB_FLOW_CONFIG_OLDER, the caller's node has authorised the
+	 * caller by a newer configuration. */
 	if (verdict != GB_FLOW_ACCEPTED && verdict != GB_FLOW_CONFIG_OLDER) {
 		pool_answer(pool, token, verdict, GB_SEC);
 		return;
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -14,8 +14,8 @@
 
 #include "state.h"
 
-/** Maximum number of ends in one report of a worker; at this number some may be
- * missing. */
+/** Maximum number of ends in one report of a worker.  A report with so many may
+ * lack some, so that missing runs can't be concluded from it. */
 #define ENDS_LISTED_MAX 500
 
 static struct pool_end *
@@ -65,7 +65,8 @@
 	}
 }
 
-/** Whether a reported run or end names a known task. */
+/** Whether a reported run or end belongs to a task of this flow, which may be
+ * null. */
 static bool
 run_report_known(
     const struct pool_flow *flow, const struct gb_pool_run_report *run_report)
@@ -160,7 +161,7 @@
 	}
 }
 
-/** Stops a reported run that this owner doesn't know or need. */
+/** Stops a reported run that belongs to no known flow or isn't needed. */
 static void
 stray_run_stop(struct gb_pool *pool, const struct pool_worker *worker,
     const struct gb_pool_run_report *run_report)
@@ -185,6 +186,7 @@
 	pool->ops.stop(pool->ops.data, call->id, &order);
 }
 
+/** Returns the known run that a report names, or null. */
 static struct pool_run *
 worker_run(const struct pool_worker *worker, const struct pool_flow *flow,
     const struct gb_pool_run_report *run_report)
@@ -224,6 +226,7 @@
 	return run;
 }
 
+/** Updates a run that the worker reports as running. */
 static void
 run_update(struct gb_pool *pool, struct pool_run *run,
     const struct gb_pool_run_report *run_report)
@@ -241,8 +244,9 @@
 	    run_report->checkpoint);
 }
 
+/** Whether a list of a report has a run. */
 static bool
-list_names(const struct gb_pool_run_report *list, size_t count,
+run_reports_include(const struct gb_pool_run_report *list, size_t count,
     const struct pool_run *run)
 {
 	size_t i;
@@ -260,8 +264,9 @@
 pool_report_lists_run(
     const struct gb_pool_report *report, const struct pool_run *run)
 {
-	return list_names(report->running, report->running_count, run) ||
-	       list_names(report->ended, report->ended_count, run);
+	return run_reports_include(
+		   report->running, report->running_count, run) ||
+	       run_reports_include(report->ended, report->ended_count, run);
 }
 
 /** Removes runs that the worker should list but doesn't: they have ended
@@ -284,7 +289,8 @@
 			known_since = run->lapse_at;
 		if (known_since == 0 || known_since >= sent)
 			continue;
-		if (list_names(report->running, report->running_count, run))
+		if (run_reports_include(
+			report->running, report->running_count, run))
 			continue;
 		gb_event(pool->cfg.events, GB_EVENT_NORMAL, "run_gone",
 		    "{s:s, s:I, s:I, s:I, s:s, s:I, s:I, s:I, s:i}", "flow",
@@ -300,6 +306,8 @@
 	}
 }
 
+/** Updates the runs that the worker reports as running, adopts those of earlier
+ * owners and stops those that nobody needs. */
 static void
 worker_apply_running(struct gb_pool *pool, struct pool_worker *worker,
     const struct gb_pool_report *report)
--- a/libgooseberry/pool/rival.c
+++ b/libgooseberry/pool/rival.c
@@ -1,6 +1,7 @@
 /**
  * @file rival.c
- * The node to which a claim or an owner lost the pool, for the log.
+ * The node to which a claim or an owner lost the pool, for events in the log.
+ * Nothing else depends on it.
  */
 #include <string.h>
 
--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -21,24 +21,28 @@
 /** Maximum number of entries in one transaction; the limit of the store is
  * 100. */
 #define WRITER_ENTRIES_MAX 94
-/** Number of entries for one more flow, the owner's row and the worker set. */
+/** Number of entries that must be free to add a flow: for its rows, the owner's
+ * row and the worker set. */
 #define WRITER_FLOW_ENTRIES 7
-/** Maximum size of the values in one transaction, in bytes; the limit of the
- * store is 1 MB in base64. */
+/** Size of the values in one transaction, in bytes, at which no further flow is
+ * added; the limit of the store is 1 MB in base64. */
 #define WRITER_BYTES_MAX (400 * 1024)
-/** Pause between two transactions of a partition, in which changes are
- * collected: each call costs money, and a submission waits half of the pause on
- * average.  Changes that no caller waits for, such as the end of one task of
- * several, are collected for the longer time. */
+/** Time between the starts of two transactions of a partition, in which changes
+ * are collected: each call costs money, and a submission waits half of this
+ * time on average. */
 #define WRITER_PAUSE (35 * GB_MSEC)
+/** The same while no caller waits for a change, such as the end of one task of
+ * several. */
 #define WRITER_PAUSE_LONG (120 * GB_MSEC)
-/** A write that takes longer than WRITER_OVERDUE is overdue, and the store is
- * probed with the read of a small row.  A quick answer shows that the write's
- * answer was lost, a slow one that the store is slow, and none that it is
- * unavailable.  Writes take 12 ms, or 0.8 s when the store is a hundred times
- * slower; reads 4 ms, or 0.4 s. */
+/** Time without an answer after which a write is overdue, and the store is
+ * probed with the read of a small row.  A quick answer to the probe shows that
+ * the write's answer was lost, a slow one that the store is slow, and none that
+ * it is unavailable.  Writes take 12 ms, or 0.8 s when the store is a hundred
+ * times slower; reads 4 ms, or 0.4 s. */
 #define WRITER_OVERDUE (130 * GB_MSEC)
+/** Longest time of a quick answer to a probe. */
 #define WRITER_PROBE_QUICK (80 * GB_MSEC)
+/** Time after which a probe counts as not answered. */
 #define WRITER_PROBE_TIMEOUT (700 * GB_MSEC)
 /** Number of consecutive refused writes after which the partition counts as
  * unavailable. */
@@ -46,15 +50,17 @@
 /** Number of consecutive writes without an answer after which the partition
  * counts as unavailable; a single one may be a reset connection. */
 #define WRITER_UNAVAILABLE_LOST 2
-/** Time after which a caller that was rejected since the store is unavailable
- * should retry: outages last some seconds, and callers wait three. */
+/** Time after which a caller that was rejected while the store is unavailable
+ * should retry: outages last some seconds, and callers wait three seconds for
+ * an answer. */
 #define WRITER_RETRY_AFTER GB_SEC
-/** A caller that asks for the state of a flow whose end is being stored waits
- * at most this long for the write.  Writes take 12 ms, and 0.2 s when the store
- * is 25 times slower. */
+/** A caller that asks for the state of a flow whose change is being stored
+ * waits at most this long for the write, and then gets the stored state. Writes
+ * take 12 ms, and 0.2 s when the store is 25 times slower. */
 #define WRITER_ASK_TIMEOUT (300 * GB_MSEC)
-/** A write includes the owner's row when that is older than this, which is
- * before it must be renewed, so that few writes are made for the row alone. */
+/** A write includes the owner's row when that was last written longer ago than
+ * this, which is earlier than it must be renewed, so that few writes are made
+ * for the row alone. */
 #define WRITER_RENEW_EARLY (250 * GB_MSEC)
 /** First and longest pause after a refused or lost write.  Members wait longer
  * than the longest pause before they conclude that the store refuses only this
@@ -153,6 +159,7 @@
 		free(draft->puts[i].value.gb_body_val);
 }
 
+/** Adds the rows of a flow that must be written or removed. */
 static void
 draft_flow(struct draft *draft, struct pool_flow *flow)
 {
@@ -184,6 +191,8 @@
 	pool_flow_state_clear(&state);
 }
 
+/** Adds the owner's row.  A released partition gets a vacant row with the last
+ * write. */
 static void
 draft_owner(struct gb_pool *pool, const struct pool_partition *partition,
     struct draft *draft)
@@ -198,6 +207,7 @@
 		abort(); /* names were checked with the settings */
 }
 
+/** Adds the next changed row of the worker set, unless one is being written. */
 static void
 draft_worker_set(struct gb_pool *pool, uint32_t number, struct draft *draft)
 {
@@ -232,7 +242,7 @@
 	draft_clear(draft);
 }
 
-/** Adds the owner's row to a transaction. */
+/** Adds the owner's row to a transaction and records that. */
 static void
 partition_renew(
     struct gb_pool *pool, struct pool_partition *partition, struct draft *draft)
@@ -242,6 +252,8 @@
 	partition->renewed = pool->now;
 }
 
+/** Rewrites the owner's row alone, so that a transaction without answer can no
+ * longer succeed. */
 static void
 partition_seal(struct gb_pool *pool, uint32_t number)
 {
@@ -264,8 +276,8 @@
 }
 
 /** Order in which flows are added to a transaction that can't hold all of them.
- * While the store is slow, new flows behind finished ones would be answered too
- * late. */
+ * New flows go first: behind finished ones, their callers would be answered too
+ * late while the store is slow. */
 enum write_priority {
 	WRITE_NEW, /**< a caller waits, or the flow starts after the write */
 	WRITE_FINISHED, /**< finished: a caller may ask for the end */
@@ -304,6 +316,8 @@
 		   WRITER_RENEW_EARLY;
 }
 
+/** Writes dirty flows in the order of their priority, and with them what else
+ * is to be written. */
 static void
 partition_write(struct gb_pool *pool, uint32_t number)
 {
@@ -369,10 +383,10 @@
 	pool->ops.read(pool->ops.data, call->id, &read);
 }
 
-/** Rejects the callers whose flows are certainly not stored, while the store
- * doesn't accept writes.  The others wait until their own timeout: a lost write
- * may have been carried out, so that they can't be told to retry, and outages
- * are often shorter than that. */
+/** Rejects the flows that are certainly not stored, while the store doesn't
+ * accept writes.  Callers of other flows wait until their own timeout: a lost
+ * write may have been carried out, so that they can't be told to retry, and
+ * outages are often shorter than that timeout. */
 static void
 partition_reject_unsent(struct gb_pool *pool, uint32_t number)
 {
@@ -465,6 +479,7 @@
 	partition->sent_count = 0;
 }
 
+/** Waits after a refused or lost write, longer after each further one. */
 static void
 partition_retry_later(struct gb_pool *pool, struct pool_partition *partition)
 {
@@ -478,6 +493,7 @@
 	partition->retry_at = pool->now + pause;
 }
 
+/** Handles that a write has succeeded. */
 static void
 partition_stored(struct gb_pool *pool, struct pool_partition *partition)
 {
@@ -497,8 +513,9 @@
 	free(flows);
 }
 
-/** Whether an owner's row was written by this process; then updates the known
- * version.  If not, the ownership is lost. */
+/** Checks the owner's row found by a conflict.  If this process wrote it, for
+ * this epoch, updates the known version and returns true; if not, the ownership
+ * is lost. */
 static bool
 partition_owner_row(struct gb_pool *pool, struct pool_partition *partition,
     const struct gb_pool_row *row)
@@ -526,6 +543,8 @@
 	return own;
 }
 
+/** Handles that the condition of a write failed: an earlier write without
+ * answer was carried out, or another node owns the partition. */
 static void
 partition_conflict(struct gb_pool *pool, struct pool_partition *partition,
     const struct gb_pool_txn_res *res)
@@ -541,6 +560,8 @@
 	partition->phase = POOL_PARTITION_IDLE;
 }
 
+/** Handles a write without answer, which may have been or may yet be carried
+ * out. */
 static void
 partition_write_lost(struct gb_pool *pool, struct pool_partition *partition)
 {
