--- a/libgooseberry/pool/admit.c
+++ b/libgooseberry/pool/admit.c
@@ -13,11 +13,12 @@
  */
 #include "state.h"
 
-/** Maximum number of unfinished flows.  They take about 4 KiB each, and so less
- * than a quarter of the smallest node's memory (160 MB). */
+/** Maximum number of open flows: unfinished ones, and finished ones until their
+ * runs have ended and their state is stored.  They take about 4 KiB each, and
+ * so less than a quarter of the smallest node's memory (160 MB). */
 #define ADMIT_FLOWS_MAX 8000
-/** Time after which a refused caller should retry: the time in which a burst
- * drains for the queues that wait least. */
+/** Time after which a refused caller should retry: by then a burst is
+ * over for the queues with the shortest waits. */
 #define ADMIT_RETRY (2 * GB_SEC)
 /** The same for a flow that its organisation's quota can never allow; the
  * operator may raise the quota. */
@@ -26,7 +27,8 @@
  * than this. */
 #define ADMIT_LINK_WAIT_MIN (500 * GB_MSEC)
 
-/** Objective of a flow, by the run times that its caller declared. */
+/** Objective of a flow, by the declared run times of all its steps; 0 for an
+ * unknown queue. */
 static gb_time
 admit_objective(const struct gb_pool *pool, const gb_flow *flow)
 {
--- a/libgooseberry/pool/config.c
+++ b/libgooseberry/pool/config.c
@@ -1,7 +1,8 @@
 /**
  * @file config.c
  * The operator's configuration: queues and services.  There may be thousands of
- * queues, and each change looks up the queue of every open flow.
+ * queues, and after each change the queue of every open flow is looked up, so
+ * queues are sorted by name.
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/libgooseberry/pool/event.c
+++ b/libgooseberry/pool/event.c
@@ -1,9 +1,9 @@
 /**
  * @file event.c
  * Structured log: one JSON object per line, written to a descriptor without
- * blocking.  Lines beyond the budget, and lines that the reader doesn't accept
- * in time, are dropped and counted; the next line that is written has the
- * count.
+ * blocking.  Lines beyond the budget, and lines for which the buffer has no
+ * space because the reader is slow, are dropped and counted; the next line that
+ * is written has the count.
  */
 #include <errno.h>
 #include <fcntl.h>
@@ -31,8 +31,8 @@
 	/** Clock second to which the rest of the budget belongs. */
 	gb_time second;
 	uint64_t dropped;
-	uint64_t dropped_logged;
-	gb_time flushed;
+	uint64_t dropped_logged; /**< dropped, as the last line reported it */
+	gb_time flushed;	 /**< when buffered lines were last written */
 	const char *node;
 	const gb_time *clock; /**< null: the clocks of the system */
 };
--- a/libgooseberry/pool/feature.c
+++ b/libgooseberry/pool/feature.c
@@ -7,6 +7,7 @@
 
 #include "pool.h"
 
+/** Names in the setting. */
 static const char *const names[GB_FEATURES] = {
     [GB_FEATURE_DEADLINE_ORDER] = "order",
     [GB_FEATURE_PREEMPTION] = "room",
@@ -29,6 +30,7 @@
     [GB_FEATURE_SHARE_ORDER] = "share",
 };
 
+/** Returns the feature of a name with this length in bytes, or -1. */
 static int
 feature_find(const char *name, size_t len)
 {
--- a/libgooseberry/pool/listing.c
+++ b/libgooseberry/pool/listing.c
@@ -10,8 +10,9 @@
 
 #include "state.h"
 
+/** Sets the rack of a worker: of its labels, the last one with a hyphen. */
 static void
-worker_rack(struct pool_worker *worker)
+worker_update_rack(struct pool_worker *worker)
 {
 	uint32_t i;
 
@@ -43,6 +44,8 @@
 	       worker->entry.error == GB_POOL_ENTRY_VALID;
 }
 
+/** Whether the configuration names the service of a worker; true until there is
+ * a configuration. */
 static bool
 worker_service_known(
     const struct gb_pool *pool, const struct pool_worker *worker)
@@ -179,6 +182,6 @@
 	worker->listed = true;
 	worker->service_configured = worker_service_known(pool, worker);
 	pool_worker_set_mark_missing(pool, worker);
-	worker_rack(worker);
+	worker_update_rack(worker);
 	pool->work_changed = true;
 }
--- a/libgooseberry/pool/org.c
+++ b/libgooseberry/pool/org.c
@@ -83,7 +83,7 @@
 
 /** Counts the flows of each organisation that have not begun. */
 static void
-orgs_waiting(const struct gb_pool *pool)
+orgs_count_waiting(const struct gb_pool *pool)
 {
 	const struct pool_flow *flow;
 	struct pool_org *org;
@@ -104,7 +104,7 @@
 	const struct pool_org *org;
 	size_t count = 0;
 
-	orgs_waiting(pool);
+	orgs_count_waiting(pool);
 
 	for (org = pool->orgs; org != NULL && count < max; org = org->hh.next) {
 		struct gb_pool_org_stat *stat = &out[count++];
--- a/libgooseberry/pool/org.h
+++ b/libgooseberry/pool/org.h
@@ -16,15 +16,15 @@
 struct pool_org {
 	UT_hash_handle hh;
 	char name[GB_NAME_MAX + 1];
-	uint32_t weight;
+	uint32_t weight;	     /**< submissions per second, 0: no limit */
 	struct gb_pool_amount quota; /**< 0: no limit */
 	struct gb_pool_amount used; /**< used by all runs that may be running */
-	uint64_t runs;
+	uint64_t runs;		    /**< number of these runs */
 	/** Submissions that it may still send now within its share; may be
 	 * fractional. */
 	double share_left;
 	gb_time share_at;     /**< when share_left was computed */
-	uint64_t accepted;    /**< flows */
+	uint64_t accepted;    /**< accepted flows */
 	uint64_t over_share;  /**< of these, beyond its share */
 	uint64_t refused;     /**< submissions that were not admitted */
 	uint64_t quota_waits; /**< flows that waited for its quota */
@@ -35,7 +35,7 @@
 /** Returns the organisation of a name and creates it if needed; null for the
  * empty name. */
 struct pool_org *pool_org_get(struct gb_pool *, const char *name);
-/** Applies a changed configuration. */
+/** Applies a changed configuration to all organisations. */
 void pool_orgs_configure(struct gb_pool *);
 void pool_orgs_free(struct gb_pool *);
 /** Counts an accepted flow of an organisation. */
@@ -43,7 +43,9 @@
 /** Counts a submission of an organisation that was not admitted. */
 void pool_org_count_refused(struct gb_pool *, const char *name);
 /** Authorises a caller by the newer of two configurations: that of the node
- * which took its call, and the owner's. */
+ * which received its call, and the owner's.  Returns GB_FLOW_CONFIG_OLDER when
+ * the owner's is the older one, GB_FLOW_DENIED when the key is no longer known,
+ * and GB_FLOW_REFUSED when it now belongs to another organisation. */
 gb_flow_verdict pool_org_authorise(
     const struct gb_pool *, const gb_flow_caller *);
 
--- a/libgooseberry/pool/org_config.c
+++ b/libgooseberry/pool/org_config.c
@@ -111,6 +111,7 @@
 	return error;
 }
 
+/** Returns the key of a digest, or null. */
 static const struct gb_pool_key *
 key_find(const struct gb_pool_config *config,
     const struct gb_pool_key_digest *digest)
--- a/libgooseberry/pool/pace.c
+++ b/libgooseberry/pool/pace.c
@@ -7,41 +7,42 @@
  * sent waits behind what was sent before; once renewals of leases and answers
  * wait for seconds, leases expire and work is done twice.
  *
- * So what guarantees depend on (leases, stops, ends, answers) is always sent,
- * and finds a short queue: starts and advice calls wait while the link is busy
- * for longer than a short time, and heartbeats to workers are sent less often.
- * Flows that the link doesn't allow to start in time are not accepted.
+ * So messages that guarantees depend on (leases, stops, ends, answers) are
+ * always sent, and what can wait keeps the queue of the link short: starts and
+ * advice calls wait while the queue takes longer than a short time to send, and
+ * heartbeats to workers are sent less often.  Flows that the link doesn't allow
+ * to start in time are not accepted.
  */
 #include <string.h>
 
 #include "state.h"
 
-/** Starts wait while the link is busy for longer than this: a lease renewal
- * sent behind them still arrives well before the lease ends, also behind a gang
- * that is sent as a whole (0.3 s at 2 Mbit/s). */
+/** Starts wait while the queue of the link takes longer than this to send.  A
+ * lease renewal sent behind them then arrives well before the lease ends, also
+ * behind a gang that is sent as a whole (0.3 s at 2 Mbit/s). */
 #define PACE_STARTS_QUEUED_MAX (40 * GB_MSEC)
 /** The same for advice calls, which are useful only when the start that follows
  * can be sent. */
 #define PACE_ADVICE_QUEUED_MAX (80 * GB_MSEC)
-/** Heartbeats to workers wait while the link is busy for longer than this: a
- * new owner asks all workers at once, and must answer members well before they
- * suspect it (0.9 s without answer). */
+/** The same for heartbeats to workers: a new owner sends one to all workers at
+ * once, and must answer members well before they suspect it (0.9 s without
+ * answer). */
 #define PACE_HEARTBEATS_QUEUED_MAX (200 * GB_MSEC)
-/** A heartbeat is delayed by this many times the time for which the link is
- * busy, so that ends are reported in fewer, longer answers. */
+/** A heartbeat is delayed by this many times the time that the queue takes to
+ * send, so that ends are reported in fewer, longer answers. */
 #define PACE_HEARTBEATS_DELAY_FACTOR 2
-/** Time for which answers to first heartbeats may keep the link busy; and bytes
- * of each, with a connection and a few runs. */
+/** Time for which the answers to first heartbeats may keep the link busy. */
 #define PACE_FIRST_LINK_TIME (150 * GB_MSEC)
+/** Bytes of such an answer, with opening the connection and a few runs. */
 #define PACE_FIRST_BYTES 700
 /** Bytes of a start order besides its specification: names, lease, ticket,
  * headers. */
 #define PACE_START_BYTES 520
-/** Share of the link in use below which waiting starts don't wait for the
- * link. */
+/** While less than this share of the bandwidth is in use, waiting starts don't
+ * wait for the link but for something else. */
 #define PACE_FULL_SHARE 0.8
-/** Share of the link that is available to starts, besides heartbeats and the
- * store. */
+/** Share of the bandwidth that is available to starts, besides heartbeats and
+ * store calls. */
 #define PACE_STARTS_SHARE 0.5
 
 static struct gb_pool_link
--- a/libgooseberry/pool/quota.c
+++ b/libgooseberry/pool/quota.c
@@ -61,8 +61,8 @@
 	org->runs--;
 }
 
-/** Number of tasks, at most `wanted`, that fit into the rest of a quota of one
- * resource. */
+/** Number of tasks, at most `wanted`, that fit into what is left of the quota
+ * of one resource; 0 as the quota: no limit. */
 static uint32_t
 resource_fits(int64_t quota, int64_t taken, int64_t each, uint32_t wanted)
 {
--- a/libgooseberry/pool/rank.c
+++ b/libgooseberry/pool/rank.c
@@ -4,26 +4,27 @@
  *
  * Overload: for seconds at a time more is submitted than can be done (bursts of
  * 1.6 to 2.2 times the usual load on a pool that is 81% to 89% full).  A flow
- * earns in full until its objective, a fifth of that until three times the
- * objective, then nothing.  So flows that can still meet their objective go
- * first, ordered by the latest time at which they may start; then those that
- * are late but still earn; last those that can earn nothing any more.  The last
- * two kinds still run when there is capacity.
+ * that ends within its objective earns in full, until three times the objective
+ * a fifth of that, then nothing.  So flows that can still meet their objective
+ * go first, ordered by the latest time at which they may start; then those that
+ * are late but still earn something; last those that can earn nothing any more.
+ * The last two kinds still run when there is capacity.
  *
  * Many waiting gangs: a burst of gangs of 2 to 120 tasks reaches a full pool,
- * and not all of them can be in time.  The value of a flow grows by less than
- * its size, and the capacity for one large gang is enough for several small
- * ones, which find it sooner.  So the more gangs wait for capacity, the further
- * a flow that is larger than others of its queue goes behind them, and the
- * further a smaller one goes before them.
+ * and not all of them can be in time.  The value of a flow grows more slowly
+ * than its size, and the capacity for one large gang is enough for several
+ * small ones, for which it is free sooner.  So the more gangs wait for
+ * capacity, the further a flow that is larger than others of its queue goes
+ * behind them, and the further a smaller one goes before them.
  *
  * Organisations: one sends several times its usual load to a full pool.  Its
- * flows beyond its weight go behind all flows of others that still earn.
+ * flows beyond its weight (see share.c) go behind all flows of others that can
+ * still earn something.
  *
  * One very large gang: small gangs keep five eighths of the pool busy, and a
  * gang arrives that needs two thirds of it.  It can start only on capacity that
- * is reserved for it.  The small gangs that this delays don't count as many
- * waiting gangs for it: its place depends on time alone.
+ * is reserved for it.  The small gangs that this delays don't move it back as
+ * many waiting gangs would: its position depends on time alone.
  */
 #include <string.h>
 
@@ -32,17 +33,21 @@
 /** A late flow earns something until this many times its objective, by the
  * users' rules. */
 #define RANK_LATE_FACTOR 3
-/** Factor of the objective for a queue that is no longer configured. */
-#define RANK_STRETCH_DEFAULT 2.0
+/** Factor and constant part of the objective for a queue that is no longer
+ * configured. */
+#define RANK_OBJECTIVE_FACTOR_DEFAULT 2.0
+#define RANK_OBJECTIVE_BASE_DEFAULT GB_SEC
 /** Chains are computed anew after this time, or when the flow has changed.  The
  * averages of a queue change slowly. */
 #define RANK_CHAIN_AGE_MAX (300 * GB_MSEC)
 
-/** Share of its spare time by which a flow that is twice as large as others of
- * its queue goes behind them, when the waiting gangs need RANK_CROWDED_SHARE of
- * the pool or more; and the largest relative size that counts. */
+/** Share of its spare time by which a flow that is twice as large as the mean
+ * of its queue goes back, when the other waiting gangs need RANK_CROWDED_SHARE
+ * of the pool or more. */
 #define RANK_SIZE_SHARE 0.5
 #define RANK_CROWDED_SHARE 0.5
+/** Size of a flow relative to the mean of its queue above which it goes no
+ * further back. */
 #define RANK_SIZE_MAX 3.0
 /** Largest share of the pool that is free at times without a reservation.  A
  * gang that needs more never starts unless capacity is reserved for it. */
@@ -50,6 +55,7 @@
 /** Weight of the newest flow in the mean flow size of its queue. */
 #define RANK_SIZE_WEIGHT 0.02
 
+/** Tiers in the order in which their flows go, as described above. */
 enum rank_tier { RANK_ON_TIME, RANK_LATE, RANK_OVER_SHARE, RANK_TOO_LATE };
 
 struct pool_queue_stat *
@@ -121,7 +127,7 @@
 	double others = pool->waiting_gang_cores - own;
 	struct pool_queue_stat *stat;
 	double crowded;
-	double size;
+	double relative_size;
 
 	HASH_FIND_STR(pool->queues, flow->spec.queue, stat);
 	if (!POOL_FEATURE_ENABLED(pool, GB_FEATURE_SIZE_ORDER) ||
@@ -131,11 +137,11 @@
 	crowded = others / (RANK_CROWDED_SHARE * pool->capacity);
 	if (crowded > 1)
 		crowded = 1;
-	size = rank_flow_cores(flow) / stat->cores;
-	if (size > RANK_SIZE_MAX)
-		size = RANK_SIZE_MAX;
-	return (
-	    gb_time)(RANK_SIZE_SHARE * crowded * (size - 1) * (double)spare);
+	relative_size = rank_flow_cores(flow) / stat->cores;
+	if (relative_size > RANK_SIZE_MAX)
+		relative_size = RANK_SIZE_MAX;
+	return (gb_time)(RANK_SIZE_SHARE * crowded * (relative_size - 1) *
+			 (double)spare);
 }
 
 /** Expected run time of a task.  Declared run times are off by up to 90%, so
@@ -189,19 +195,22 @@
 	return longest;
 }
 
+/** Computes the due times of a flow, the time of its chains and its delay by
+ * size. */
 static void
 rank_chains(struct gb_pool *pool, struct pool_flow *flow)
 {
 	const struct gb_pool_queue *queue = flow->queue;
 	gb_time chains[GB_STEPS_MAX] = {0};
-	double objective_factor =
-	    queue == NULL ? RANK_STRETCH_DEFAULT : queue->objective_factor;
-	gb_time target = queue == NULL ? GB_SEC : queue->objective_base_us;
+	double objective_factor = queue == NULL ? RANK_OBJECTIVE_FACTOR_DEFAULT
+						: queue->objective_factor;
+	gb_time objective_base = queue == NULL ? RANK_OBJECTIVE_BASE_DEFAULT
+					       : queue->objective_base_us;
 	gb_time objective;
 
-	objective =
-	    target + (gb_time)(objective_factor *
-			       (double)rank_chain(pool, flow, chains, false));
+	objective = objective_base +
+		    (gb_time)(objective_factor *
+			      (double)rank_chain(pool, flow, chains, false));
 	flow->chain = rank_chain(pool, flow, chains, true);
 	flow->due = flow->submitted + objective;
 	flow->late_due = flow->submitted + RANK_LATE_FACTOR * objective;
--- a/libgooseberry/pool/share.c
+++ b/libgooseberry/pool/share.c
@@ -10,8 +10,8 @@
  */
 #include "org.h"
 
-/** Maximum time for which an organisation accumulates its unused share: callers
- * send in bursts. */
+/** An organisation may save its unused share of this time, since callers send
+ * in bursts. */
 #define SHARE_ACCUMULATE_MAX GB_SEC
 
 bool
