--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -1,7 +1,9 @@
 /*
  * Messages between the processes of gooseberrycart and its stand-ins, and the
- * records of a shard's log.  Times are in microseconds.  The C code that rpcgen
- * generates from this file is committed beside it.
+ * records that they store.  Times are in microseconds.  A document is a team's
+ * configuration of one of its services; `vers` is the version of a row or of a
+ * document.  The C code that rpcgen generates from this file is committed
+ * beside it.
  */
 
 const GB_NAME_MAX = 63;
@@ -23,8 +25,8 @@
 	int cpu;		/* thousandths of a processor */
 	int mem;		/* MiB */
 	int accel;		/* accelerators */
-	int slots;
-	int conns;
+	int slots;		/* tasks and requests at once */
+	int conns;		/* connections at once */
 };
 
 /* Platform: table service and object store */
@@ -53,6 +55,7 @@
 	gb_body value;
 };
 
+/* Writes all puts if all conditions hold, else nothing. */
 struct gb_txn {
 	gb_cond conds<64>;
 	gb_put puts<GB_LIST_MAX>;
@@ -63,6 +66,7 @@
 	uint64_t vers;	/* of every row that this transaction wrote */
 };
 
+/* Reads the rows whose keys begin with a prefix. */
 struct gb_scan {
 	gb_key prefix;
 	gb_key after;		/* only rows with a greater key */
@@ -88,7 +92,8 @@
 	gb_name addr;		/* IP:port */
 	gb_name dc;
 	gb_name rack;
-	gb_name pool;		/* of workers; decides which services it may run */
+	/* pool of workers, which decides the services that it may run */
+	gb_name pool;
 	gb_res capacity;
 	gb_instance_state state;
 };
@@ -118,7 +123,7 @@
 	GB_WORKER_TASK_RUNNING = 0,
 	GB_WORKER_TASK_OK = 1,
 	GB_WORKER_TASK_FAILED = 2,
-	GB_WORKER_TASK_STOPPED = 3,	/* by a stop message or an expired lease */
+	GB_WORKER_TASK_STOPPED = 3, /* by a stop message or an expired lease */
 	GB_WORKER_TASK_REFUSED = 4	/* was never started */
 };
 
@@ -130,6 +135,8 @@
 	gb_res used;		/* observed, with a delay */
 };
 
+/* Sent by the owner of a shard to a worker: renews the worker's lease, starts
+ * and stops tasks, and acknowledges their ends. */
 struct gb_sync {
 	uint32_t shard;
 	uint64_t owner;	/* incarnation of the sender */
@@ -150,16 +157,19 @@
 	uint64_t seq;	/* of the last sync that was carried out */
 	int64_t clock;		/* of the worker, counts suspended time */
 	uint32_t requests; /* number of requests in flight from other owners */
-	uint64_t own<>;	/* ids of the requests in flight from this owner */
+	uint64_t own<>;	/* rid of the requests in flight from this owner */
+	/* running tasks, and ended ones until they are acknowledged */
 	gb_worker_task held<>;
 };
 
+/* Sent by the owner of a shard to a worker: runs one request.  The first fields
+ * are as in gb_sync. */
 struct gb_exec {
 	uint64_t epoch;
 	uint64_t incarnation;
 	int64_t anchor;
 	int64_t lease_us;
-	uint64_t rid;	/* unique per owner incarnation */
+	uint64_t rid;	/* id of the request, unique per owner incarnation */
 	uint64_t owner;
 	int64_t remaining_us;	/* until the caller's deadline */
 	gb_name team;
@@ -178,32 +188,36 @@
 
 /* Peers */
 
+/* A shard that a member owns. */
 struct gb_claim {
 	uint32_t shard;
-	uint64_t epoch;
-	bool active;
-	uint32_t free_slots;
+	uint64_t epoch;		/* of the ownership */
+	bool active;		/* false while it is loaded or handed over */
+	uint32_t free_slots;	/* of its workers */
 };
 
+/* Heartbeat of a member to the other members. */
 struct gb_beat {
 	gb_name member;
 	uint64_t incarnation;
 	gb_name addr;
 	gb_name dc;
 	bool leaving;
-	bool informed;		/* has read the store since its start */
+	bool informed;		/* has read the table service since its start */
 	uint64_t seen;	/* version of the newest head row that it has read */
 	uint64_t config;	/* last configuration change applied */
 	gb_claim claims<>;
 };
 
+/* What an entry needs to find the owner of a shard. */
 struct gb_view {
 	gb_beat members<>;
-	uint32_t shards;
+	uint32_t shards;	/* number of shards */
 };
 
 /* Entry to scheduler */
 
+/* Request of a caller, sent by an entry to the owner of a shard. */
 struct gb_request {
 	uint32_t shard;
 	gb_name team;
@@ -215,9 +229,10 @@
 	gb_body body;
 };
 
+/* Answer to a request or command. */
 struct gb_answer {
 	gb_verdict verdict;
-	uint32_t status;
+	uint32_t status;	/* HTTP status */
 	uint32_t retry_after_ms;	/* 0: not given */
 	uint64_t vers;		/* of a document, or 0 */
 	gb_key reason;
@@ -241,6 +256,7 @@
 	GB_VERB_METRICS = 14
 };
 
+/* Command of an operator or a team, sent by an entry to a member. */
 struct gb_command {
 	gb_verb verb;
 	uint32_t shard;
@@ -259,9 +275,9 @@
 	gb_name team;
 	gb_name name;
 	gb_name service;
-	uint32_t band;
+	uint32_t band;		/* gb_band */
 	bool idempotent;
-	bool gang;
+	bool gang;		/* the tasks run only together */
 	uint32_t tasks;
 	uint32_t max_attempts;
 	gb_res res;
@@ -289,7 +305,8 @@
 	GB_LEND_OFFER = 1,	/* from the home shard: offers tasks */
 	GB_LEND_ACCEPTED = 2,	/* from the other shard: they are in its log */
 	GB_LEND_RESULT = 3,	/* from the other shard: they have ended */
-	GB_LEND_RESULT_STORED = 4, /* from the home shard: the result is in its log */
+	/* from the home shard: the result is in its log */
+	GB_LEND_RESULT_STORED = 4,
 	GB_LEND_CANCEL = 5	/* from the home shard: stop them */
 };
 
@@ -316,11 +333,12 @@
 	GB_REC_LOAN_ENDED = 9
 };
 
+/* Start or end of a task. */
 struct gb_rec_task {
 	gb_task_id id;
 	gb_name worker;
-	uint64_t incarnation;
-	uint32_t outcome;	/* gb_outcome */
+	uint64_t incarnation;	/* of the worker */
+	uint32_t outcome;	/* gb_outcome, of an end */
 };
 
 union gb_record switch (gb_record_type type) {
@@ -344,15 +362,16 @@
 	gb_loan unlend;
 };
 
+/* Records that the owner of a shard writes to the log together. */
 struct gb_batch {
 	uint64_t epoch;
-	uint64_t owner;
+	uint64_t owner;		/* incarnation */
 	gb_record records<GB_LIST_MAX>;
 };
 
 struct gb_shard_row {
 	uint64_t owner;	/* incarnation, 0: no owner */
-	gb_name member;
+	gb_name member;		/* name of the owner */
 	uint64_t epoch;
 };
 
@@ -368,7 +387,7 @@
 };
 
 struct gb_view_row {
-	uint64_t number;
+	uint64_t number;	/* of the view; grows by one with each view */
 	gb_member_row members<4096>;
 	gb_name previous<4096>;	/* names of the members of the previous view */
 };
@@ -387,21 +406,25 @@
 	uint64_t vers;
 	gb_name author;
 	int64_t at_us;		/* wall clock */
-	/* recognises a writer's own change when the answer was lost */
+	/* random; shows a writer whether a change is its own when the answer
+	 * to the write was lost */
 	uint64_t nonce;
 	gb_body body;		/* JSON text of a document */
 };
 
+/* Snapshot of the configuration. */
 struct gb_config_row {
 	uint64_t seq;		/* last change that is included */
 	uint64_t vers;		/* version of the row of that change */
 	gb_change changes<GB_LIST_MAX>;
 };
 
+/* Record of an idempotency key. */
 struct gb_key_row {
-	uint64_t fingerprint;
+	uint64_t fingerprint;	/* hash of the request that has the key */
+	/* random; shows a request whether it wrote the row itself */
 	uint64_t nonce;
-	bool done;
+	bool done;		/* the request is done, the answer is below */
 	uint32_t status;
 	gb_body body;
 };
@@ -431,7 +454,7 @@
 	uint32_t per_worker;	/* maximum tasks on one worker, 0: no limit */
 	gb_name label;		/* that a worker must have, empty: any */
 	gb_name rack;		/* rack with the data, empty: any */
-	uint32_t after<GB_STEPS_MAX>;
+	uint32_t after<GB_STEPS_MAX>; /* indexes of steps that must end first */
 };
 
 /* What a caller submitted.  Never changes once it is stored. */
@@ -442,7 +465,7 @@
 	/* of a task, by the configuration at the submission */
 	uint32_t max_attempts;
 	int64_t submitted_us;	/* wall clock of the node that accepted it */
-	string spec<GB_SPEC_MAX>;
+	string spec<GB_SPEC_MAX>;	/* passed on to the workers */
 	gb_step steps<GB_STEPS_MAX>;
 	gb_name org;		/* organisation it belongs to, empty: none */
 	bool over_share; /* beyond the share of org when it was accepted */
@@ -480,7 +503,8 @@
 	gb_name worker;
 	bool begun;		/* it had reported that it runs the task */
 	bool early;		/* lost soon after that */
-	bool sole_suspect; /* and no other flow had a start as recent there */
+	/* lost early, and no other flow had a start as recent there */
+	bool sole_suspect;
 	bool lapsed;		/* the lease expired before it answered again */
 };
 
@@ -493,7 +517,8 @@
 	/* of workers, those that crashed soon after they had started it */
 	uint32_t early;
 	uint32_t attributed;	/* of early, those that certainly ran it then */
-	bool sole_suspect; /* once no other flow had a start as recent there */
+	/* at one of the early crashes no other flow had a start as recent */
+	bool sole_suspect;
 	gb_unreachable_worker unreachable<GB_UNREACHABLE_MAX>;
 };
 
@@ -541,7 +566,8 @@
 	GB_FLOW_REFUSED = 1,	/* never runs */
 	GB_FLOW_MAYBE = 2,	/* may have been accepted */
 	GB_FLOW_NOT_OWNER = 3,	/* ask another node; nothing was done */
-	GB_FLOW_CONFIG_OLDER = 4, /* the answering node has an older configuration */
+	/* the answering node has an older configuration than the caller's */
+	GB_FLOW_CONFIG_OLDER = 4,
 	GB_FLOW_CANT_STORE = 5,	/* not accepted: the store refuses this owner */
 	GB_FLOW_DENIED = 6	/* unknown key of the caller; never runs */
 };
@@ -560,9 +586,9 @@
 };
 
 enum gb_flow_op {
-	GB_FLOW_OP_STATE = 1,
-	GB_FLOW_OP_CANCEL = 2,
-	GB_FLOW_OP_PENDING = 3
+	GB_FLOW_OP_STATE = 1,	/* state of a flow */
+	GB_FLOW_OP_CANCEL = 2,	/* cancel a flow */
+	GB_FLOW_OP_PENDING = 3	/* number of flows of a queue not begun */
 };
 
 struct gb_flow_ask {
@@ -574,8 +600,8 @@
 struct gb_flow_answer {
 	gb_flow_verdict verdict;
 	gb_flow_status status;
-	uint32_t pending;
-	int64_t retry_after_us;
+	uint32_t pending;	/* answer to GB_FLOW_OP_PENDING */
+	int64_t retry_after_us;	/* 0: not given */
 };
 
 /* Heartbeat of a node to the owner; the answer has the owner status and what
@@ -587,7 +613,7 @@
 	uint64_t incarnation;
 	uint64_t epoch;		/* newest one that it knows */
 	uint64_t config;
-	uint32_t cpu_milli;
+	uint32_t cpu_milli;	/* processors of the node, in thousandths */
 	int64_t up_us;		/* age of its process */
 	bool leaving;
 	uint64_t members_known;	/* version of the list of members that it has */
@@ -596,7 +622,7 @@
 struct gb_hello_res {
 	bool owner;		/* the answering node is the owner */
 	bool acquiring;	/* has claimed the pool and is loading the tables */
-	bool vacating;		/* the owner is stopping: take over at once */
+	bool vacating;	/* the owner is stopping: others should take over */
 	uint64_t epoch;
 	gb_name owner_addr;	/* empty if unknown */
 	/* time since the owner last answered this node */
@@ -605,7 +631,8 @@
 	int64_t store_silent_us;
 	/* most partitions don't accept the owner's writes */
 	bool store_unavailable;
-	uint32_t largest_milli;	/* processor share of the largest live member */
+	/* processors of the largest live member, in thousandths */
+	uint32_t largest_milli;
 	uint64_t members_vers;	/* version of the list of members */
 	gb_name members<4096>;	/* empty if the caller has that version */
 	uint32_t rank;		/* of the caller, in the order of succession */
@@ -637,11 +664,13 @@
 	uint64_t config;	/* version that the owner has now */
 };
 
+/* Call of the advice service: which of the workers may run a step? */
 struct gb_advice_ask {
 	gb_name step;
 	gb_name workers<100>;
 };
 
+/* Proof that the service approved a worker for the step. */
 struct gb_ticket {
 	gb_name worker;
 	gb_name ticket;
@@ -655,6 +684,6 @@
 
 struct gb_advice_res {
 	gb_advice_status status;
-	int64_t valid_us;
+	int64_t valid_us;	/* validity of the tickets */
 	gb_ticket approved<100>;
 };
