--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -566,7 +566,8 @@
 	GB_FLOW_REFUSED = 1,	/* never runs */
 	GB_FLOW_MAYBE = 2,	/* may have been accepted */
 	GB_FLOW_NOT_OWNER = 3,	/* ask another node; nothing was done */
-	/* the answering node has an older configuration than the caller's */
+	/* the answering node's configuration is older than that of the node
+	 * which sent the message */
 	GB_FLOW_CONFIG_OLDER = 4,
 	GB_FLOW_CANT_STORE = 5,	/* not accepted: the store refuses this owner */
 	GB_FLOW_DENIED = 6	/* unknown key of the caller; never runs */
--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -95,7 +95,7 @@
 	/** Sorted by name after gb_pool_config_seal. */
 	struct gb_pool_queue *queues;
 	size_t queue_count;
-	char (*services)[GB_NAME_MAX + 1]; /**< names of worker pools */
+	char (*services)[GB_NAME_MAX + 1]; /**< names of services */
 	size_t service_count;
 	/** The configuration names organisations, so that callers need keys. */
 	bool keyed;
@@ -364,9 +364,9 @@
 
 struct gb_pool_read_res {
 	gb_store_status status;
-	struct gb_pool_row *rows;
+	struct gb_pool_row *rows; /**< in the order of their keys */
 	size_t row_count;
-	bool more;
+	bool more; /**< the range has more rows than were returned */
 };
 
 /* Core -------------------------------------------------------------------- */
@@ -375,20 +375,27 @@
 struct gb_pool_link {
 	gb_time queued;	      /**< time to send what is queued on it */
 	uint64_t bytes_per_s; /**< bandwidth, 0: no limit */
-	double use;	      /**< share of the bandwidth in use lately */
+	double use; /**< share of the bandwidth in use recently, 1: all */
 };
 
-/** Callbacks by which the core does its I/O. Pointers in arguments are valid
- * only during the call. */
+/** Callbacks by which the core does its I/O.  Pointers in arguments are valid
+ * only during the call.  The first argument is `data`; `call` is the number to
+ * pass to the function with the result. */
 struct gb_pool_ops {
+	/** Sends a start order; ends with gb_pool_start_done. */
 	void (*start)(void *, uint64_t call, const struct gb_pool_order *);
+	/** Sends a stop order; ends with gb_pool_stop_done. */
 	void (*stop)(void *, uint64_t call, const struct gb_pool_order *);
+	/** Sends a heartbeat; ends with gb_pool_heartbeat_done. */
 	void (*heartbeat)(
 	    void *, uint64_t call, const struct gb_pool_heartbeat *);
-	/** Asks the advice service through a member. */
+	/** Asks the advice service through a member; ends with
+	 * gb_pool_advise_done. */
 	void (*advise)(void *, uint64_t call, const char *member_addr,
 	    const gb_advice_ask *);
+	/** Carries out a transaction; ends with gb_pool_txn_done. */
 	void (*txn)(void *, uint64_t call, const struct gb_pool_txn *);
+	/** Reads rows; ends with gb_pool_read_done. */
 	void (*read)(void *, uint64_t call, const struct gb_pool_read *);
 	/** Answers the gb_pool_submit or gb_pool_ask of this token. */
 	void (*answer)(void *, uint64_t token, const gb_flow_answer *);
@@ -453,7 +460,7 @@
 	const char *name;     /**< of this node */
 	const char *addr;     /**< of its peer port */
 	uint64_t incarnation; /**< differs with each start of the process */
-	uint64_t seed;
+	uint64_t seed;	      /**< of random choices */
 	struct gb_pool_limits limits;
 	uint32_t disabled_features; /**< bits by enum gb_feature */
 	struct gb_events *events;   /**< null: no log; must outlive the core */
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -79,8 +79,8 @@
 				capacity and the incarnation is confirmed */
 	uint64_t stop_call;  /**< stop order in flight, 0: none */
 	gb_time started;
-	gb_time confirmed; /**< when the worker first reported the run, 0: not
-			      yet */
+	gb_time confirmed; /**< when the worker first confirmed the start or
+			      reported the run, 0: not yet */
 	gb_time stopped;  /**< when the worker confirmed the stop, 0: not yet */
 	gb_time stop_at;  /**< when to retry a stop without answer */
 	gb_time lapse_at; /**< after this, a start order without answer can no
@@ -292,7 +292,8 @@
 	/** Incarnation in the stored worker sets as they were read, 0: none. */
 	int64_t recorded_incarnation;
 	bool maybe_restarted; /**< may have restarted since it answered */
-	bool leaving;	/**< this incarnation has reported that it leaves */
+	bool leaving;	/**< the entry of this incarnation has said that it is
+			   draining */
 	uint64_t fence; /**< added to the fencing token; grows when orders in
 			   flight must not be carried out */
 	bool listed;	/**< is in the platform's list */
--- a/libgooseberry/pool/writer.c
+++ b/libgooseberry/pool/writer.c
@@ -27,13 +27,13 @@
 /** Size of the values in one transaction, in bytes, at which no further flow is
  * added; the limit of the store is 1 MB in base64. */
 #define WRITER_BYTES_MAX (400 * 1024)
-/** Time between the starts of two transactions of a partition, in which changes
- * are collected: each call costs money, and a submission waits half of this
- * time on average. */
-#define WRITER_PAUSE (35 * GB_MSEC)
+/** Minimum time between the starts of two transactions of a partition, in which
+ * changes are collected: each call costs money, and a submission waits half of
+ * this time on average. */
+#define WRITER_INTERVAL (35 * GB_MSEC)
 /** The same while no caller waits for a change, such as the end of one task of
  * several. */
-#define WRITER_PAUSE_LONG (120 * GB_MSEC)
+#define WRITER_INTERVAL_LONG (120 * GB_MSEC)
 /** Time without an answer after which a write is overdue, and the store is
  * probed with the read of a small row.  A quick answer to the probe shows that
  * the write's answer was lost, a slow one that the store is slow, and none that
@@ -440,7 +440,7 @@
 	if (partition->phase != POOL_PARTITION_IDLE ||
 	    (POOL_FEATURE_ENABLED(pool, GB_FEATURE_WRITE_BATCHING) &&
 		pool->now - partition->sent <
-		    (urgent ? WRITER_PAUSE : WRITER_PAUSE_LONG)))
+		    (urgent ? WRITER_INTERVAL : WRITER_INTERVAL_LONG)))
 		return;
 	if (partition->seal)
 		partition_seal(pool, number);
