--- a/libgooseberry/gen/proto.c
+++ b/libgooseberry/gen/proto.c
@@ -698,7 +698,7 @@
 			 return FALSE;
 		break;
 	case GB_REC_JOB_REMOVED:
-		 if (!xdr_uint64_t (xdrs, &objp->gb_record_u.forget))
+		 if (!xdr_uint64_t (xdrs, &objp->gb_record_u.job_removed))
 			 return FALSE;
 		break;
 	case GB_REC_START:
@@ -713,7 +713,7 @@
 		 if (!xdr_gb_instance (xdrs, &objp->gb_record_u.worker))
 			 return FALSE;
 		break;
-	case GB_REC_WORKER_GONE:
+	case GB_REC_WORKER_REMOVED:
 		 if (!xdr_gb_name (xdrs, &objp->gb_record_u.gone))
 			 return FALSE;
 		break;
@@ -722,7 +722,7 @@
 			 return FALSE;
 		break;
 	case GB_REC_LOAN_ENDED:
-		 if (!xdr_gb_loan (xdrs, &objp->gb_record_u.unlend))
+		 if (!xdr_gb_loan (xdrs, &objp->gb_record_u.loan_ended))
 			 return FALSE;
 		break;
 	default:
@@ -1249,7 +1249,7 @@
 			 return FALSE;
 		 if (!xdr_gb_name (xdrs, &objp->owner_addr))
 			 return FALSE;
-		 if (!xdr_int64_t (xdrs, &objp->owner_heard_us))
+		 if (!xdr_int64_t (xdrs, &objp->owner_silent_us))
 			 return FALSE;
 		 if (!xdr_int64_t (xdrs, &objp->store_silent_us))
 			 return FALSE;
@@ -1292,7 +1292,7 @@
 			 return FALSE;
 		 if (!xdr_gb_name (xdrs, &objp->owner_addr))
 			 return FALSE;
-		 if (!xdr_int64_t (xdrs, &objp->owner_heard_us))
+		 if (!xdr_int64_t (xdrs, &objp->owner_silent_us))
 			 return FALSE;
 		 if (!xdr_int64_t (xdrs, &objp->store_silent_us))
 			 return FALSE;
@@ -1328,7 +1328,7 @@
 		 return FALSE;
 	 if (!xdr_gb_name (xdrs, &objp->owner_addr))
 		 return FALSE;
-	 if (!xdr_int64_t (xdrs, &objp->owner_heard_us))
+	 if (!xdr_int64_t (xdrs, &objp->owner_silent_us))
 		 return FALSE;
 	 if (!xdr_int64_t (xdrs, &objp->store_silent_us))
 		 return FALSE;
--- a/libgooseberry/gen/proto.h
+++ b/libgooseberry/gen/proto.h
@@ -381,7 +381,7 @@
 	GB_REC_START = 3,
 	GB_REC_END = 4,
 	GB_REC_WORKER = 5,
-	GB_REC_WORKER_GONE = 6,
+	GB_REC_WORKER_REMOVED = 6,
 	GB_REC_JOB_REMOVED = 7,
 	GB_REC_LEND = 8,
 	GB_REC_LOAN_ENDED = 9,
@@ -401,13 +401,13 @@
 	union {
 		gb_job_spec job;
 		uint64_t cancel;
-		uint64_t forget;
+		uint64_t job_removed;
 		gb_rec_task start;
 		gb_rec_task end;
 		gb_instance worker;
 		gb_name gone;
 		gb_loan lend;
-		gb_loan unlend;
+		gb_loan loan_ended;
 	} gb_record_u;
 };
 typedef struct gb_record gb_record;
@@ -706,7 +706,7 @@
 	bool_t vacating;
 	uint64_t epoch;
 	gb_name owner_addr;
-	int64_t owner_heard_us;
+	int64_t owner_silent_us;
 	int64_t store_silent_us;
 	bool_t store_unavailable;
 	uint32_t largest_milli;
--- a/libgooseberry/gen/proto.x
+++ b/libgooseberry/gen/proto.x
@@ -327,7 +327,7 @@
 	GB_REC_START = 3,
 	GB_REC_END = 4,
 	GB_REC_WORKER = 5,
-	GB_REC_WORKER_GONE = 6,
+	GB_REC_WORKER_REMOVED = 6,
 	GB_REC_JOB_REMOVED = 7,
 	GB_REC_LEND = 8,
 	GB_REC_LOAN_ENDED = 9
@@ -347,19 +347,19 @@
 case GB_REC_CANCEL:
 	uint64_t cancel;
 case GB_REC_JOB_REMOVED:
-	uint64_t forget;
+	uint64_t job_removed;
 case GB_REC_START:
 	gb_rec_task start;
 case GB_REC_END:
 	gb_rec_task end;
 case GB_REC_WORKER:
 	gb_instance worker;
-case GB_REC_WORKER_GONE:
+case GB_REC_WORKER_REMOVED:
 	gb_name gone;
 case GB_REC_LEND:
 	gb_loan lend;
 case GB_REC_LOAN_ENDED:
-	gb_loan unlend;
+	gb_loan loan_ended;
 };
 
 /* Records that the owner of a shard writes to the log together. */
@@ -627,7 +627,7 @@
 	uint64_t epoch;
 	gb_name owner_addr;	/* empty if unknown */
 	/* time since the owner last answered this node */
-	int64_t owner_heard_us;
+	int64_t owner_silent_us;
 	/* time since the store last answered the owner */
 	int64_t store_silent_us;
 	/* most partitions don't accept the owner's writes */
--- a/libgooseberry/node/peers.c
+++ b/libgooseberry/node/peers.c
@@ -238,7 +238,7 @@
 	}
 	config_received(node, res);
 	if (res->owner || res->acquiring ||
-	    res->owner_heard_us < NODE_OWNER_SILENCE)
+	    res->owner_silent_us < NODE_OWNER_SILENCE)
 		watch_add_vote(&node->watch, WATCH_VOTE_REACHABLE);
 	else
 		watch_add_vote(&node->watch, WATCH_VOTE_UNREACHABLE);
@@ -329,12 +329,12 @@
 	if (node->watch.epoch > res.epoch)
 		res.epoch = node->watch.epoch;
 	res.owner_addr = node->watch.owner;
-	res.owner_heard_us = watch_owner_silence(&node->watch, now);
+	res.owner_silent_us = watch_owner_silence(&node->watch, now);
 	if (gb_pool_owns(node->pool)) {
 		node_members_fill(node, node_member_hello_received(node, hello),
 		    hello->members_known, &res);
 		res.owner_addr = node->settings.addr;
-		res.owner_heard_us = 0;
+		res.owner_silent_us = 0;
 		res.store_silent_us = gb_pool_store_silent(node->pool, now);
 		res.store_unavailable =
 		    NODE_USES(node, GB_FEATURE_STORE_CHECK) &&
--- a/libgooseberry/pool/flow.c
+++ b/libgooseberry/pool/flow.c
@@ -525,7 +525,7 @@
 
 	if (run != NULL) {
 		run_time = pool->now - run->started;
-		pool_health_ended(pool, worker, run, report->outcome);
+		pool_health_run_ended(pool, worker, run, report->outcome);
 		pool_run_free(pool, run);
 	}
 	pool->work_changed = true;
@@ -534,7 +534,7 @@
 	if (report->checkpoint[0] != '\0' &&
 	    (step->spec->flags & GB_STEP_CHECKPOINT) != 0 &&
 	    report->outcome != GB_POOL_DONE) {
-		pool_task_checkpoint(state_task, report->checkpoint);
+		pool_task_set_checkpoint(state_task, report->checkpoint);
 		pool_flow_changed(pool, flow, false);
 	}
 	if (report->outcome == GB_POOL_DONE) {
--- a/libgooseberry/pool/flow_state.c
+++ b/libgooseberry/pool/flow_state.c
@@ -125,7 +125,7 @@
 }
 
 void
-pool_task_checkpoint(struct pool_task *task, const char *checkpoint)
+pool_task_set_checkpoint(struct pool_task *task, const char *checkpoint)
 {
 	free(task->checkpoint);
 	task->checkpoint = gb_strdup(checkpoint);
@@ -173,7 +173,7 @@
 		pool_task_count_failed_run(
 		    task, state->failed_runs.failed_runs_val[i]);
 	if (state->checkpoint[0] != '\0')
-		pool_task_checkpoint(task, state->checkpoint);
+		pool_task_set_checkpoint(task, state->checkpoint);
 }
 
 /** Marks the steps that no earlier owner has started. A step is started only
--- a/libgooseberry/pool/health.c
+++ b/libgooseberry/pool/health.c
@@ -110,7 +110,7 @@
 }
 
 void
-pool_health_ended(struct gb_pool *pool, struct pool_worker *worker,
+pool_health_run_ended(struct gb_pool *pool, struct pool_worker *worker,
     const struct pool_run *run, enum gb_pool_outcome outcome)
 {
 	uint64_t flow = gb_hash(run->flow->spec.id, strlen(run->flow->spec.id));
--- a/libgooseberry/pool/load.c
+++ b/libgooseberry/pool/load.c
@@ -143,7 +143,7 @@
 			? set.incarnations.incarnations_val[i]
 			: 0);
 	xdr_free((xdrproc_t)xdr_gb_worker_set, (char *)&set);
-	pool_worker_set_read(pool, partition, row->key);
+	pool_worker_set_mark_row(pool, partition, row->key);
 }
 
 /* Loading a partition ---------------------------------------------------- */
--- a/libgooseberry/pool/state.h
+++ b/libgooseberry/pool/state.h
@@ -769,7 +769,7 @@
  * not match what was submitted. */
 bool pool_flow_load(
     struct gb_pool *, struct pool_flow *, const gb_flow_state *);
-void pool_task_checkpoint(struct pool_task *, const char *checkpoint);
+void pool_task_set_checkpoint(struct pool_task *, const char *checkpoint);
 /** Counts a failed run once, in whatever order ends come.  Returns false when
  * it was counted before. */
 bool pool_task_count_failed_run(struct pool_task *, uint64_t run);
@@ -870,7 +870,7 @@
 bool pool_worker_set_body(struct gb_pool *, uint32_t partition, gb_body *);
 /** Marks a row of the stored set that was read under this key to be
  * rewritten. */
-void pool_worker_set_read(
+void pool_worker_set_mark_row(
     struct gb_pool *, uint32_t partition, const char *key);
 /** Handles the result of the last write of a row of the set. */
 void pool_worker_set_stored(struct gb_pool *, uint32_t partition, bool stored);
@@ -911,7 +911,7 @@
 
 /* health.c */
 /** Updates the health of a worker by the end of a run. */
-void pool_health_ended(struct gb_pool *, struct pool_worker *,
+void pool_health_run_ended(struct gb_pool *, struct pool_worker *,
     const struct pool_run *, enum gb_pool_outcome);
 /** Checks a worker for stalled runs. */
 void pool_health_check(struct gb_pool *, struct pool_worker *);
--- a/libgooseberry/pool/worker_set.c
+++ b/libgooseberry/pool/worker_set.c
@@ -100,7 +100,8 @@
 }
 
 void
-pool_worker_set_read(struct gb_pool *pool, uint32_t partition, const char *key)
+pool_worker_set_mark_row(
+    struct gb_pool *pool, uint32_t partition, const char *key)
 {
 	unsigned long row =
 	    strtoul(key + strlen(GB_POOL_WORKERS_KEY), NULL, 10);
--- a/libgooseberry/process/job.c
+++ b/libgooseberry/process/job.c
@@ -498,7 +498,7 @@
 	job->ended_at = core->now;
 	memset(&record, 0, sizeof(record));
 	record.type = GB_REC_JOB_REMOVED;
-	record.gb_record_u.forget = job->id;
+	record.gb_record_u.job_removed = job->id;
 	log_append(core, shard, &record, 0);
 }
 
--- a/libgooseberry/process/job_record.c
+++ b/libgooseberry/process/job_record.c
@@ -143,17 +143,18 @@
 		worker_addition_committed(
 		    core, shard, &record->gb_record_u.worker);
 		break;
-	case GB_REC_WORKER_GONE:
+	case GB_REC_WORKER_REMOVED:
 		worker_removal_committed(core, shard, record->gb_record_u.gone);
 		break;
 	case GB_REC_LEND:
 		loan_commit(core, shard, &record->gb_record_u.lend);
 		break;
 	case GB_REC_LOAN_ENDED:
-		loan_return_commit(core, shard, &record->gb_record_u.unlend);
+		loan_return_commit(
+		    core, shard, &record->gb_record_u.loan_ended);
 		break;
 	case GB_REC_JOB_REMOVED:
-		job = job_find(shard, record->gb_record_u.forget);
+		job = job_find(shard, record->gb_record_u.job_removed);
 		if (job != NULL)
 			job_free(core, job);
 		break;
--- a/libgooseberry/process/loan.c
+++ b/libgooseberry/process/loan.c
@@ -343,8 +343,8 @@
 	if (lend->outcomes.outcomes_val[0] == GB_OUTCOME_RETURNED) {
 		memset(&record, 0, sizeof(record));
 		record.type = GB_REC_LOAN_ENDED;
-		record.gb_record_u.unlend.job = job->id;
-		record.gb_record_u.unlend.child = loan->child;
+		record.gb_record_u.loan_ended.job = job->id;
+		record.gb_record_u.loan_ended.child = loan->child;
 		log_append(core, shard, &record, 0);
 		return;
 	}
--- a/libgooseberry/process/worker.c
+++ b/libgooseberry/process/worker.c
@@ -254,7 +254,7 @@
 	if (!w->durable || shard->state != SHARD_ACTIVE)
 		return;
 	memset(&rec, 0, sizeof(rec));
-	rec.type = GB_REC_WORKER_GONE;
+	rec.type = GB_REC_WORKER_REMOVED;
 	rec.gb_record_u.gone = gb_strdup(w->name);
 	log_append(core, shard, &rec, 0);
 }
