--- a/standin/standin.h
+++ b/standin/standin.h
@@ -16,7 +16,7 @@
 	uint32_t proc;
 	void *res;
 	void (*before)(struct standin_reply *); /**< called before sending */
-	void *data;
+	void *data;				/**< for `before` */
 	uint64_t owner; /**< owner of the request, set by the caller */
 	uint64_t rid;	/**< id of the request, set by the caller */
 };
--- a/standin/worker_model.h
+++ b/standin/worker_model.h
@@ -18,16 +18,20 @@
 typedef void (*worker_ledger)(
     void *, enum worker_event, const gb_task_id *, const gb_exec *);
 
+/** Create a worker that runs nothing and has no lease.  `ledger` may be null;
+ * it is called with the last argument.  Release with worker_model_free. */
 struct worker_model *worker_model_new(
     uint64_t incarnation, const gb_res *capacity, worker_ledger, void *);
 void worker_model_free(struct worker_model *);
-/** Make every task fail immediately while set. */
+/** Make every task fail at the next tick while set. */
 void worker_model_fail_all(struct worker_model *, bool);
-/** Carry out a sync.  Release the result with xdr_free. */
+/** Carry out a sync.  `now` is the worker's own clock in microseconds here and
+ * below.  Release the result with xdr_free. */
 void worker_model_sync(
     struct worker_model *, gb_time now, const gb_sync *, gb_sync_res *);
 /** Start a request.  Returns false if it is refused, so that it did not run. */
 bool worker_model_exec(struct worker_model *, gb_time now, const gb_exec *);
+/** Record the end of a request; unknown ones are ignored. */
 void worker_model_exec_end(struct worker_model *, uint64_t owner, uint64_t rid);
 /** End tasks whose duration has passed, and all tasks once the lease has
  * expired. */
--- a/standin/world.c
+++ b/standin/world.c
@@ -12,7 +12,7 @@
 
 #include "world_state.h"
 
-/** Least offset of a worker's clock from the model's clock. */
+/** Minimum offset of a worker's clock from the model's clock. */
 #define CLOCK_OFFSET_MS 500000
 /** Clock reading of a worker right after a restart. */
 #define CLOCK_RESTART_MS 40
@@ -30,6 +30,7 @@
 /** Time until a worker that a task crashed is replaced, unless the flow's
  * specification gives one. */
 #define CRASH_BACK_MS 1300
+
 struct world *
 world_new(uint64_t seed)
 {
@@ -103,7 +104,7 @@
 	worker->started_ms =
 	    WORLD_EPOCH_MS + world->clock_step_ms + world->now / GB_MSEC;
 	worker->up = true;
-	worker->back_at = 0;
+	worker->replace_at = 0;
 	worker->draining = false;
 	worker->token = 0;
 	worker->ended = 0;
@@ -283,6 +284,8 @@
 {
 	struct world_worker *worker = world->workers[number];
 
+	/* Of several reductions in a row, the highest capacity stays tolerated.
+	 */
 	if (world->now >= worker->shrunk_until ||
 	    capacity->cpu > worker->capacity_before.cpu)
 		worker->capacity_before = worker->capacity;
@@ -459,7 +462,7 @@
 	if (flow != NULL)
 		back = spec_number(flow->spec.spec, "back=", CRASH_BACK_MS);
 	world_worker_crash(world, worker->number);
-	worker->back_at = world->now + (gb_time)back * GB_MSEC;
+	worker->replace_at = world->now + (gb_time)back * GB_MSEC;
 }
 
 /** Advance a run.  Returns true if it has ended; lists of runs have changed
@@ -526,7 +529,7 @@
 	for (i = 0; i < world->worker_count; i++) {
 		struct world_worker *worker = world->workers[i];
 
-		if (worker->back_at != 0 && worker->back_at <= now)
+		if (worker->replace_at != 0 && worker->replace_at <= now)
 			world_worker_replace(world, i);
 		worker_lapse(world, worker);
 		for (run = TAILQ_FIRST(&worker->runs); run != NULL;
@@ -625,7 +628,7 @@
  * violation; one for an earlier incarnation of the worker is only rejected,
  * since its sender may not know of the restart. */
 static bool
-ticket_holds(struct world *world, const struct world_worker *worker,
+ticket_is_valid(struct world *world, const struct world_worker *worker,
     const struct gb_pool_order *order)
 {
 	gb_time expires = 0;
@@ -666,7 +669,7 @@
 		res->status = GB_POOL_ORDER_STALE;
 		return;
 	}
-	if (world->tickets_needed && !ticket_holds(world, worker, order)) {
+	if (world->tickets_needed && !ticket_is_valid(world, worker, order)) {
 		res->status = GB_POOL_ORDER_NO_TICKET;
 		return;
 	}
--- a/standin/world.h
+++ b/standin/world.h
@@ -29,6 +29,7 @@
 
 struct world;
 
+/** Create a model without workers.  Release it with world_free. */
 struct world *world_new(uint64_t seed);
 void world_free(struct world *);
 /** Advance the model to the time `now` in microseconds: runs make progress,
@@ -64,7 +65,8 @@
 /** Replace the worker's process by one at the same address with the given id,
  * which may have been used before. */
 void world_worker_rename(struct world *, unsigned int number, const char *id);
-/** Omit the start time of workers from their reports or from their entries. */
+/** Omit the start time of workers, which tells their incarnations apart, from
+ * their reports or from their entries. */
 void world_incarnations_unknown(struct world *, bool reports, bool entries);
 /** Move the time of day, which workers report as their start time, forward or
  * back by a number of microseconds. */
@@ -78,9 +80,12 @@
 /** Set for how many microseconds after a worker's capacity is reduced a start
  * beyond it is no violation yet. */
 void world_shrink_grace_set(struct world *, gb_time after);
-/** Make all tasks on the worker fail, or stall without progress. */
+/** Make all tasks on the worker fail, or stall without progress; with neither,
+ * they run normally. */
 void world_worker_impair(
     struct world *, unsigned int number, bool failing, bool stalled);
+/** Mark the worker as draining in its entry, for as long as its process runs.
+ */
 void world_worker_drain(struct world *, unsigned int number);
 
 /** Carry out an order on the worker at the order's address. */
@@ -93,7 +98,8 @@
     struct world *, const struct gb_pool_heartbeat *, struct gb_pool_report *);
 void world_report_free(struct gb_pool_report *);
 
-/** Register a submitted flow with the oracle, which checks runs against it. */
+/** Register a copy of a submitted flow with the oracle, which checks runs
+ * against it. */
 void world_flow_add(struct world *, const gb_flow *, unsigned int max_attempts);
 /** Set an organisation's quota; an amount of 0 is no limit. */
 void world_org_quota(
@@ -142,6 +148,7 @@
 void world_read(
     struct world *, const struct gb_pool_read *, struct gb_pool_read_res *);
 void world_read_free(struct gb_pool_read_res *);
+/** Number of rows of a table, in all partitions. */
 unsigned int world_row_count(const struct world *, enum gb_pool_table);
 /** Newest version of all tables. */
 uint64_t world_vers(const struct world *);
--- a/standin/world_org.c
+++ b/standin/world_org.c
@@ -21,7 +21,7 @@
 	return org;
 }
 
-/** Whether a quota is higher than another; 0 is no limit. */
+/** Whether a quota is higher than another; 0 means no limit. */
 static bool
 quota_is_higher(int64_t quota, int64_t other)
 {
@@ -35,6 +35,8 @@
 	struct world_org *org = org_get(world, name);
 
 	if (quota_is_higher(org->quota.cpu, quota->cpu)) {
+		/* Of several reductions in a row, the highest quota stays
+		 * tolerated. */
 		if (world->now >= org->quota_before_until ||
 		    quota_is_higher(org->quota.cpu, org->quota_before.cpu))
 			org->quota_before = org->quota;
@@ -65,7 +67,8 @@
 }
 
 static bool
-within(const struct gb_pool_amount *quota, const struct gb_pool_amount *used)
+use_is_within(
+    const struct gb_pool_amount *quota, const struct gb_pool_amount *used)
 {
 	return amount_within(quota->cpu, used->cpu) &&
 	       amount_within(quota->mem, used->mem) &&
@@ -80,9 +83,9 @@
 	org->used.cpu += res->cpu;
 	org->used.mem += res->mem;
 	org->used.accel += res->accel;
-	return within(&org->quota, &org->used) ||
+	return use_is_within(&org->quota, &org->used) ||
 	       (world->now < org->quota_before_until &&
-		   within(&org->quota_before, &org->used));
+		   use_is_within(&org->quota_before, &org->used));
 }
 
 void
--- a/standin/world_state.h
+++ b/standin/world_state.h
@@ -50,7 +50,7 @@
 	unsigned int incarnation; /**< counts the starts of the process */
 	int64_t started_ms;	  /**< time of day of the start */
 	bool up;
-	gb_time back_at; /**< when a crashed worker is replaced, 0: not */
+	gb_time replace_at; /**< when a crashed worker is replaced, 0: not */
 	bool draining;
 	bool failing; /**< its tasks fail */
 	bool stalled; /**< its tasks make no progress */
@@ -64,11 +64,11 @@
 	gb_time shrunk_until;
 	gb_res used;
 	double speed;
-	int64_t offset_ms; /**< its clock less the model's */
+	int64_t offset_ms; /**< its clock minus the model's */
 	uint64_t token;	   /**< highest fencing token received */
 	int64_t lease_end_ms;
 	uint64_t ended; /**< number of the last ended run */
-	uint64_t acked;
+	uint64_t acked; /**< unused */
 	struct world_runs runs;
 	struct world_ended_runs ended_runs;
 	struct world_last_run *last_runs;
@@ -89,7 +89,7 @@
 	UT_hash_handle hh;
 	gb_flow spec;
 	unsigned int max_attempts;
-	uint32_t first[GB_STEPS_MAX]; /**< index in tasks of a step's first */
+	uint32_t first[GB_STEPS_MAX]; /**< index of each step's first task */
 	uint32_t task_count;
 	unsigned int starts;
 	struct world_task *tasks;
@@ -102,7 +102,7 @@
 	struct gb_pool_amount quota;
 	struct gb_pool_amount
 	    quota_before;	    /**< higher quota, still tolerated */
-	gb_time quota_before_until; /**< until then */
+	gb_time quota_before_until; /**< end of that tolerance */
 	struct gb_pool_amount used;
 };
 
