--- a/standin/emulator.c
+++ b/standin/emulator.c
@@ -20,9 +20,9 @@
 /** Capacity left to a worker that has shrunk. */
 #define SHRUNK_PERCENT 25
 /** Time until the owner knows of a worker's lower capacity: the platform's
- * bound when no fault affects the store, and one heartbeat. */
+ * bound while no fault affects the store, plus one heartbeat. */
 #define SHRINK_GRACE (4500 * GB_MSEC)
-/** Time until a configuration is in force at the owner, with the store
+/** Time until a lower quota is in force at the owner, even if the store is
  * unavailable for some seconds of it. */
 #define QUOTA_GRACE (8 * GB_SEC)
 
--- a/standin/emulator.h
+++ b/standin/emulator.h
@@ -58,7 +58,7 @@
 	gb_time ticket_valid;	       /**< validity of a ticket */
 	unsigned int decide_ms;	       /**< delay of an advice answer */
 	unsigned int listed_port; /**< port of the first worker in the list */
-	char service[GB_NAME_MAX + 1];
+	char service[GB_NAME_MAX + 1]; /**< service of all workers */
 	struct emu_faults faults;
 };
 
@@ -80,6 +80,7 @@
     const struct http_call *, const char *name, char *out, size_t size);
 
 /* emulator_store.c */
+/** Serve the table service; the data is the emulator. */
 void emu_store_serve(void *, struct http_call *);
 /** Write a row of a table that the scheduler only reads.  A null value removes
  * the row. */
@@ -93,16 +94,17 @@
 void emu_store_tick(struct emulator *);
 
 /* emulator_worker.c */
+/** Serve orders and heartbeats of a worker; the data is the emu_worker. */
 void emu_worker_serve(void *, struct http_call *);
 /** Answer heartbeats that wait and have something to report, or have waited
  * long enough. */
 void emu_worker_tick(struct emulator *);
-/** Update the list of workers, unless the store is faulty. */
+/** Update the list of workers, unless the table service is busy or silent. */
 void emu_worker_list(struct emulator *);
 /** Remove all entries from the list.  The next update lists workers that are up
  * again. */
 void emu_worker_entries_expire(struct emulator *);
-/** Serve the advice service. */
+/** Serve the advice service; the data is the emulator. */
 void emu_advice_serve(void *, struct http_call *);
 
 extern struct emulator emulator;
--- a/standin/emulator_worker.c
+++ b/standin/emulator_worker.c
@@ -77,7 +77,7 @@
 	json_t *root;
 	char worker_id[GB_NAME_MAX + 1];
 	char addr[GB_NAME_MAX + 1];
-	bool start;
+	bool start; /**< starts a run; else stops it */
 };
 
 static const char *
