--- a/soak/caller.c
+++ b/soak/caller.c
@@ -37,7 +37,7 @@
 #define FINAL_JOBS 5
 
 enum job_phase {
-	JOB_REGISTERING, /**< the emulator's oracle is told of the job */
+	JOB_REGISTERING, /**< being registered with the emulator's oracle */
 	JOB_SUBMITTING,
 	JOB_ACCEPTED,
 	JOB_REFUSED,   /**< every try was refused: it must never run */
@@ -72,7 +72,7 @@
 static struct job_list jobs = TAILQ_HEAD_INITIALIZER(jobs);
 static struct {
 	unsigned int sent, accepted, refused, uncertain, succeeded, failed;
-	unsigned int cancelled, last;
+	unsigned int cancelled, last; /* last is unused */
 } counts;
 
 /* Jobs -------------------------------------------------------------------- */
@@ -224,7 +224,7 @@
 		    "%s was not taken in when all was calm", job->id);
 }
 
-/** The emulator's oracle knows the job, so that it can be submitted. */
+/** The job is registered with the emulator's oracle, and can be submitted. */
 static void
 registered(void *data, const struct plat_http_res *res)
 {
--- a/soak/fault.c
+++ b/soak/fault.c
@@ -26,6 +26,8 @@
 #define DELAY_MS 400
 /** The time of day of workers jumps by up to four of these, either way. */
 #define WORKER_CLOCK_STEP_MS 2500
+/** Workers in a rack, the same as in the emulator. */
+#define RACK_WORKERS 8
 /** Duration of cuts between nodes. */
 #define CUT_MIN_MS 5000
 #define CUT_MAX_MS 40000
@@ -235,8 +237,10 @@
 {
 	unsigned int i;
 
-	for (i = fault->worker / 8 * 8;
-	     i < fault->worker / 8 * 8 + 8 && i < soak.worker_count; i++)
+	for (i = fault->worker / RACK_WORKERS * RACK_WORKERS;
+	     i < fault->worker / RACK_WORKERS * RACK_WORKERS + RACK_WORKERS &&
+	     i < soak.worker_count;
+	     i++)
 		soak_control("/worker/%u/crash", i);
 }
 
@@ -245,8 +249,10 @@
 {
 	unsigned int i;
 
-	for (i = fault->worker / 8 * 8;
-	     i < fault->worker / 8 * 8 + 8 && i < soak.worker_count; i++)
+	for (i = fault->worker / RACK_WORKERS * RACK_WORKERS;
+	     i < fault->worker / RACK_WORKERS * RACK_WORKERS + RACK_WORKERS &&
+	     i < soak.worker_count;
+	     i++)
 		soak_control("/worker/%u/reborn", i);
 }
 
@@ -270,8 +276,10 @@
 {
 	unsigned int i;
 
-	for (i = fault->worker / 8 * 8;
-	     i < fault->worker / 8 * 8 + 8 && i < soak.worker_count; i++)
+	for (i = fault->worker / RACK_WORKERS * RACK_WORKERS;
+	     i < fault->worker / RACK_WORKERS * RACK_WORKERS + RACK_WORKERS &&
+	     i < soak.worker_count;
+	     i++)
 		worker_restart_one(i);
 }
 
@@ -434,8 +442,8 @@
 static unsigned int fault_count;
 static unsigned int kind_counts[KIND_COUNT];
 
-_Static_assert(KIND_COUNT > KINDS_BEFORE_LASTING, "new kinds stand last");
-_Static_assert(KIND_COUNT > KINDS_BEFORE_RESTARTS, "new kinds stand last");
+_Static_assert(KIND_COUNT > KINDS_BEFORE_LASTING, "new kinds must be last");
+_Static_assert(KIND_COUNT > KINDS_BEFORE_RESTARTS, "new kinds must be last");
 
 /** Kinds that faults are drawn from. */
 static const struct fault_kind *enabled[KIND_COUNT];
--- a/soak/fault.h
+++ b/soak/fault.h
@@ -18,8 +18,9 @@
 	gb_time at; /**< start */
 	gb_time until;
 	unsigned int node;	  /**< node that it affects, if it is of one */
-	unsigned int worker;	  /**< worker that it affects, likewise */
-	uint64_t random;	  /**< state of what it draws itself */
+	unsigned int worker;	  /**< worker that it affects, if it is of one;
+				    else a random number */
+	uint64_t random;	  /**< state of its own random numbers */
 	unsigned int pause_count; /**< pauses that have begun */
 	struct fault_pause *pauses; /**< by nodes, null until needed */
 	enum { FAULT_PENDING, FAULT_ACTIVE, FAULT_ENDED } state;
--- a/soak/node.c
+++ b/soak/node.c
@@ -9,7 +9,7 @@
 #include "soak.h"
 
 /** Offsets of the nodes' ports from the first port of the run; the number of
- * the node is added. */
+ * the node, below SOAK_NODES_MAX, is added. */
 enum port_kind {
 	PORT_FRONT = 100,
 	PORT_READY = 200,
@@ -23,6 +23,9 @@
 
 /** Timeout of a graceful stop, after which the node is killed. */
 #define STOP_TIMEOUT (6 * GB_SEC)
+/** Time from the end of a node's process to its next start, unless a fault sets
+ * another. */
+#define RESTART_DELAY (300 * GB_MSEC)
 
 static unsigned int
 port(const struct soak_node *node, enum port_kind kind)
@@ -98,7 +101,7 @@
 	node->config_seen = 0;
 }
 
-/** Record a state of a node that rightly causes others to take over from it. */
+/** Record that others may take over from a node, if its state is a cause. */
 static void
 node_cause_add(const struct soak_node *node)
 {
@@ -144,7 +147,7 @@
 				soak_violation("n%u ended by itself", i);
 			node->pid = 0;
 			if (node->restart_at == 0)
-				node->restart_at = soak_now() + 300 * GB_MSEC;
+				node->restart_at = soak_now() + RESTART_DELAY;
 		}
 		if (node->pid == 0 && node->restart_at > 0 &&
 		    node->restart_at <= soak_now())
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -15,14 +15,15 @@
 #include "soak.h"
 
 #define TICK_MS 5
-/** Offsets of ports from the first one. */
+/** Offsets of ports from the first one.  The first port is that of the table
+ * service, the next that of the advice service. */
 #define PORT_CONTROL 2
 #define PORT_WORKER 1000
 #define PORT_WORKER_PROXY 1500
 /** Time without faults before the final jobs. */
 #define CALM_TIME (5 * GB_SEC)
-/** Least time from the final jobs to the audit, enough to see whether the pool
- * is still taken over without a cause. */
+/** Minimum time from the final jobs to the audit, enough to see whether the
+ * pool is still taken over without a cause. */
 #define FINAL_MIN (4 * GB_SEC)
 /** Gap between two ticks from which the whole machine is taken to be stalled.
  */
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -40,14 +40,15 @@
 
 /* Processes --------------------------------------------------------------- */
 
-/** Start a program whose output goes to a file.  It is killed when this process
- * ends. */
+/** Start a program whose output is appended to a file.  It is killed when this
+ * process ends.  Returns its process id. */
 pid_t process_start(char *const argv[], const char *log);
 /** Whether a child process has ended; collects its status. */
 bool process_ended(pid_t);
 
 /* reach.c */
 
+/** The nodes' ports and source addresses leave space for this many. */
 #define SOAK_NODES_MAX 100
 
 /** Cut off the data from one node to another.  Cuts are counted, so that they
@@ -101,7 +102,7 @@
 	struct soak_node *nodes;
 	struct proxy **worker_proxies;
 	gb_time began;
-	unsigned int faults_active;
+	unsigned int faults_active; /**< unused */
 	gb_time unplanned; /**< when an unplanned fault was last active */
 	unsigned int violations;
 	unsigned int cancel_percent; /**< jobs that their callers cancel */
@@ -157,7 +158,7 @@
 void takeover_cause_add(unsigned int node, enum soak_cause);
 /** Record that a fault is active anywhere now. */
 void takeover_fault_add(void);
-/** Number of the node that claimed the pool last. */
+/** Number of the node that claimed the pool last; 0 before the first claim. */
 unsigned int takeover_owner(void);
 /** Read new claims from the nodes' logs, and record which nodes are isolated.
  */
@@ -176,7 +177,8 @@
 /** HTTP header with a key of a caller's organisation that is in both of the two
  * newest versions of the configuration.  Valid until the next call. */
 const char *operator_key(unsigned int number);
-/** Report that a node rejected a call because of such a key. */
+/** Report that a node rejected a call, sent at a time, because of such a key.
+ */
 void operator_key_refused(const struct soak_node *, gb_time sent);
 
 /* caller.c */
--- a/soak/takeover.c
+++ b/soak/takeover.c
@@ -1,6 +1,6 @@
 /**
  * @file takeover.c
- * Reads from the logs of the nodes who owned the pool, and checks that each
+ * Reads the claims of the pool from the nodes' logs, and checks that each
  * takeover had a cause, and that lasting faults did not cause too many.
  */
 #include <stdio.h>
@@ -14,10 +14,10 @@
 #define TAKEOVER_DELAY_MAX (5 * GB_SEC)
 /** Time without any fault after which nobody may take over. */
 #define CALM_MIN TAKEOVER_DELAY_MAX
-/** Allowed takeovers by cuts, pauses and starvation: some for faults that start
- * at the same time, and then one per interval, also if the owner is unreachable
- * again and again. */
-#define LASTING_FREE 4
+/** Takeovers that cuts, pauses and starvation may cause: a base number, since
+ * faults may start at the same time, and one more per interval, however often
+ * the owner becomes unreachable. */
+#define LASTING_BASE 4
 #define LASTING_INTERVAL (7 * GB_SEC)
 #define EPOCHS_MAX 1000
 #define LINE_MAX_BYTES 4096
@@ -220,7 +220,7 @@
 {
 	const struct claim *before = NULL;
 	unsigned int count[CAUSE_COUNT] = {0};
-	gb_time max = LASTING_FREE + soak_now() / LASTING_INTERVAL;
+	gb_time max = LASTING_BASE + soak_now() / LASTING_INTERVAL;
 	unsigned int epoch;
 
 	takeover_tick();
