--- a/bench/decide.c
+++ b/bench/decide.c
@@ -49,7 +49,8 @@
 	gb_res need;
 };
 
-/** What a task may need: cpu, memory, accelerators, slots, connections. */
+/** What a task may need: thousandths of a core, memory in MB, accelerators,
+ * slots, connections. */
 static const gb_res needs[] = {{500, 1024, 0, 1, 0}, {1000, 4096, 0, 1, 0},
     {2000, 2048, 0, 1, 0}, {4000, 16384, 0, 1, 0}, {1000, 2048, 1, 1, 0}};
 
@@ -59,10 +60,10 @@
 static void
 worker_capacity(uint32_t worker, gb_res *out)
 {
-	static const gb_res passport = {16000, 65536, 0, 21, 60};
-	static const gb_res directory = {32000, 131072, 4, 21, 60};
+	static const gb_res plain = {16000, 65536, 0, 21, 60};
+	static const gb_res accelerated = {32000, 131072, 4, 21, 60};
 
-	*out = worker % 2 == 0 ? passport : directory;
+	*out = worker % 2 == 0 ? plain : accelerated;
 }
 
 /** Measure searches of the index, each with the update that follows. */
--- a/bench/load.c
+++ b/bench/load.c
@@ -27,7 +27,7 @@
 /** Time after which a call is not retried; also the longest wait for the last
  * calls and jobs. */
 #define CALL_TIME_MAX (30 * GB_SEC)
-#define FIRST_TRIES_MS 1000
+#define FIRST_TRIES_MS 1000 /* unused */
 
 enum call_kind {
 	CALL_LOOKUP,
@@ -50,8 +50,8 @@
 	char verdict[24]; /**< in the last answer; empty: none */
 	long retry_ms;	  /**< delay before the next try, 0: default */
 	gb_time started;
-	gb_time retry_at; /**< time of the next try; 0: in flight */
-	unsigned int tries;
+	gb_time retry_at;	 /**< time of the next try; 0: in flight */
+	unsigned int tries;	 /**< counted, but not used */
 	unsigned int entry;	 /**< number of the entry it is sent to */
 	bool done;		 /**< has its final answer, or was given up */
 	bool accepted;		 /**< job that was accepted */
@@ -68,7 +68,7 @@
 	const char *prefix;
 	unsigned int seconds;
 	unsigned int rate;     /**< requests a second, 0: no limit */
-	unsigned int parallel; /**< most requests in flight */
+	unsigned int parallel; /**< max requests in flight */
 	unsigned int jobs;     /**< to submit */
 	unsigned int renewals; /**< one in this many requests is a renewal */
 	uint64_t seed;
--- a/bench/losses.sh
+++ b/bench/losses.sh
@@ -9,7 +9,7 @@
 	echo "== $(basename "$file" .txt): $(grep -a '^worth ' "$file" | cut -c1-100)"
 	grep -aE '^(class|[a-z]+-[a-z]+ +[0-9]+ +[0-9]+ )' "$file" | head -8
 	grep -aE "^not served, last try" "$file" | sed 's/; the first.*//'
-	awk -v most="$WINDOWS" '
+	awk -v max="$WINDOWS" '
 	/^from second/ { windows = 1; next }
 	/^what happened/ { windows = 0; events = 1; next }
 	/^the core was/ || /^seen/ { events = 0 }
@@ -26,7 +26,7 @@
 	}
 	END {
 		printf "lost %.0f of %d requests that were owed\n", all, owed
-		for (k = 1; k <= most && k <= n; k++) {
+		for (k = 1; k <= max && k <= n; k++) {
 			best = 0
 			for (i = 1; i <= n; i++)
 				if (!used[i] && (!best || lost[i] > lost[best]))
--- a/bench/pool.c
+++ b/bench/pool.c
@@ -15,10 +15,11 @@
 
 #include "world.h"
 
-/** Virtual time that is measured, and virtual time before it. */
+/** Virtual time that is measured, and virtual time that runs before it without
+ * being measured. */
 #define MEASURE_TIME (6 * GB_SEC)
 #define WARM_UP_TIME (2 * GB_SEC)
-/** Starts a second for each worker: 7,900 on 18,000 workers. */
+/** Starts per second and worker: about 7,900 a second on 18,000 workers. */
 #define STARTS_PER_WORKER 0.44
 /** Delay of all answers but those to heartbeats. */
 #define ANSWER_DELAY (5 * GB_MSEC)
@@ -31,17 +32,20 @@
  * be reachable. */
 #define MEMBERS 90
 #define MEMBERS_INTERVAL (500 * GB_MSEC)
-/** One flow in so many is an import of 25 tasks; the others are lookups of 3.
- */
+/** One flow in this many is an import of IMPORT_TASKS tasks; the others are
+ * lookups of LOOKUP_TASKS. */
 #define IMPORT_PERIOD 10
 #define IMPORT_TASKS 25
 #define LOOKUP_TASKS 3
+/** Run time of a task of each. */
+#define IMPORT_TIME (2700 * GB_MSEC)
+#define LOOKUP_TIME (800 * GB_MSEC)
+/** Mean number of tasks of a flow. */
 #define STARTS_PER_FLOW                                        \
 	((IMPORT_TASKS + LOOKUP_TASKS * (IMPORT_PERIOD - 1)) / \
 	    (double)IMPORT_PERIOD)
-/** One flow in so many is of the first organisation, which so has the most
- * load.
- */
+/** One flow in this many belongs to the first organisation, which therefore has
+ * the most load. */
 #define HOT_ORG_PERIOD 2
 
 enum event_kind {
@@ -189,7 +193,7 @@
 	run->report.index = order->id.index;
 	run->report.run = order->id.run;
 	run->end_at = bench->now + ANSWER_DELAY +
-		      (order->spec[0] == 'i' ? 2700 : 800) * GB_MSEC;
+		      (order->spec[0] == 'i' ? IMPORT_TIME : LOOKUP_TIME);
 	bench->platform_ns += monotonic_ns() - began;
 }
 
@@ -434,6 +438,7 @@
 	char empty[] = "";
 	char names[4][8] = {"lookup", "import", "svc", "i"};
 
+	/* A large odd factor spreads the ids and keeps them distinct. */
 	snprintf(id, sizeof(id), "%016" PRIx64, number * 0x9e3779b97f4a7c15);
 	snprintf(org, sizeof(org), "org-%u",
 	    number % HOT_ORG_PERIOD == 0 ? 0 : (uint32_t)(number % orgs));
@@ -441,7 +446,7 @@
 	step.count = import ? IMPORT_TASKS : LOOKUP_TASKS;
 	step.res.cpu = import ? 1700 : 2500;
 	step.res.mem = 4000;
-	step.estimate_us = (import ? 2700 : 800) * GB_MSEC;
+	step.estimate_us = import ? IMPORT_TIME : LOOKUP_TIME;
 	step.label = empty;
 	step.rack = empty;
 	submit.caller.config = 1;
