--- a/tests/cells.c
+++ b/tests/cells.c
@@ -43,13 +43,13 @@
 	struct message *next;
 	enum message_type type;
 	gb_time at;
-	uint64_t order;
+	uint64_t order; /**< unused */
 	uint32_t from, to;
 	uint64_t incarnation; /**< of the core that gets the answer, or of the
 				 worker for MSG_EXEC_RUN */
-	uint64_t id;
-	uint32_t worker;
-	gb_time sent; /**< when the request that it answers was sent */
+	uint64_t id;	      /**< of the core's action, or of its request */
+	uint32_t worker;      /**< number that the core gave to the worker */
+	gb_time sent;	      /**< when the request that it answers was sent */
 	union {
 		gb_txn txn;
 		gb_txn_res txn_res;
@@ -821,7 +821,7 @@
 	}
 }
 
-/** Advance the clock by a step, run all nodes, and check the invariants. */
+/** Advance the clock by a step, run all nodes, and check the guarantees. */
 static void
 cells_step(struct cells *c)
 {
--- a/tests/cells.h
+++ b/tests/cells.h
@@ -2,7 +2,7 @@
  * @file cells.h
  * A simulated cell: several real scheduler cores on models of the table
  * service, the workers and the network, under a virtual clock.  It has two data
- * centres, a and b, with one shard each.  An oracle checks the invariants of
+ * centres, a and b, with one shard each.  An oracle checks the guarantees of
  * the scheduler after every step of the clock.
  */
 #ifndef CELLS_H
@@ -42,18 +42,18 @@
 
 /** Record of the oracle on a request, a command or a job. */
 struct tracked {
-	uint64_t id;   /**< that its answer carries; 0: none */
-	uint32_t core; /**< that it was sent to */
+	uint64_t id;   /**< id that its answer carries; 0: none */
+	uint32_t core; /**< core that it was sent to */
 	bool job;      /**< a command on a job or a worker */
 	bool idempotent;
-	bool keyed;
+	bool keyed; /**< a request with an idempotency key */
 	bool answered;
 	gb_answer answer; /**< without its body */
 	uint64_t job_id;
 	uint32_t tasks;
-	uint32_t starts;    /**< of its tasks, in its own and in other shards */
-	char name[24];	    /**< also the body of a request */
-	unsigned int execs; /**< times that a worker began to run it */
+	uint32_t starts;	   /**< starts of its tasks, in all shards */
+	char name[24];		   /**< also the body of a request */
+	unsigned int execs;	   /**< times that a worker began to run it */
 	unsigned int execs_before; /**< execs when it was last repeated */
 	uint64_t wants;		   /**< unused */
 	bool apply;		   /**< submits a version of the document */
@@ -68,15 +68,15 @@
 	gb_time paused_until;
 	gb_time delay;	    /**< added to every message it sends */
 	bool leaving;	    /**< the core has asked to exit */
-	uint64_t seen_vers; /**< newest version of the document it used */
+	uint64_t seen_vers; /**< version of the document it used last */
 };
 
 struct worker_node {
 	struct worker_model *model;
 	struct cells *cells;
 	uint64_t incarnation;
-	gb_time offset; /**< of its clock from virtual time */
-	int64_t drift;	/**< of its clock, per mille */
+	gb_time offset; /**< its clock minus virtual time, without drift */
+	int64_t drift;	/**< drift of its clock, per mille */
 	gb_time paused_until;
 	gb_instance_state state;
 	gb_time left_at; /**< last change of state */
@@ -107,8 +107,8 @@
 	bool cut[NODES][NODES]; /**< [from][to]: messages are dropped */
 	bool store_down;
 	gb_time store_delay;		 /**< added to its answers */
-	unsigned int store_lost_answers; /**< transactions to leave without
-					      answer */
+	unsigned int store_lost_answers; /**< number of transactions to apply
+					      without an answer */
 	gb_time service_time;  /**< run time of a request; 0: default */
 	struct message *queue; /**< in flight, by time of delivery */
 	uint64_t next_message;
@@ -121,8 +121,7 @@
 	uint64_t in_force;   /**< newest version of the document that a core
 				answered to be in force in the whole cell */
 	unsigned int names;  /**< number in the last generated name */
-	char violation[256]; /**< first violation of an invariant; empty: none
-			      */
+	char violation[256]; /**< first violation of a guarantee; empty: none */
 	/* Fault matrix: the fault is injected once, at the first time that the
 	 * point is reached. */
 	enum fault_point fault_at;
@@ -130,6 +129,8 @@
 	bool injected;
 };
 
+/** Create a cell whose nodes all run; all that is random depends on the seed.
+ * Release it with cells_free. */
 struct cells *cells_new(uint64_t seed);
 void cells_free(struct cells *);
 /** Run for a span of virtual time, up to the first violation. */
@@ -139,8 +140,9 @@
 void cells_finish(struct cells *);
 
 /** Submit a job of a kind: 0 idempotent batch, 1 batch that isn't idempotent, 2
- * gang, 3 batch that only data centre b may run, and the services "long" (4)
- * and "slow" (5), whose documents a test has to apply. */
+ * gang, 3 batch that isn't idempotent and that only data centre b may run, and
+ * the services "long" (4) and "slow" (5), whose documents a test has to apply.
+ */
 void cells_submit(
     struct cells *, uint32_t core, unsigned int kind, uint32_t tasks);
 /** Cancel a job, counted back from the job that was submitted last (0). */
@@ -151,13 +153,17 @@
 void cells_repeat(struct cells *, uint32_t core, unsigned int n);
 /** Submit the version of the document that follows the one the core has. */
 void cells_apply(struct cells *, uint32_t core);
+/** Ask a core to drain a worker, or to end its drain. */
 void cells_drain(struct cells *, uint32_t core, uint32_t worker, bool drain);
+/** End a core's process.  Its callers take their calls as possibly run. */
 void cells_kill(struct cells *, uint32_t core);
 /** Start a core that doesn't run, as a new process incarnation. */
 void cells_start(struct cells *, uint32_t core);
 /** Ask a core to hand over its shards and to exit. */
 void cells_leave(struct cells *, uint32_t core);
+/** Pause a core's process for a span of virtual time; 0 resumes it. */
 void cells_pause(struct cells *, uint32_t core, gb_time);
+/** Pause a worker, and its tasks with it, for a span of virtual time. */
 void cells_pause_worker(struct cells *, uint32_t worker, gb_time);
 /** Drop all messages in one direction, or stop doing so.  Nodes are numbered:
  * cores, workers, table service. */
