--- a/tests/test_faults.c
+++ b/tests/test_faults.c
@@ -1,6 +1,6 @@
 /**
  * @file test_faults.c
- * Guards against a fault that violates an invariant because it happens at one
+ * Guards against a fault that violates a guarantee because it happens at one
  * point of the work, such as between a decision and its write.  The fault
  * matrix injects every fault at every point, each in a simulated cell of its
  * own (cells.h), ends it after some more work, and asks the oracle.
@@ -39,14 +39,14 @@
 }
 
 static void
-fault_freeze(struct cells *c, uint32_t core, uint32_t worker)
+fault_pause(struct cells *c, uint32_t core, uint32_t worker)
 {
 	(void)worker;
 	cells_pause(c, core, PAUSE_SHORT);
 }
 
 static void
-fault_lapse(struct cells *c, uint32_t core, uint32_t worker)
+fault_pause_past_lease(struct cells *c, uint32_t core, uint32_t worker)
 {
 	(void)worker;
 	cells_pause(c, core, PAUSE_PAST_LEASE);
@@ -127,7 +127,7 @@
 }
 
 static void
-fault_worker_frozen(struct cells *c, uint32_t core, uint32_t worker)
+fault_worker_paused(struct cells *c, uint32_t core, uint32_t worker)
 {
 	(void)core;
 	cells_pause_worker(c, worker, PAUSE_PAST_LEASE);
@@ -177,16 +177,16 @@
 }
 
 static void
-fault_lapse_answer_lost(struct cells *c, uint32_t core, uint32_t worker)
+fault_pause_answer_lost(struct cells *c, uint32_t core, uint32_t worker)
 {
 	fault_answer_lost(c, core, worker);
-	fault_lapse(c, core, worker);
+	fault_pause_past_lease(c, core, worker);
 }
 
 static void
-fault_kill_worker_frozen(struct cells *c, uint32_t core, uint32_t worker)
+fault_kill_worker_paused(struct cells *c, uint32_t core, uint32_t worker)
 {
-	fault_worker_frozen(c, core, worker);
+	fault_worker_paused(c, core, worker);
 	fault_kill(c, core, worker);
 }
 
@@ -202,8 +202,8 @@
 	void (*inject)(struct cells *, uint32_t, uint32_t);
 } faults[] = {
     {"kill", fault_kill},
-    {"freeze", fault_freeze},
-    {"lease lapsed while paused", fault_lapse},
+    {"freeze", fault_pause},
+    {"lease lapsed while paused", fault_pause_past_lease},
     {"cut outward", fault_cut_out},
     {"cut inward", fault_cut_in},
     {"cut both ways", fault_cut_both},
@@ -213,15 +213,15 @@
     {"service slower than its timeout", fault_store_times_out},
     {"answer lost after write", fault_answer_lost},
     {"worker killed", fault_worker_killed},
-    {"worker frozen past its lease", fault_worker_frozen},
+    {"worker frozen past its lease", fault_worker_paused},
     {"worker fails everything", fault_worker_fails},
     {"worker leaves", fault_worker_leaves},
     {"cancellation wave", fault_cancel_wave},
     {"operators racing", fault_operators_race},
     {"graceful stop", fault_leave},
     {"kill + service down", fault_kill_store_down},
-    {"lapse + answer lost", fault_lapse_answer_lost},
-    {"kill + worker frozen", fault_kill_worker_frozen},
+    {"lapse + answer lost", fault_pause_answer_lost},
+    {"kill + worker frozen", fault_kill_worker_paused},
 };
 
 #define FAULTS (sizeof(faults) / sizeof(faults[0]))
@@ -246,11 +246,11 @@
 		cells_drain(c, round % CORES, round % WORKERS, false);
 }
 
-/** Run a cell with a fault at a point.  Returns 1 when no invariant was
+/** Run a cell with a fault at a point.  Returns 1 when no guarantee was
  * violated, 0 with the text of the violation, -1 when the point was never
  * reached. */
 static int
-cell_run(enum fault_point point, size_t fault, char *violation,
+matrix_cell_run(enum fault_point point, size_t fault, char *violation,
     size_t violation_size)
 {
 	struct cells *c = cells_new(7 + (uint64_t)point * 100 + fault);
@@ -262,7 +262,8 @@
 	c->inject = faults[fault].inject;
 	for (round = 0; round < 4; round++)
 		work_round(c, round);
-	/* Without a fault so far, a kill makes the cell reach a takeover. */
+	/* If the point was not reached yet, a kill causes a takeover, which may
+	 * reach it. */
 	if (!c->injected) {
 		cells_kill(c, cells_owner(c, 0) % CORES);
 		cells_run(c, GB_SEC);
@@ -277,6 +278,10 @@
 	return result;
 }
 
+/** Each fault at each point: prints a table of the results, "-" for a point
+ * that was not reached, and fails if a guarantee was violated or a point not
+ * reached.
+ */
 static void
 test_fault_matrix(void **state)
 {
@@ -298,8 +303,8 @@
 		printf("| %s |", faults[fault].name);
 		for (point = AT_SUBMIT; point < AT_POINT_COUNT; point++) {
 			char violation[256];
-			int result = cell_run((enum fault_point)point, fault,
-			    violation, sizeof(violation));
+			int result = matrix_cell_run((enum fault_point)point,
+			    fault, violation, sizeof(violation));
 
 			held += result > 0;
 			failed += result == 0;
--- a/tests/test_replay.c
+++ b/tests/test_replay.c
@@ -1,6 +1,6 @@
 /**
  * @file test_replay.c
- * Guards against sequences of operations and faults that violate an invariant
+ * Guards against sequences of operations and faults that violate a guarantee
  * of the scheduler.  Runs a fixed number of seeded random inputs of the
  * fuzzer, and the inputs in tests/seeds, each of which has violated one.
  */
@@ -22,7 +22,7 @@
 #endif
 /** Largest random input, in bytes. */
 #define INPUT_MAX 480
-/** Random runs, unless GB_FUZZ_RUNS sets another number. */
+/** Number of random runs, unless GB_FUZZ_RUNS sets another. */
 #define RUNS 120
 
 /** Number in an environment variable, or the fallback. */
@@ -34,6 +34,8 @@
 	return value == NULL ? fallback : (unsigned int)atoi(value);
 }
 
+/** Random inputs.  GB_FUZZ_FROM sets the first run, GB_FUZZ_SAVE names a file
+ * for the first input that fails, and GB_FUZZ_FIRST ends the test there. */
 static void
 test_replay_random(void **state)
 {
@@ -68,6 +70,7 @@
 	assert_int_equal(failed, 0);
 }
 
+/** Run the input in a file, and count it if it fails. */
 static void
 replay_file(const char *path, unsigned int *failed)
 {
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -201,10 +201,12 @@
 	unsigned char junk[400];
 	unsigned int round;
 	size_t i;
-	/* A call of EXEC whose arguments have a length beyond the record. */
-	const uint32_t bad_length[] = {htonl(0x80000000u | 52), htonl(9), 0,
-	    htonl(2), htonl(0x20676261u), htonl(1), htonl(GB_PROC_EXEC), 0, 0,
-	    0, 0, htonl(0xffffffffu), htonl(0xffffffffu), htonl(0xffffffffu)};
+	/* An RPC call of EXEC whose arguments have a length beyond the record.
+	 */
+	const uint32_t bad_length[] = {htonl(RECORD_LAST_FRAGMENT | 52),
+	    htonl(9), 0, htonl(2), htonl(0x20676261u), htonl(1),
+	    htonl(GB_PROC_EXEC), 0, 0, 0, 0, htonl(0xffffffffu),
+	    htonl(0xffffffffu), htonl(0xffffffffu)};
 	const uint32_t huge_record = htonl(0x7fffffffu);
 
 	raw_bytes_send(f, "GET / HTTP/1.1\r\n\r\n", 18);
@@ -213,7 +215,8 @@
 	for (round = 0; round < 200; round++) {
 		for (i = 0; i < sizeof(junk); i++)
 			junk[i] = (unsigned char)gb_random_next(&seed);
-		/* A valid record mark, so that the server reads the record. */
+		/* A valid record mark, for 384 bytes, so that the server reads
+		 * the record. */
 		junk[0] = 0x80;
 		junk[1] = 0;
 		junk[2] = 1;
