--- a/tests/cell.sh
+++ b/tests/cell.sh
@@ -26,7 +26,7 @@
 	sed -n 's/.*[Ll]istening[^0-9]*\([0-9][0-9]*\).*/\1/p' "$1" | head -1
 }
 
-cell_dc() { # instance number; prints its data centre
+cell_dc() { # number of an instance or a rack; prints its data centre
 	case $(($1 % 3)) in
 	0) echo aarhus ;;
 	1) echo viborg ;;
@@ -94,8 +94,8 @@
 	    --token operator-token --team byggepas "$@"
 }
 
-# Wait until all shards have an owner, and apply the documents of tests/demo.
-# Fails after 100 polls.
+# Wait until all three shards have an owner, and apply the documents of
+# tests/demo.  Fails when a shard has no owner after 100 polls (over 10 s).
 cell_ready() {
 	polls=0
 	while [ "$(cell_ctl shards 2>/dev/null | grep -c -v -e ' - ' -e SHARD)" -lt 3 ]; do
