--- a/soak/caller.c
+++ b/soak/caller.c
@@ -84,7 +84,8 @@
 	    cpu, "MemMb", 64, "EstimatedMs", (int)ms);
 }
 
-/** Draw a job's queue, steps and duration. */
+/** Draw a job's queue, steps and duration.  Of ten jobs, six are lookups, three
+ * imports and one is a rebuild. */
 static void
 job_define(struct job *job)
 {
--- a/standin/world_state.h
+++ b/standin/world_state.h
@@ -20,8 +20,8 @@
 	gb_res res;
 	uint32_t gang;	    /**< members of its gang, 0: no gang */
 	bool gang_complete; /**< all members have been present at once */
-	bool fails;
-	bool crashes; /**< it crashes its worker soon after the start */
+	bool fails;	    /**< it fails after half of its work */
+	bool crashes;	    /**< it crashes its worker soon after the start */
 	gb_time began;
 	gb_time work;	/**< duration on a worker of speed 1 */
 	gb_time worked; /**< progress, of `work` */
--- a/tests/fuzz_cells.c
+++ b/tests/fuzz_cells.c
@@ -162,6 +162,7 @@
 		op_worker(c, a, b);
 		break;
 	default:
+		/* A burst of up to 15 requests, which may run long. */
 		c->service_time = (gb_time)(a % 4) * 300 * GB_MSEC;
 		for (; b % 16 > 0; b--)
 			cells_request(c, b % CORES, b % 2);
--- a/tests/fuzz_cells.h
+++ b/tests/fuzz_cells.h
@@ -16,8 +16,9 @@
 /** Apply a document of the team of the tests; rest are its JSON members after
  * team and service. */
 void fuzz_cells_document(struct cells *, const char *service, const char *rest);
-/** Run a cell on the bytes.  Returns 1 when no guarantee was violated, else 0
- * with the text of the first violation. */
+/** Run a cell on the bytes, of which the first is also its seed.  Returns 1
+ * when no guarantee was violated, else 0 with the text of the first violation.
+ */
 int fuzz_cells_run(
     const uint8_t *, size_t, char *violation, size_t violation_size);
 
