--- a/tests/run-processes.sh
+++ b/tests/run-processes.sh
@@ -11,7 +11,7 @@
 
 load_start() { # name seconds
 	# shellcheck disable=SC2086
-	"$BUILD/gooseberry-load" $ALL -L "$CELL" -P "$1" -s "$2" -r 500 \
+	"$BUILD/gooseberry-load" $ALL_ENTRIES -L "$CELL" -P "$1" -s "$2" -r 500 \
 	    -j 6 >"$CELL/load.txt" 2>&1 &
 	LOAD_PID=$!
 }
@@ -42,7 +42,8 @@
 cell_instances "$INSTANCES"
 cell_ready || { echo "the cell did not come up"; cat "$CELL"/*.log; exit 1; }
 
-ALL=$ENTRIES
+# A copy, since cell_entry adds an entry to ENTRIES again when it restarts.
+ALL_ENTRIES=$ENTRIES
 load_start kill-sched 4
 sleep 1
 victim=$(shard_owner 0)
