--- a/soak/soak.h
+++ b/soak/soak.h
@@ -91,7 +91,7 @@
 	unsigned int worker_count;
 	unsigned int rate;  /**< jobs per second */
 	unsigned int port;  /**< first of the ports used */
-	unsigned int kinds; /**< draw only so many kinds of faults, 0: all */
+	unsigned int kinds; /**< draw only the first kinds, 0: all */
 	bool planned_only;  /**< draw only planned work */
 	char *only;	    /**< names of the kinds to draw, or null */
 	bool storm;	    /**< faults of all nodes at once, repeatedly */
--- a/tests/cells.h
+++ b/tests/cells.h
@@ -119,7 +119,7 @@
 	struct lent_job lent_jobs[4 * TRACKED_MAX];
 	unsigned int lent_job_count;
 	uint64_t in_force;   /**< newest version of the document that a core
-				answered to be in force in the whole cell */
+				reported to be in force in the cell */
 	unsigned int names;  /**< number in the last generated name */
 	char violation[256]; /**< first violation of a guarantee; empty: none */
 	/* Fault matrix: the fault is injected once, at the first time that the
