--- a/libgooseberry/pool.h
+++ b/libgooseberry/pool.h
@@ -599,7 +599,7 @@
 	    heartbeats;
 	/** Ended runs by outcome; broken: GB_POOL_GANG_BROKEN, alone:
 	 * GB_POOL_GANG_INCOMPLETE. */
-	uint64_t done, failed, stopped, lapsed, broken, alone;
+	uint64_t done, failed, stopped, lapsed, broken, incomplete;
 	uint64_t crashed;	/**< runs lost with a worker that crashed */
 	uint64_t gone;		/**< runs that ended without a report */
 	uint64_t workers_ended; /**< ended worker incarnations */
--- a/libgooseberry/pool/report.c
+++ b/libgooseberry/pool/report.c
@@ -81,7 +81,7 @@
 {
 	uint64_t *counts[] = {&pool->stats.done, &pool->stats.failed,
 	    &pool->stats.stopped, &pool->stats.lapsed, &pool->stats.broken,
-	    &pool->stats.alone};
+	    &pool->stats.incomplete};
 
 	(*counts[outcome])++;
 }
--- a/standin/emulator.c
+++ b/standin/emulator.c
@@ -312,7 +312,7 @@
 		"order", (int)violations->order, "budget",
 		(int)violations->budget, "spread", (int)violations->spread,
 		"quota", (int)violations->quota, "alone",
-		(int)violations->alone, "ticket", (int)violations->ticket,
+		(int)violations->incomplete, "ticket", (int)violations->ticket,
 		"first", violations->text));
 }
 
--- a/standin/world.c
+++ b/standin/world.c
@@ -266,7 +266,7 @@
 }
 
 void
-world_incarnations_unknown(struct world *world, bool reports, bool entries)
+world_start_times_omit(struct world *world, bool reports, bool entries)
 {
 	world->reports_omit_start = reports;
 	world->entries_omit_start = entries;
--- a/standin/world.h
+++ b/standin/world.h
@@ -17,8 +17,8 @@
 	unsigned int order;  /**< a step began before one it depends on ended */
 	unsigned int budget; /**< a task ran after its last attempt, or kept
 				  crashing workers */
-	unsigned int alone;  /**< a gang timed out before it was complete */
-	unsigned int ticket; /**< a start had no valid ticket */
+	unsigned int incomplete; /**< a gang timed out before it was complete */
+	unsigned int ticket;	 /**< a start had no valid ticket */
 	unsigned int
 	    spread; /**< a worker ran more tasks of a step than allowed */
 	unsigned int quota; /**< an organisation exceeded its quota */
@@ -67,7 +67,7 @@
 void world_worker_rename(struct world *, unsigned int number, const char *id);
 /** Omit the start time of workers, which tells their incarnations apart, from
  * their reports or from their entries. */
-void world_incarnations_unknown(struct world *, bool reports, bool entries);
+void world_start_times_omit(struct world *, bool reports, bool entries);
 /** Move the time of day, which workers report as their start time, forward or
  * back by a number of microseconds. */
 void world_clock_step(struct world *, gb_time);
--- a/standin/world_oracle.c
+++ b/standin/world_oracle.c
@@ -29,7 +29,7 @@
 	/* An incomplete gang may be due to an injected fault, so it does not
 	 * replace the text of another violation. */
 	if (world->violations.text[0] == '\0' ||
-	    count != &world->violations.alone)
+	    count != &world->violations.incomplete)
 		snprintf(world->violations.text, sizeof(world->violations.text),
 		    "%s: %s at %lld ms", what, task,
 		    (long long)(world->now / GB_MSEC));
@@ -263,8 +263,8 @@
 		task->ever_failures++;
 	}
 	if (outcome == GB_POOL_GANG_INCOMPLETE)
-		world_violation(
-		    world, &world->violations.alone, "waited alone", run->flow);
+		world_violation(world, &world->violations.incomplete,
+		    "waited alone", run->flow);
 }
 
 void
--- a/tests/test_pool.c
+++ b/tests/test_pool.c
@@ -291,7 +291,7 @@
 		pool_cell_run(cell, 4 * GB_SEC);
 		assert_int_equal(cell->flows[flow].status, GB_FLOW_SUCCEEDED);
 	}
-	assert_int_equal(world_violations(cell->world)->alone, 0);
+	assert_int_equal(world_violations(cell->world)->incomplete, 0);
 	pool_cell_assert_no_violation(cell);
 	pool_cell_free(cell);
 }
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -272,7 +272,7 @@
 
 	(void)state;
 	cell = pool_cell_begin(&plain);
-	world_incarnations_unknown(cell->world, true, true);
+	world_start_times_omit(cell->world, true, true);
 	for (i = 0; i < 4; i++) {
 		submit_lookups(cell, 30);
 		world_worker_replace(cell->world, i);
@@ -291,7 +291,7 @@
 	unsigned int i;
 
 	(void)state;
-	world_incarnations_unknown(cell->world, true, false);
+	world_start_times_omit(cell->world, true, false);
 	pool_cell_take_over(cell, 0);
 	pool_cell_run(cell, GB_SEC);
 	submit_lookups(cell, 60);
