--- a/bench/days.sh
+++ b/bench/days.sh
@@ -1,9 +1,10 @@
 #!/bin/sh
-# Play the days of deploy/days/ on a site, when the users' kit is there.
+# Runs the scenarios of deploy/days/ (days) on a site, and prints each result.
+# Does nothing where the users' kit is missing.
 #   bench/days.sh SITE.toml [NAME ...]
-# A day that names a class which the site does not have is skipped.
-# Environment: KIT, the users' kit; BENCH, the bench's program; JOBS, plays at a
-# time (4).
+# A scenario that names a class which the site does not have is skipped.
+# Environment: KIT, folder of the users' kit; BENCH, its program fleetbench;
+# JOBS, runs at a time (4).
 KIT=${KIT:-$(cd "$(dirname "$0")/../.." && pwd)/given/kit/more/system}
 BENCH=${BENCH:-$KIT/more/bench-cc6490/bin/fleetbench}
 cd "$(dirname "$0")/.." || exit 1
--- a/bench/losses.sh
+++ b/bench/losses.sh
@@ -1,15 +1,15 @@
 #!/bin/sh
-# Where the worth of a day went: the windows of the bench's text output with the
-# greatest losses, in requests of their window's mean worth, and what was going
-# on meanwhile.  Reads what `fleetbench run` printed.
+# Shows where the score (worth) of a run was lost: prints the time windows with
+# the greatest losses, counted in requests of the window's mean worth, and the
+# events within 2 s of each.  Reads the output of `fleetbench run`.
 #   bench/losses.sh [-n WINDOWS] OUTPUT ...
-MOST=8
-[ "$1" = -n ] && { MOST=$2; shift 2; }
+WINDOWS=8
+[ "$1" = -n ] && { WINDOWS=$2; shift 2; }
 for file in "$@"; do
 	echo "== $(basename "$file" .txt): $(grep -a '^worth ' "$file" | cut -c1-100)"
 	grep -aE '^(class|[a-z]+-[a-z]+ +[0-9]+ +[0-9]+ )' "$file" | head -8
 	grep -aE "^not served, last try" "$file" | sed 's/; the first.*//'
-	awk -v most="$MOST" '
+	awk -v most="$WINDOWS" '
 	/^from second/ { windows = 1; next }
 	/^what happened/ { windows = 0; events = 1; next }
 	/^the core was/ || /^seen/ { events = 0 }
--- a/bench/regress.sh
+++ b/bench/regress.sh
@@ -1,10 +1,12 @@
 #!/bin/sh
-# Score the sites of the regression runs and print one table: score, gate, worth
-# of each day and the mean of the days with trouble.  Only where the users' kit
-# is there.
+# Runs the standard scenarios (days) on sites and prints a table with a line for
+# each site: its score, whether it passes the gate, the worth of each day and the
+# mean worth of the trouble and scale days.  Does nothing where the users' kit is
+# missing.
 #   bench/regress.sh -o OUT [-w WHY] [-a] [SITE.toml ...]
-# Without sites: those of further/, further-grown/, grown/ and large/; -a: also
-# the two oldest of sites/.  Environment: KIT, BENCH, JOBS as for rounds.sh.
+# Without sites: those of the kit's folders further/, further-grown/, grown/ and
+# large/; -a: also the two oldest sites, in sites/.  -w: reason that fleetbench
+# records with the runs.  Environment: KIT, BENCH and JOBS as for rounds.sh.
 KIT=${KIT:-$(cd "$(dirname "$0")/../.." && pwd)/given/kit/more/system}
 BENCH=${BENCH:-$KIT/more/bench-cc6490/bin/fleetbench}
 OUT=/tmp/regress WHY="regression run" ALL=
@@ -26,10 +28,10 @@
 	[ -n "$ALL" ] && set -- "$@" "$KIT"/sites/*.toml
 fi
 for site in "$@"; do
-	name=$(basename "$site" .toml)
-	"$BENCH" score "$site" --jobs "${JOBS:-4}" --why "$WHY: $name" \
-	    >"$OUT/$name.txt" 2>&1
-	awk -v name="$name" '
+	site_name=$(basename "$site" .toml)
+	"$BENCH" score "$site" --jobs "${JOBS:-4}" --why "$WHY: $site_name" \
+	    >"$OUT/$site_name.txt" 2>&1
+	awk -v name="$site_name" '
 	/^score on the standard days/ {
 		score = $0
 		sub(/.*\): /, "", score)
@@ -42,5 +44,5 @@
 	/^GATE/ { gate = $2 }
 	/BROKEN/ { broken = broken " " $0 }
 	END { printf "%-24s score %s, gate %s; days%s; trouble %.3f%s\n",
-	  name, score, gate, days, n ? sum / n : 0, broken }' "$OUT/$name.txt"
+	  name, score, gate, days, n ? sum / n : 0, broken }' "$OUT/$site_name.txt"
 done | tee "$OUT/table.txt"
