--- a/bench/bench.sh
+++ b/bench/bench.sh
@@ -37,6 +37,7 @@
 	echo "cpu_ms_per_s=$(((cpu_after - cpu_before) / 1000 / $1)) bytes_per_s=$(((bytes_after - bytes_before) / $1)) memory_mb=$((memory / 1048576)) store_before=$store_before store_after=$store_after"
 }
 
+# Cost of an idle cell, by workers, then by instances.
 for workers in 24 72 144; do
 	. tests/cell.sh
 	cell_store
@@ -66,6 +67,8 @@
 cell_instances 3
 cell_ready || exit 1
 sleep 4
+# Latency of direct calls and of calls through entry and scheduler.  The data
+# centre nowhere is not one of the cell, so no scheduler uses the worker.
 cell_spawn direct "$BUILD/gooseberry-standin-worker" -n direct -s "$STORE" \
     -d nowhere -r none
 port=$(cell_port "$CELL/direct.out")
--- a/bench/decide.c
+++ b/bench/decide.c
@@ -21,6 +21,8 @@
 #define DECISIONS 200000
 /** Largest number of tasks in a job of measure_core. */
 #define ROUND_TASKS_MAX 4000
+/** Largest number of tasks in a job of measure_rebuild. */
+#define REBUILD_TASKS_MAX 20000
 #define TEAM "byggepas"
 
 static gb_time
@@ -403,6 +405,7 @@
 		bench_run(&b, 4 * GB_SEC);
 	}
 	gb_core_stats_get(b.core, &after);
+	/* The rounds took 20 s of virtual time. */
 	printf("bench core workers=%" PRIu32 " starts=%" PRIu64
 	       " per_s=%" PRIu64 " us_per_start=%.2f idle_tick_us=%.1f "
 	       "idle_cpu_ms_per_s=%.1f store_writes_per_1000_starts=%.1f "
@@ -440,7 +443,8 @@
 	bench_setup(&b, workers);
 	with_workers = mallinfo2();
 	while (left > 0) {
-		uint32_t n = left > 20000 ? 20000 : left;
+		uint32_t n =
+		    left > REBUILD_TASKS_MAX ? REBUILD_TASKS_MAX : left;
 
 		bench_job_submit(&b, "long", n);
 		left -= n;
--- a/bench/losses.sh
+++ b/bench/losses.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
 # Shows where the score (worth) of a run was lost: prints the time windows with
-# the greatest losses, counted in requests of the window's mean worth, and the
-# events within 2 s of each.  Reads the output of `fleetbench run`.
+# the greatest losses, and the events within 2 s of each.  The loss of a window is
+# the number of requests that it owed, times one minus their mean worth.  Reads
+# the output of `fleetbench run`.
 #   bench/losses.sh [-n WINDOWS] OUTPUT ...
 WINDOWS=8
 [ "$1" = -n ] && { WINDOWS=$2; shift 2; }
