--- a/bench/decide.c
+++ b/bench/decide.c
@@ -21,6 +21,8 @@
 #define DECISIONS 200000
 /** Largest number of tasks in a job of measure_core. */
 #define ROUND_TASKS_MAX 4000
+/** Largest number of tasks in a job of measure_rebuild. */
+#define REBUILD_TASKS_MAX 20000
 #define TEAM "byggepas"
 
 static gb_time
@@ -49,7 +51,8 @@
 	gb_res need;
 };
 
-/** What a task may need: cpu, memory, accelerators, slots, connections. */
+/** What a task may need: thousandths of a core, memory in MB, accelerators,
+ * slots, connections. */
 static const gb_res needs[] = {{500, 1024, 0, 1, 0}, {1000, 4096, 0, 1, 0},
     {2000, 2048, 0, 1, 0}, {4000, 16384, 0, 1, 0}, {1000, 2048, 1, 1, 0}};
 
@@ -59,10 +62,10 @@
 static void
 worker_capacity(uint32_t worker, gb_res *out)
 {
-	static const gb_res passport = {16000, 65536, 0, 21, 60};
-	static const gb_res directory = {32000, 131072, 4, 21, 60};
+	static const gb_res plain = {16000, 65536, 0, 21, 60};
+	static const gb_res accelerated = {32000, 131072, 4, 21, 60};
 
-	*out = worker % 2 == 0 ? passport : directory;
+	*out = worker % 2 == 0 ? plain : accelerated;
 }
 
 /** Measure searches of the index, each with the update that follows. */
@@ -402,6 +405,7 @@
 		bench_run(&b, 4 * GB_SEC);
 	}
 	gb_core_stats_get(b.core, &after);
+	/* The rounds took 20 s of virtual time. */
 	printf("bench core workers=%" PRIu32 " starts=%" PRIu64
 	       " per_s=%" PRIu64 " us_per_start=%.2f idle_tick_us=%.1f "
 	       "idle_cpu_ms_per_s=%.1f store_writes_per_1000_starts=%.1f "
@@ -439,7 +443,8 @@
 	bench_setup(&b, workers);
 	with_workers = mallinfo2();
 	while (left > 0) {
-		uint32_t n = left > 20000 ? 20000 : left;
+		uint32_t n =
+		    left > REBUILD_TASKS_MAX ? REBUILD_TASKS_MAX : left;
 
 		bench_job_submit(&b, "long", n);
 		left -= n;
